--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -51,7 +51,7 @@
 	p.balancer = balance.New(balance.Settings{Gate: relay.TargetGate{ReplicaGate: gate}}, p.invariants)
 	p.pools = relay.NewPools()
 	p.pools.SetGate(gate)
-	p.budgets = relay.NewBudgets(relay.BudgetSettings{Share: s.Relay.RetryShare, Slack: s.Relay.RetrySlack, Window: s.Relay.RetryWindow})
+	p.budgets = relay.NewRetryBudgets(relay.RetryBudgetSettings{Share: s.Relay.RetryShare, Slack: s.Relay.RetrySlack, Window: s.Relay.RetryWindow})
 	p.pools.SetSharers(layers.Sharers{DataCentre: s.VM.DataCentre, All: usualVMs, Home: usualVMs / usualDataCentres})
 	p.view = &view{
 		wiring: p.Wiring, pools: p.pools, balancer: p.balancer, invariants: p.invariants, logger: p.Logger,
@@ -90,10 +90,10 @@
 
 func (p *Process) buildRequestPath() {
 	p.handler = relay.New(relay.Options{
-		DataCentre: p.Settings.VM.DataCentre, Source: p.view, Codec: p.Wiring.Codec, Gate: p.gate,
-		Admission: p.admission, Balancer: p.balancer, Pools: p.pools, Budgets: p.budgets,
+		DataCentre: p.Settings.VM.DataCentre, ConfigSource: p.view, Codec: p.Wiring.Codec, Gate: p.gate,
+		Admission: p.admission, Balancer: p.balancer, Pools: p.pools, RetryBudgets: p.budgets,
 		Engines: p.Wiring.Engines, Pool: p.Pool, Observer: p.recorder, Invariants: p.invariants, Logger: p.Logger,
-		Quarantine: p.quarantine, News: p.sharing, Pushback: p.pushback, Incarnations: p.view.listing.incarnations,
+		Quarantine: p.quarantine, QuarantineNotifier: p.sharing, Pushback: p.pushback, Incarnations: p.view.listing.incarnations,
 	})
 }
 
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -68,7 +68,7 @@
 	view      *view
 	handler   *relay.Handler
 	pools     *relay.Pools
-	budgets   *relay.Budgets
+	budgets   *relay.RetryBudgets
 	balancer  *balance.Balancer
 	admission *admission.Controller
 	census    *census.Census
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -44,9 +44,9 @@
 	unfit unusableEntries
 }
 
-var _ relay.Source = (*view)(nil)
+var _ relay.ConfigSource = (*view)(nil)
 
-// Config implements relay.Source.
+// Config implements relay.ConfigSource.
 func (v *view) Config() *relay.Config { return v.config.Load() }
 
 // configVersion is that of the configuration in force, 0 before the first.
@@ -57,7 +57,7 @@
 	return 0
 }
 
-// ConfigAge implements relay.Source.
+// ConfigAge implements relay.ConfigSource.
 func (v *view) ConfigAge() time.Duration { return v.operator.Age() }
 
 // onConfig puts a configuration in force.
@@ -76,7 +76,7 @@
 		return
 	}
 	v.config.Store(next)
-	v.logger.Info("configuration in force", zap.Uint64("configVersion", next.Version), zap.Uint64("revision", table.Revision), zap.Int("profiles", next.Profiles()))
+	v.logger.Info("configuration in force", zap.Uint64("configVersion", next.Version), zap.Uint64("revision", table.Revision), zap.Int("profiles", next.NumProfiles()))
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.apply()
--- a/internal/quarantine/sharing/fleet_test.go
+++ b/internal/quarantine/sharing/fleet_test.go
@@ -183,7 +183,7 @@
 // see makes a VM see a replica end under a request.
 func (vm *fleetVM) see(d quarantine.Digest, replica string) {
 	if vm.Ledger.Ended(d, incarnation.Key{ID: replica, Born: 1}, time.Now()) {
-		vm.Tell(d)
+		vm.Publish(d)
 	}
 }
 
--- a/internal/quarantine/sharing/sharing.go
+++ b/internal/quarantine/sharing/sharing.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Tell tells other VMs of a change of what this VM knows of a request. It does not block.
-func (s *Sharing) Tell(d quarantine.Digest) {
+// Publish queues a change of what this VM knows of a request for its peers. It does not block.
+func (s *Sharing) Publish(d quarantine.Digest) {
 	select {
 	case s.pending <- d:
 	default:
@@ -209,7 +209,7 @@
 	if lifted {
 		s.Logger.Info("request lifted from quarantine by an operator", zap.Stringer("digest", d))
 		s.rows.check(d)
-		s.Tell(d)
+		s.Publish(d)
 	}
 	return lifted
 }
--- a/internal/relay/budgets.go
+++ b/internal/relay/budgets.go
@@ -17,8 +17,8 @@
 	unknownVMs = 100
 )
 
-// BudgetSettings are the fleet's allowance of sends beyond the first, for one service.
-type BudgetSettings struct {
+// RetryBudgetSettings are the fleet's allowance of sends beyond the first, for one service.
+type RetryBudgetSettings struct {
 	// Share is the part of fresh requests that may be sent again.
 	Share float64
 	// Slack is what may be sent again beside it in each Window, by all VMs together.
@@ -26,22 +26,22 @@
 	Window time.Duration
 }
 
-// Budgets holds this VM's retry budget of each service. It is safe for concurrent use.
-type Budgets struct {
-	settings BudgetSettings
+// RetryBudgets holds this VM's retry budget of each service. It is safe for concurrent use.
+type RetryBudgets struct {
+	settings RetryBudgetSettings
 
 	mu      sync.Mutex // guards the fields below
 	vms     int
 	budgets map[string]*dispatch.WindowBudget
 }
 
-// NewBudgets returns the budgets of a VM that does not know yet how many share the slack.
-func NewBudgets(s BudgetSettings) *Budgets {
-	return &Budgets{settings: s, vms: unknownVMs, budgets: map[string]*dispatch.WindowBudget{}}
+// NewRetryBudgets returns the budgets of a VM that does not know yet how many share the slack.
+func NewRetryBudgets(s RetryBudgetSettings) *RetryBudgets {
+	return &RetryBudgets{settings: s, vms: unknownVMs, budgets: map[string]*dispatch.WindowBudget{}}
 }
 
 // SetVMs tells how many VMs share the slack.
-func (b *Budgets) SetVMs(vms int) {
+func (b *RetryBudgets) SetVMs(vms int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.vms = max(1, vms)
@@ -51,9 +51,9 @@
 }
 
 // slack is this VM's part of the slack. b.mu is held.
-func (b *Budgets) slack() float64 { return budgetMargin * b.settings.Slack / float64(b.vms) }
+func (b *RetryBudgets) slack() float64 { return budgetMargin * b.settings.Slack / float64(b.vms) }
 
-func (b *Budgets) of(service string) *dispatch.WindowBudget {
+func (b *RetryBudgets) of(service string) *dispatch.WindowBudget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	budget := b.budgets[service]
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -183,7 +183,7 @@
 		q.story.add("no other replica", zap.Error(err))
 		return nil
 	}
-	if tries.lastArrived && !h.Budgets.of(q.service).Take() {
+	if tries.lastArrived && !h.RetryBudgets.of(q.service).Take() {
 		slot.Release(balance.ResultNeutral)
 		q.story.add("retry budget spent")
 		return nil
@@ -234,7 +234,7 @@
 	return &callResult{status: x.resp.StatusCode, header: x.resp.Header, body: body}, nil
 }
 
-func (h *Handler) learnLoad(replica string, a Answer) {
+func (h *Handler) learnLoad(replica string, a Response) {
 	if a.HasLoad {
 		h.Balancer.Report(replica, engine.LoadReport{At: time.Now(), Active: a.Running, Queued: a.Waiting, Slots: a.Slots})
 	}
--- a/internal/relay/codec.go
+++ b/internal/relay/codec.go
@@ -17,8 +17,8 @@
 	// Encode sets what this VM adds to a request that is passed on, and removes what
 	// replicas must not see.
 	Encode(h http.Header, out Outbound)
-	// DecodeAnswer reads the head of a replica's answer.
-	DecodeAnswer(status int, h http.Header) Answer
+	// DecodeResponse reads the head of a replica's answer.
+	DecodeResponse(status int, h http.Header) Response
 	// EncodeRefusal sets the headers of an answer of this VM's own.
 	EncodeRefusal(h http.Header, requestID string, retryAfter time.Duration)
 }
@@ -26,8 +26,8 @@
 // Inbound is what a caller's headers say.
 type Inbound struct {
 	RequestID string
-	// Deadline is how long the caller waits; 0 when it does not say.
-	Deadline time.Duration
+	// CallerTimeout is how long the caller waits; 0 when it does not say.
+	CallerTimeout time.Duration
 	// Key is the caller's key; it is never logged.
 	Key string
 	// LastEventID is the event behind which a stream is to go on, "" for its beginning.
@@ -56,8 +56,8 @@
 	LastEventID string
 }
 
-// Answer is what the head of a replica's answer says.
-type Answer struct {
+// Response is what the head of a replica's answer says.
+type Response struct {
 	RequestID string
 	// NotRun says that the replica did not run the request and will not.
 	NotRun bool
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -66,11 +66,11 @@
 // Workspace returns the owner of a key, or nil.
 func (c *Config) Workspace(key string) *Workspace { return c.workspaces[key] }
 
-// Keyed reports whether requests need a key at all.
-func (c *Config) Keyed() bool { return len(c.workspaces) > 0 }
+// RequiresKey reports whether requests need a key at all.
+func (c *Config) RequiresKey() bool { return len(c.workspaces) > 0 }
 
-// Profiles returns how many profiles there are.
-func (c *Config) Profiles() int {
+// NumProfiles returns how many profiles there are.
+func (c *Config) NumProfiles() int {
 	n := 0
 	for _, list := range c.profiles {
 		n += len(list)
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -63,7 +63,7 @@
 // the burst, and no more than it. A VM that does not know yet how many share the slack
 // takes a small part, and what was spent still counts once it knows.
 func TestRetrySlackMayComeInABurst(t *testing.T) {
-	budgets := NewBudgets(BudgetSettings{Slack: 100, Window: 10 * time.Second})
+	budgets := NewRetryBudgets(RetryBudgetSettings{Slack: 100, Window: 10 * time.Second})
 	take := func() int {
 		taken := 0
 		for range 100 {
--- a/internal/relay/crash_guard.go
+++ b/internal/relay/crash_guard.go
@@ -26,9 +26,9 @@
 	maxRestartWatches = 256
 )
 
-// News tells other VMs of a change of what this VM knows of a request.
-type News interface {
-	Tell(d quarantine.Digest)
+// QuarantineNotifier tells other VMs of a change of what this VM knows of a request.
+type QuarantineNotifier interface {
+	Publish(d quarantine.Digest)
 }
 
 // Incarnations tells which incarnation of a replica is the newest that is known.
@@ -39,7 +39,7 @@
 // crashGuard keeps requests that crash the replicas that run them from being sent again.
 type crashGuard struct {
 	ledger *quarantine.Ledger
-	news   News
+	news   QuarantineNotifier
 	logger *zap.Logger
 	// incarnations is nil where restarts are not looked up.
 	incarnations Incarnations
@@ -52,7 +52,7 @@
 
 func newCrashGuard(o Options) *crashGuard {
 	return &crashGuard{
-		ledger: o.Quarantine, news: o.News, logger: o.Logger, incarnations: o.Incarnations,
+		ledger: o.Quarantine, news: o.QuarantineNotifier, logger: o.Logger, incarnations: o.Incarnations,
 		later: func(do func()) { go do() }, sleep: time.Sleep,
 	}
 }
@@ -70,7 +70,7 @@
 		return nil
 	}
 	if c.ledger.Refused(q.digest, time.Now()) {
-		c.news.Tell(q.digest)
+		c.news.Publish(q.digest)
 	}
 	q.story.add("request is quarantined", zap.Stringer("digest", q.digest), zap.Int("ends", verdict.Ends),
 		zap.Strings("replicas", c.ledger.Replicas(q.digest)), zap.Duration("left", verdict.Left))
@@ -98,7 +98,7 @@
 func (c *crashGuard) ranWell(q *request) {
 	if c.ledger.RanWell(q.digest, time.Now()) {
 		c.logger.Info("request no longer suspected of crashing replicas", zap.Stringer("digest", q.digest), zap.String("requestId", q.RequestID))
-		c.news.Tell(q.digest)
+		c.news.Publish(q.digest)
 	}
 }
 
@@ -168,7 +168,7 @@
 	verdict := c.ledger.Judge(d, time.Now())
 	c.logger.Warn("replica ended under a young run", zap.String("requestId", requestID), zap.Stringer("digest", d),
 		zap.Stringer("replica", replica), zap.Int("ends", verdict.Ends), zap.Bool("quarantined", verdict.Quarantined))
-	c.news.Tell(d)
+	c.news.Publish(d)
 }
 
 // endedProbe is what a question to a replica tells of whether it has ended.
--- a/internal/relay/crash_guard_test.go
+++ b/internal/relay/crash_guard_test.go
@@ -22,12 +22,12 @@
 // told collects what other VMs would be told.
 type told struct{ digests []quarantine.Digest }
 
-func (n *told) Tell(d quarantine.Digest) { n.digests = append(n.digests, d) }
+func (n *told) Publish(d quarantine.Digest) { n.digests = append(n.digests, d) }
 
 func newTestGuard() (*crashGuard, *told) {
 	news := &told{}
 	guard := newCrashGuard(Options{
-		Quarantine: quarantine.NewLedger(quarantine.DefaultSettings, time.Now()), News: news, Logger: zap.NewNop(),
+		Quarantine: quarantine.NewLedger(quarantine.DefaultSettings, time.Now()), QuarantineNotifier: news, Logger: zap.NewNop(),
 	})
 	guard.later = func(do func()) { do() }
 	guard.sleep = func(time.Duration) {}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -27,7 +27,7 @@
 // their own.
 type exchange struct {
 	conn   *transport.Conn
-	answer Answer
+	answer Response
 	resp   *http.Response
 	stop   func() bool
 }
@@ -122,7 +122,7 @@
 		return err
 	}
 	x.resp = resp
-	x.answer = codec.DecodeAnswer(resp.StatusCode, resp.Header)
+	x.answer = codec.DecodeResponse(resp.StatusCode, resp.Header)
 	if x.answer.RequestID != requestID && !x.answer.NotRun {
 		return errors.Newf("the answer is for request %q", x.answer.RequestID)
 	}
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -40,7 +40,7 @@
 func (h *Handler) log(q *request, failure *outcome.Failure, took time.Duration) {
 	fields := []zap.Field{zap.String("requestId", q.RequestID), zap.Duration("took", took), zap.Int("runs", q.runs)}
 	if q.config != nil {
-		fields = append(fields, zap.Uint64("configVersion", q.config.Version), zap.Duration("configAge", h.Source.ConfigAge()))
+		fields = append(fields, zap.Uint64("configVersion", q.config.Version), zap.Duration("configAge", h.ConfigSource.ConfigAge()))
 	}
 	if q.profile != nil {
 		fields = append(fields, zap.String("profile", q.profile.Name), zap.String("workspace", q.workspace),
@@ -65,8 +65,8 @@
 	status := statusOf(failure)
 	header := w.Header()
 	retryAfter := failure.RetryAfter
-	if q.Inbound.Deadline > 0 {
-		retryAfter = min(retryAfter, (q.Inbound.Deadline-time.Since(q.arrival))/maxRetryShare)
+	if q.Inbound.CallerTimeout > 0 {
+		retryAfter = min(retryAfter, (q.Inbound.CallerTimeout-time.Since(q.arrival))/maxRetryShare)
 	}
 	h.Codec.EncodeRefusal(header, q.RequestID, max(0, retryAfter))
 	header.Set("Content-Type", "application/problem+json")
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -53,7 +53,7 @@
 	// cleared says that a run of this generation went well.
 	cleared bool
 	// pace is that of the events so far.
-	pace stall.Pace
+	pace stall.GapStats
 
 	mu sync.Mutex // guards the fields below against the watch of a stalled stream
 	// lastEvent is the id of the last event that the caller has.
@@ -144,7 +144,7 @@
 
 // pay takes one more send out of the retry budget.
 func (g *generation) pay() bool {
-	return g.h.Budgets.of(g.q.service).Take()
+	return g.h.RetryBudgets.of(g.q.service).Take()
 }
 
 // payInTime is pay, but a stream that its caller has in part waits for the budget. To
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -58,21 +58,21 @@
 
 // Options are the parts that a Handler is put together from.
 type Options struct {
-	DataCentre string
-	Source     Source
-	Codec      Codec
-	Gate       Gate
-	Admission  *admission.Controller
-	Balancer   *balance.Balancer
-	Pools      *Pools
-	Budgets    *Budgets
-	Engines    Engines
-	Pool       *transport.Pool
-	Observer   Observer
-	Invariants *invariant.Registry
+	DataCentre   string
+	ConfigSource ConfigSource
+	Codec        Codec
+	Gate         Gate
+	Admission    *admission.Controller
+	Balancer     *balance.Balancer
+	Pools        *Pools
+	RetryBudgets *RetryBudgets
+	Engines      Engines
+	Pool         *transport.Pool
+	Observer     Observer
+	Invariants   *invariant.Registry
 	// Quarantine knows requests that crash replicas, and News tells other VMs of them.
-	Quarantine *quarantine.Ledger
-	News       News
+	Quarantine         *quarantine.Ledger
+	QuarantineNotifier QuarantineNotifier
 	// Pushback keeps what replicas ask of those who send to them.
 	Pushback *pushback.Ledger
 	// Incarnations are discovery's; nil leaves restarts of plain replicas uncounted.
@@ -140,7 +140,7 @@
 // begin looks the request up and reads it whole. Nothing has been sent, so every
 // failure is "not run".
 func (h *Handler) begin(q *request, w http.ResponseWriter, r *http.Request) *outcome.Failure {
-	q.config = h.Source.Config()
+	q.config = h.ConfigSource.Config()
 	if listener.AboveLimit(r.Context()) {
 		w.Header().Set("Connection", "close")
 		return outcome.Refuse(outcome.ReasonOverloaded, "this VM has as many connections as it can serve").
@@ -165,7 +165,7 @@
 	q.deadline = q.arrival.Add(h.patience(q) - answerMargin)
 	q.boundary = dispatch.NewBoundary(q.RequestID, q.profile.Repeatable(), h.Invariants)
 	q.service = q.profile.service(q.hash())
-	h.Budgets.of(q.service).Fresh()
+	h.RetryBudgets.of(q.service).Fresh()
 	return h.crashes.refusal(q)
 }
 
@@ -176,7 +176,7 @@
 		return h.unknown(outcome.ReasonUnknownProfile, "no profile has this host and path")
 	}
 	q.priority = q.profile.Priority
-	if !q.config.Keyed() || q.profile.Public {
+	if !q.config.RequiresKey() || q.profile.Public {
 		return nil
 	}
 	workspace := q.config.Workspace(q.Key)
@@ -193,7 +193,7 @@
 // unknown refuses what this VM does not know. While its configuration may be old the
 // caller is told to come back, because it may be right.
 func (h *Handler) unknown(reason outcome.Reason, detail string) *outcome.Failure {
-	if age := h.Source.ConfigAge(); age > staleAfter {
+	if age := h.ConfigSource.ConfigAge(); age > staleAfter {
 		return outcome.Refuse(outcome.ReasonIsolated, "this VM may not have the configuration in force").WithRetryAfter(asLongAgain(age, soon))
 	}
 	return outcome.Refuse(reason, detail)
@@ -204,8 +204,8 @@
 	if patience <= 0 {
 		patience = defaultDeadline
 	}
-	if q.Deadline > 0 {
-		patience = min(patience, q.Deadline)
+	if q.CallerTimeout > 0 {
+		patience = min(patience, q.CallerTimeout)
 	}
 	return patience
 }
--- a/internal/relay/source.go
+++ b/internal/relay/source.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Source gives the operator's configuration in force on this VM.
-type Source interface {
+// ConfigSource gives the operator's configuration in force on this VM.
+type ConfigSource interface {
 	// Config returns the newest configuration that this VM has, nil before the first.
 	Config() *Config
 	// ConfigAge is the time since the store or a peer confirmed that it is the newest.
--- a/internal/relay/stage_prober.go
+++ b/internal/relay/stage_prober.go
@@ -32,39 +32,39 @@
 // want to know.
 type stageProber struct {
 	connect func(ctx context.Context, address string) error
-	budget  *stall.QuestionBudget
-	answers *keptAnswers[stall.Answer]
+	budget  *stall.ProbeBudget
+	answers *keptAnswers[stall.ProbeResult]
 }
 
 func newStageProber(connect func(ctx context.Context, address string) error) *stageProber {
-	return &stageProber{connect: connect, budget: stall.NewQuestionBudget(), answers: newKeptAnswers[stall.Answer]()}
+	return &stageProber{connect: connect, budget: stall.NewProbeBudget(), answers: newKeptAnswers[stall.ProbeResult]()}
 }
 
 // ask asks all stages at once, and returns how many of the answers were not known before.
-func (p *stageProber) ask(stages []stall.Stage) (asked []stall.Asked, dialled int) {
-	asked = make([]stall.Asked, len(stages))
+func (p *stageProber) ask(stages []stall.Stage) (asked []stall.ProbedStage, dialled int) {
+	asked = make([]stall.ProbedStage, len(stages))
 	var all sync.WaitGroup
 	for i, stage := range stages {
 		answer, known := p.answers.recent(stage.Address)
-		asked[i] = stall.Asked{Stage: stage, Answer: answer}
+		asked[i] = stall.ProbedStage{Stage: stage, ProbeResult: answer}
 		if known || !p.budget.Left() {
 			continue
 		}
 		dialled++
-		all.Go(func() { asked[i].Answer = p.question(stage.Address) })
+		all.Go(func() { asked[i].ProbeResult = p.question(stage.Address) })
 	}
 	all.Wait()
 	return asked, dialled
 }
 
 // question asks one stage, together with others that ask it now.
-func (p *stageProber) question(address string) stall.Answer {
-	answer, _ := p.answers.once(address, func() (stall.Answer, error) {
+func (p *stageProber) question(address string) stall.ProbeResult {
+	answer, _ := p.answers.once(address, func() (stall.ProbeResult, error) {
 		if answer, ok := p.answers.recent(address); ok {
 			return answer, nil
 		}
 		if !p.budget.Take() {
-			return stall.AnswerUnknown, nil
+			return stall.ProbeUnknown, nil
 		}
 		answer := p.dial(address)
 		p.keep(address, answer)
@@ -74,7 +74,7 @@
 }
 
 // dial asks on one connection, and on others as long as nothing comes back.
-func (p *stageProber) dial(address string) stall.Answer {
+func (p *stageProber) dial(address string) stall.ProbeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), stageAnswer)
 	defer cancel()
 	started := time.Now()
@@ -94,31 +94,31 @@
 		}
 	}
 	if time.Since(started) > stageAnswer+dialLate {
-		return stall.AnswerUnknown
+		return stall.ProbeUnknown
 	}
-	return stall.AnswerSilent
+	return stall.ProbeTimedOut
 }
 
 // answerOf reads the error of a connection. A reset comes from a listener that is there.
-func answerOf(err error) stall.Answer {
+func answerOf(err error) stall.ProbeResult {
 	var timeout net.Error
 	switch {
 	case err == nil, errors.Is(err, syscall.ECONNRESET):
-		return stall.AnswerTaken
+		return stall.ProbeAccepted
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return stall.AnswerRefused
+		return stall.ProbeRefused
 	case errors.Is(err, context.DeadlineExceeded), errors.As(err, &timeout) && timeout.Timeout():
-		return stall.AnswerSilent
+		return stall.ProbeTimedOut
 	}
-	return stall.AnswerUnknown
+	return stall.ProbeUnknown
 }
 
 // keep remembers an answer for as long as it holds.
-func (p *stageProber) keep(address string, answer stall.Answer) {
+func (p *stageProber) keep(address string, answer stall.ProbeResult) {
 	switch answer {
-	case stall.AnswerTaken:
+	case stall.ProbeAccepted:
 		p.answers.keep(address, answer, takenFresh)
-	case stall.AnswerRefused, stall.AnswerSilent:
+	case stall.ProbeRefused, stall.ProbeTimedOut:
 		p.answers.keep(address, answer, goneFresh)
 	}
 }
--- a/internal/relay/stage_prober_test.go
+++ b/internal/relay/stage_prober_test.go
@@ -19,15 +19,15 @@
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	for name, c := range map[string]struct {
 		err    error
-		answer stall.Answer
+		answer stall.ProbeResult
 	}{
-		"takes the connection":  {nil, stall.AnswerTaken},
-		"resets it, being full": {syscall.ECONNRESET, stall.AnswerTaken},
-		"refuses it":            {refused, stall.AnswerRefused},
-		"no handle is left":     {syscall.EMFILE, stall.AnswerUnknown},
+		"takes the connection":  {nil, stall.ProbeAccepted},
+		"resets it, being full": {syscall.ECONNRESET, stall.ProbeAccepted},
+		"refuses it":            {refused, stall.ProbeRefused},
+		"no handle is left":     {syscall.EMFILE, stall.ProbeUnknown},
 	} {
 		prober := newStageProber(func(context.Context, string) error { return c.err })
-		if got, _ := prober.ask(oneStage); got[0].Answer != c.answer {
+		if got, _ := prober.ask(oneStage); got[0].ProbeResult != c.answer {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -37,10 +37,10 @@
 func TestSilentStageIsAskedTwice(t *testing.T) {
 	for name, c := range map[string]struct {
 		answersFrom int32
-		answer      stall.Answer
+		answer      stall.ProbeResult
 	}{
-		"the second question is answered": {2, stall.AnswerTaken},
-		"none is":                         {9, stall.AnswerSilent},
+		"the second question is answered": {2, stall.ProbeAccepted},
+		"none is":                         {9, stall.ProbeTimedOut},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var dials atomic.Int32
@@ -51,7 +51,7 @@
 				<-ctx.Done()
 				return ctx.Err()
 			})
-			if got, _ := prober.ask(oneStage); got[0].Answer != c.answer {
+			if got, _ := prober.ask(oneStage); got[0].ProbeResult != c.answer {
 				t.Errorf("%s: %v", name, got)
 			}
 			synctest.Wait()
--- a/internal/relay/stall_look.go
+++ b/internal/relay/stall_look.go
@@ -44,14 +44,14 @@
 	h := w.g.h
 	suspicion := h.watches.suspects(w)
 	asked, dialled := h.prober.ask(suspicion.Suspects)
-	stopped := addressesOf(stall.Stopped(asked, suspicion.Passed))
+	stopped := addressesOf(stall.StoppedStages(asked, suspicion.Passed))
 	if dialled > 0 || len(stopped) > 0 {
 		h.Logger.Info("stages asked", zap.String("requestId", w.g.q.RequestID), zap.Duration("stood", p.stood),
 			zap.Int("asked", dialled), zap.Int("known", len(asked)-dialled), zap.Int("passed", len(suspicion.Passed)), zap.Strings("stopped", stopped))
 	}
 	var gone []string
 	for _, a := range asked {
-		if a.Answer == stall.AnswerRefused {
+		if a.ProbeResult == stall.ProbeRefused {
 			gone = append(gone, a.Address)
 		}
 	}
--- a/internal/relay/stall_move.go
+++ b/internal/relay/stall_move.go
@@ -53,7 +53,7 @@
 // crowded returns the holders nearby that this stream leaves to others, as they can't read all in
 // time; which streams do is left to chance, as the VMs don't know of each other's.
 func (w *stallWatch) crowded(stopped []string) []incarnation.Key {
-	gap := stall.AcceptedGap(w.g.q.profile.Gap)
+	gap := stall.MaxGap(w.g.q.profile.Gap)
 	w.mu.Lock()
 	left := gap - time.Since(w.last)
 	w.mu.Unlock()
--- a/internal/relay/stall_watch.go
+++ b/internal/relay/stall_watch.go
@@ -38,7 +38,7 @@
 	due    time.Time
 	last   time.Time
 	events int
-	pace   stall.Pace
+	pace   stall.GapStats
 	// movesThen are the moves at the last event: a pause with a move says nothing of the pace.
 	movesThen int32
 	unheard   int
@@ -71,15 +71,15 @@
 	}
 	w.last, w.movesThen, w.rounds, w.hinted = now, moves, 0, false
 	w.events++
-	w.reset(w.patience().Ask)
+	w.reset(w.patience().Probe)
 }
 
 // patience is that with the stream as it runs now. w.mu is held.
-func (w *stallWatch) patience() stall.Patience {
+func (w *stallWatch) patience() stall.Timeouts {
 	if w.events == 0 {
-		return stall.Patience{Ask: firstPatience, Report: firstPatience}
+		return stall.Timeouts{Probe: firstPatience, Report: firstPatience}
 	}
-	return stall.PatienceOf(w.g.q.profile.Gap, w.pace)
+	return stall.TimeoutsFor(w.g.q.profile.Gap, w.pace)
 }
 
 // reset sets the timer. w.mu is held.
@@ -104,7 +104,7 @@
 	if w.stagesOf != &path[0] {
 		w.stagesOf, w.stages = &path[0], stagesOf(path)
 	}
-	return stall.Stream{Last: w.last, Pace: w.pace.Mean(), Stages: w.stages}
+	return stall.Stream{LastEvent: w.last, MeanGap: w.pace.Mean(), Stages: w.stages}
 }
 
 func stagesOf(path layers.Path) []stall.Stage {
@@ -157,7 +157,7 @@
 	}
 	patience := w.patience()
 	p = pause{events: w.events, stood: now.Sub(w.last)}
-	p.stages = w.hinted || p.stood >= patience.Ask && w.rounds < maxStageRounds
+	p.stages = w.hinted || p.stood >= patience.Probe && w.rounds < maxStageRounds
 	p.report = p.stood >= patience.Report
 	if p.stages {
 		w.rounds++
--- a/internal/relay/unknown_test.go
+++ b/internal/relay/unknown_test.go
@@ -26,7 +26,7 @@
 		{staleAfter + time.Millisecond, outcome.ReasonIsolated},
 		{9 * time.Second, outcome.ReasonIsolated},
 	} {
-		h := &Handler{Options: Options{Source: sourceOfAge(c.age)}}
+		h := &Handler{Options: Options{ConfigSource: sourceOfAge(c.age)}}
 		failure := h.unknown(outcome.ReasonUnauthorized, "the key is not known")
 		if failure.Outcome != outcome.NotRun || failure.Reason != c.reason {
 			t.Errorf("age %s: %s, %s", c.age, failure.Outcome, failure.Reason)
@@ -49,7 +49,7 @@
 	all, twice := 0, 0
 	waits := map[time.Duration]bool{}
 	for age := staleAfter + step; age < outage; age += step {
-		h := &Handler{Options: Options{Source: sourceOfAge(age)}}
+		h := &Handler{Options: Options{ConfigSource: sourceOfAge(age)}}
 		failure := h.unknown(outcome.ReasonUnauthorized, "the key is not known")
 		waits[failure.RetryAfter] = true
 		all++
--- a/internal/stall/pace.go
+++ b/internal/stall/gap_stats.go
@@ -8,15 +8,15 @@
 	deviationWeight = 0.25
 )
 
-// Pace is how regularly the events of a stream come: the running mean of the gaps between them and
+// GapStats is how regularly the events of a stream come: the running mean of the gaps between them and
 // of their deviation from it. The zero value knows nothing.
-type Pace struct {
+type GapStats struct {
 	mean      time.Duration
 	deviation time.Duration
 }
 
 // Add takes in one gap.
-func (p *Pace) Add(gap time.Duration) {
+func (p *GapStats) Add(gap time.Duration) {
 	if p.mean == 0 {
 		p.mean, p.deviation = gap, gap/2
 		return
@@ -27,10 +27,10 @@
 }
 
 // Mean returns the mean gap, 0 if none is known.
-func (p *Pace) Mean() time.Duration { return p.mean }
+func (p *GapStats) Mean() time.Duration { return p.mean }
 
-// Unusual returns from which length on a gap is no chance, 0 if nothing is known.
-func (p *Pace) Unusual() time.Duration { return p.mean + unusualDeviations*p.deviation }
+// OutlierThreshold returns from which length on a gap is no chance, 0 if nothing is known.
+func (p *GapStats) OutlierThreshold() time.Duration { return p.mean + unusualDeviations*p.deviation }
 
 // unusualDeviations is by how many mean deviations a gap that is no chance exceeds the mean.
 const unusualDeviations = 4
--- a/internal/stall/load_test.go
+++ b/internal/stall/load_test.go
@@ -21,7 +21,7 @@
 // playedStream is a stream of the VM that is played.
 type playedStream struct {
 	Stream
-	pace    Pace
+	pace    GapStats
 	next    time.Time
 	asked   int
 	foundAt time.Time
@@ -33,9 +33,9 @@
 	now     time.Time
 	streams []*playedStream
 	// stopped cards answer as said; cards that slow is set for are that many times slower.
-	stopped map[string]Answer
+	stopped map[string]ProbeResult
 	slow    map[string]float64
-	budget  *QuestionBudget
+	budget  *ProbeBudget
 	// kept says until when the answer of a card holds for all streams.
 	kept map[string]time.Time
 
@@ -44,11 +44,11 @@
 
 func newStallPlay(seed uint64) *stallPlay {
 	p := &stallPlay{
-		random: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1e9, 0), stopped: map[string]Answer{}, slow: map[string]float64{},
-		budget: NewQuestionBudget(), kept: map[string]time.Time{},
+		random: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1e9, 0), stopped: map[string]ProbeResult{}, slow: map[string]float64{},
+		budget: NewProbeBudget(), kept: map[string]time.Time{},
 	}
 	for range playedStreams {
-		s := &playedStream{Stream: Stream{Last: p.now}}
+		s := &playedStream{Stream: Stream{LastEvent: p.now}}
 		for span := range playedSpans {
 			s.Stages = append(s.Stages, Stage{Address: cardAt(span, p.random.IntN(playedHolders)), DataCentre: "north"})
 		}
@@ -72,7 +72,7 @@
 
 func (p *stallPlay) stands(s *playedStream) bool {
 	for _, stage := range s.Stages {
-		if p.stopped[stage.Address] != AnswerUnknown {
+		if p.stopped[stage.Address] != ProbeUnknown {
 			return true
 		}
 	}
@@ -83,8 +83,8 @@
 	for end := p.now.Add(lasting); p.now.Before(end); p.now = p.now.Add(playedStep) {
 		for _, s := range p.streams {
 			if !p.stands(s) && !p.now.Before(s.next) {
-				s.pace.Add(p.now.Sub(s.Last))
-				s.Last, s.Pace, s.asked = p.now, s.pace.Mean(), 0
+				s.pace.Add(p.now.Sub(s.LastEvent))
+				s.LastEvent, s.MeanGap, s.asked = p.now, s.pace.Mean(), 0
 				p.plan(s)
 			}
 			p.look(s)
@@ -94,8 +94,8 @@
 
 // look asks the stages of a stream that stands still, twice a pause.
 func (p *stallPlay) look(s *playedStream) {
-	stood := p.now.Sub(s.Last)
-	ask := PatienceOf(playedGap, s.pace).Ask
+	stood := p.now.Sub(s.LastEvent)
+	ask := TimeoutsFor(playedGap, s.pace).Probe
 	if !s.foundAt.IsZero() || s.asked >= 2 || stood < ask+time.Duration(s.asked)*playedGap/2 {
 		return
 	}
@@ -107,12 +107,12 @@
 		}
 	}
 	suspicion := Suspects(s.Stream, others)
-	var asked []Asked
+	var asked []ProbedStage
 	for _, stage := range suspicion.Suspects {
-		asked = append(asked, Asked{Stage: stage, Answer: p.answer(stage.Address)})
+		asked = append(asked, ProbedStage{Stage: stage, ProbeResult: p.answer(stage.Address)})
 	}
-	for _, stage := range Stopped(asked, suspicion.Passed) {
-		if p.stopped[stage.Address] == AnswerUnknown {
+	for _, stage := range StoppedStages(asked, suspicion.Passed) {
+		if p.stopped[stage.Address] == ProbeUnknown {
 			p.falseAlarms++
 			continue
 		}
@@ -120,18 +120,18 @@
 	}
 }
 
-func (p *stallPlay) answer(address string) Answer {
+func (p *stallPlay) answer(address string) ProbeResult {
 	if !p.now.Before(p.kept[address]) {
 		if !p.budget.Take() {
-			return AnswerUnknown
+			return ProbeUnknown
 		}
 		p.questions++
 		p.kept[address] = p.now.Add(playedKept)
 	}
-	if answer := p.stopped[address]; answer != AnswerUnknown {
+	if answer := p.stopped[address]; answer != ProbeUnknown {
 		return answer
 	}
-	return AnswerTaken
+	return ProbeAccepted
 }
 
 // Guards against streams that learn of a stopped stage only when callers have noticed the pause,
@@ -139,15 +139,15 @@
 func TestStoppedStagesAreFoundWithinTheAcceptedPause(t *testing.T) {
 	const seeds = 50
 	for name, c := range map[string]struct {
-		stopped map[string]Answer
+		stopped map[string]ProbeResult
 		slow    float64
 		found   bool
 	}{
-		"one refuses":            {stopped: map[string]Answer{cardAt(3, 0): AnswerRefused}, found: true},
-		"one is silent":          {stopped: map[string]Answer{cardAt(3, 0): AnswerSilent}, found: true},
-		"four stop together":     {stopped: map[string]Answer{cardAt(2, 0): AnswerSilent, cardAt(5, 1): AnswerRefused, cardAt(7, 2): AnswerSilent, cardAt(9, 0): AnswerRefused}, found: true},
+		"one refuses":            {stopped: map[string]ProbeResult{cardAt(3, 0): ProbeRefused}, found: true},
+		"one is silent":          {stopped: map[string]ProbeResult{cardAt(3, 0): ProbeTimedOut}, found: true},
+		"four stop together":     {stopped: map[string]ProbeResult{cardAt(2, 0): ProbeTimedOut, cardAt(5, 1): ProbeRefused, cardAt(7, 2): ProbeTimedOut, cardAt(9, 0): ProbeRefused}, found: true},
 		"a third turns slow":     {slow: 12},
-		"the data centre is cut": {stopped: everyCard(AnswerSilent)},
+		"the data centre is cut": {stopped: everyCard(ProbeTimedOut)},
 		"nothing happens":        {},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -166,7 +166,7 @@
 						continue
 					}
 					stands++
-					if !s.foundAt.IsZero() && s.foundAt.Sub(s.Last) <= playedGap {
+					if !s.foundAt.IsZero() && s.foundAt.Sub(s.LastEvent) <= playedGap {
 						found++
 					}
 				}
@@ -188,8 +188,8 @@
 	}
 }
 
-func everyCard(answer Answer) map[string]Answer {
-	cards := map[string]Answer{}
+func everyCard(answer ProbeResult) map[string]ProbeResult {
+	cards := map[string]ProbeResult{}
 	for span := range playedSpans {
 		for holder := range playedHolders {
 			cards[cardAt(span, holder)] = answer
--- a/internal/stall/question_budget.go
+++ b/internal/stall/probe_budget.go
@@ -10,25 +10,25 @@
 	maxQuestions = 64.0
 )
 
-// QuestionBudget bounds the questions to stages by the sends of this VM, so that paths which stand
+// ProbeBudget bounds the questions to stages by the sends of this VM, so that paths which stand
 // still again and again cost no more than the requests on them. It is safe for concurrent use.
-type QuestionBudget struct {
+type ProbeBudget struct {
 	mu   sync.Mutex // guards the field below
 	left float64
 }
 
-// NewQuestionBudget returns a full budget.
-func NewQuestionBudget() *QuestionBudget { return &QuestionBudget{left: maxQuestions} }
+// NewProbeBudget returns a full budget.
+func NewProbeBudget() *ProbeBudget { return &ProbeBudget{left: maxQuestions} }
 
 // Sent notes that a request was sent.
-func (b *QuestionBudget) Sent() {
+func (b *ProbeBudget) Sent() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.left = min(maxQuestions, b.left+questionsPerSend)
 }
 
 // Take takes one question out of the budget, if there is one.
-func (b *QuestionBudget) Take() bool {
+func (b *ProbeBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.left < 1 {
@@ -39,7 +39,7 @@
 }
 
 // Left reports whether a question is left.
-func (b *QuestionBudget) Left() bool {
+func (b *ProbeBudget) Left() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.left >= 1
--- a/internal/stall/question_budget_test.go
+++ b/internal/stall/probe_budget_test.go
@@ -4,7 +4,7 @@
 
 // Guards against slow paths that are asked without end.
 func TestQuestionsAreBoundedBySends(t *testing.T) {
-	budget := NewQuestionBudget()
+	budget := NewProbeBudget()
 	const sends = 500
 	taken := 0
 	for range sends {
--- a/internal/stall/stream.go
+++ b/internal/stall/stream.go
@@ -12,15 +12,15 @@
 
 // Stream is what this VM sees of one stream.
 type Stream struct {
-	// Last is when its last event came, or when it was sent if none has.
-	Last time.Time
-	// Pace is the usual gap between its events, 0 if unknown.
-	Pace   time.Duration
-	Stages []Stage
+	// LastEvent is when its last event came, or when it was sent if none has.
+	LastEvent time.Time
+	// MeanGap is the usual gap between its events, 0 if unknown.
+	MeanGap time.Duration
+	Stages  []Stage
 }
 
 // passed reports whether the end of an event of the stream has passed all its stages after the
 // given moment.
 func (s Stream) passed(since time.Time) bool {
-	return s.Pace > 0 && s.Last.Add(-s.Pace/2).After(since)
+	return s.MeanGap > 0 && s.LastEvent.Add(-s.MeanGap/2).After(since)
 }
--- a/internal/stall/suspects.go
+++ b/internal/stall/suspects.go
@@ -11,7 +11,7 @@
 // Suspects looks for the stages that may have stopped. The next event of the stream was due a pace
 // after its last one; a stage that another stream has passed after that has not stopped.
 func Suspects(stopped Stream, others []Stream) Suspicion {
-	due := stopped.Last.Add(stopped.Pace)
+	due := stopped.LastEvent.Add(stopped.MeanGap)
 	passed := map[string]bool{}
 	for _, other := range others {
 		if !other.passed(due) {
--- a/internal/stall/suspects_test.go
+++ b/internal/stall/suspects_test.go
@@ -10,7 +10,7 @@
 
 // streamOver is a stream whose last event came so long after the start.
 func streamOver(start time.Time, last time.Duration, addresses ...string) Stream {
-	s := Stream{Last: start.Add(last), Pace: pace}
+	s := Stream{LastEvent: start.Add(last), MeanGap: pace}
 	for _, address := range addresses {
 		s.Stages = append(s.Stages, Stage{Address: address, DataCentre: "north"})
 	}
@@ -36,8 +36,8 @@
 		"one runs over two of the stages":    {[]Stream{streamOver(start, 3*pace, "a", "c", "d")}, []string{"b"}},
 		"one stopped with it":                {[]Stream{streamOver(start, 0, "a", "b")}, []string{"a", "b", "c"}},
 		"one event was on its way meanwhile": {[]Stream{streamOver(start, pace, "a", "b")}, []string{"a", "b", "c"}},
-		"a slow one says less":               {[]Stream{{Last: start.Add(3 * pace), Pace: 5 * pace, Stages: []Stage{{Address: "a"}}}}, []string{"a", "b", "c"}},
-		"one without events says nothing":    {[]Stream{{Last: start.Add(9 * pace), Stages: []Stage{{Address: "a"}}}}, []string{"a", "b", "c"}},
+		"a slow one says less":               {[]Stream{{LastEvent: start.Add(3 * pace), MeanGap: 5 * pace, Stages: []Stage{{Address: "a"}}}}, []string{"a", "b", "c"}},
+		"one without events says nothing":    {[]Stream{{LastEvent: start.Add(9 * pace), Stages: []Stage{{Address: "a"}}}}, []string{"a", "b", "c"}},
 	} {
 		got := Suspects(stopped, c.others)
 		if !slices.Equal(addresses(got.Suspects), c.suspects) || len(got.Suspects)+len(got.Passed) != len(stopped.Stages) {
--- a/internal/stall/patience.go
+++ b/internal/stall/timeouts.go
@@ -12,27 +12,27 @@
 	usualGap = 250 * time.Millisecond
 )
 
-// AcceptedGap is the pause that callers accept, where the operator names one or, with 0, none.
-func AcceptedGap(named time.Duration) time.Duration {
+// MaxGap is the pause that callers accept, where the operator names one or, with 0, none.
+func MaxGap(named time.Duration) time.Duration {
 	if named <= 0 {
 		return usualGap
 	}
 	return named
 }
 
-// Patience is how long a stream may stand still.
-type Patience struct {
-	// Ask is how long before its stages are asked, Report before its first replica is.
-	Ask    time.Duration
+// Timeouts is how long a stream may stand still.
+type Timeouts struct {
+	// Probe is how long before its stages are asked, Report before its first replica is.
+	Probe  time.Duration
 	Report time.Duration
 }
 
-// PatienceOf returns the patience with a stream of that pace, whose callers accept a pause of gap,
+// TimeoutsFor returns the patience with a stream of that pace, whose callers accept a pause of gap,
 // 0 if that is unknown. The stages of a path that is slow or uneven are asked later, but no later
 // than its first replica, which lets all streams share one answer.
-func PatienceOf(gap time.Duration, pace Pace) Patience {
-	gap = AcceptedGap(gap)
+func TimeoutsFor(gap time.Duration, pace GapStats) Timeouts {
+	gap = MaxGap(gap)
 	share := func(of float64) time.Duration { return time.Duration(of * float64(gap)) }
 	report := share(reportShare)
-	return Patience{Ask: min(report, max(share(askShare), pace.Unusual())), Report: report}
+	return Timeouts{Probe: min(report, max(share(askShare), pace.OutlierThreshold())), Report: report}
 }
