--- a/internal/stall/doc.go
+++ b/internal/stall/doc.go
@@ -1,13 +1,15 @@
-// Package stall decides, without a network and without a clock, which stages of a path have
-// stopped when a stream stands still.
+// Package stall decides which stages of a path have stopped when a stream on that path stalls. It
+// does no I/O and reads no clock.
 //
-// A stage that ends without a word stops every stream that passes through it. The path's first
-// replica reports such a stage with a lag that is as long as the pause which callers notice. What
-// this VM sees tells sooner: Suspects leaves out the stages that other streams have passed since,
-// the rest is asked for a connection, and Stopped judges the answers.
+// A stage that fails silently stalls every stream that passes through it. The path's first replica
+// reports such a stage, but the report lags by as much as the pause that callers notice. What this
+// VM observes itself is available sooner: Suspects excludes the stages that other streams have
+// passed since, the remaining stages are probed with a connection attempt, and StoppedStages
+// evaluates the results.
 //
-// A false alarm costs a move of the stream and never an answer. Full listeners, lossy links and
-// data centres that are cut off look like silence, so silence counts only beside stages of the
-// same data centre that do answer. A slow path is none that stopped: Patience follows the pace of
-// the stream's own events up to a bound, and QuestionBudget bounds what the questions cost.
+// A false positive costs a move of the stream to other replicas, never the response. A full accept
+// queue, packet loss and a data centre that is cut off all look like a stage that does not respond,
+// so a timed-out probe counts only if other stages of the same data centre do respond. A slow path
+// has not stopped: TimeoutsFor adapts to the gaps between the stream's own events, up to a bound,
+// and ProbeBudget bounds the cost of the probes.
 package stall
--- a/internal/stall/load_test.go
+++ b/internal/stall/load_test.go
@@ -8,69 +8,71 @@
 )
 
 const (
-	playedGap   = 250 * time.Millisecond
-	playedPace  = 50 * time.Millisecond
-	playedStep  = 5 * time.Millisecond
-	playedKept  = 200 * time.Millisecond
-	playedSpans = 12
-	// playedHolders is how many cards hold each span, and playedStreams how many streams a VM has.
-	playedHolders = 3
-	playedStreams = 8
+	simMaxGap    = 250 * time.Millisecond
+	simMeanGap   = 50 * time.Millisecond
+	simStep      = 5 * time.Millisecond
+	simCacheTime = 200 * time.Millisecond
+	simStages    = 12
+	// simReplicas is how many replicas serve each stage, simStreams how many streams the VM has.
+	simReplicas = 3
+	simStreams  = 8
 )
 
-// playedStream is a stream of the VM that is played.
-type playedStream struct {
+// simStream is a simulated stream of the VM.
+type simStream struct {
 	Stream
-	pace    GapStats
-	next    time.Time
-	asked   int
-	foundAt time.Time
+	gaps      GapStats
+	nextEvent time.Time
+	// probed is how often the stages were probed since the last event.
+	probed     int
+	detectedAt time.Time
 }
 
-// stallPlay is one VM with its streams in virtual time, before cards that stop or turn slow.
-type stallPlay struct {
+// simulation is one VM with its streams in virtual time, over replicas that stop or become slow.
+type simulation struct {
 	random  *rand.Rand
 	now     time.Time
-	streams []*playedStream
-	// stopped cards answer as said; cards that slow is set for are that many times slower.
+	streams []*simStream
+	// stopped holds the probe result of each stopped replica, slow the factor by which a replica is
+	// slower.
 	stopped map[string]ProbeResult
 	slow    map[string]float64
 	budget  *ProbeBudget
-	// kept says until when the answer of a card holds for all streams.
-	kept map[string]time.Time
+	// cachedUntil is until when a replica's probe result is shared by all streams.
+	cachedUntil map[string]time.Time
 
-	questions, falseAlarms int
+	probes, falsePositives int
 }
 
-func newStallPlay(seed uint64) *stallPlay {
-	p := &stallPlay{
+func newSimulation(seed uint64) *simulation {
+	p := &simulation{
 		random: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1e9, 0), stopped: map[string]ProbeResult{}, slow: map[string]float64{},
-		budget: NewProbeBudget(), kept: map[string]time.Time{},
+		budget: NewProbeBudget(), cachedUntil: map[string]time.Time{},
 	}
-	for range playedStreams {
-		s := &playedStream{Stream: Stream{LastEvent: p.now}}
-		for span := range playedSpans {
-			s.Stages = append(s.Stages, Stage{Address: cardAt(span, p.random.IntN(playedHolders)), DataCentre: "north"})
+	for range simStreams {
+		s := &simStream{Stream: Stream{LastEvent: p.now}}
+		for stage := range simStages {
+			s.Stages = append(s.Stages, Stage{Address: replicaAt(stage, p.random.IntN(simReplicas)), DataCentre: "north"})
 		}
 		p.streams = append(p.streams, s)
-		p.plan(s)
+		p.schedule(s)
 	}
 	return p
 }
 
-func cardAt(span, holder int) string { return fmt.Sprint(span, "-", holder) }
+func replicaAt(stage, replica int) string { return fmt.Sprint(stage, "-", replica) }
 
-// plan sets when a stream's next event comes.
-func (p *stallPlay) plan(s *playedStream) {
-	times := 1.0
+// schedule sets when a stream's next event arrives.
+func (p *simulation) schedule(s *simStream) {
+	slowdown := 1.0
 	for _, stage := range s.Stages {
-		times += (max(1, p.slow[stage.Address]) - 1) / playedSpans
+		slowdown += (max(1, p.slow[stage.Address]) - 1) / simStages
 	}
 	jitter := 0.8 + 0.4*p.random.Float64()
-	s.next = p.now.Add(time.Duration(times * jitter * float64(playedPace)))
+	s.nextEvent = p.now.Add(time.Duration(slowdown * jitter * float64(simMeanGap)))
 }
 
-func (p *stallPlay) stands(s *playedStream) bool {
+func (p *simulation) stalled(s *simStream) bool {
 	for _, stage := range s.Stages {
 		if p.stopped[stage.Address] != ProbeUnknown {
 			return true
@@ -79,27 +81,27 @@
 	return false
 }
 
-func (p *stallPlay) run(lasting time.Duration) {
-	for end := p.now.Add(lasting); p.now.Before(end); p.now = p.now.Add(playedStep) {
+func (p *simulation) run(duration time.Duration) {
+	for end := p.now.Add(duration); p.now.Before(end); p.now = p.now.Add(simStep) {
 		for _, s := range p.streams {
-			if !p.stands(s) && !p.now.Before(s.next) {
-				s.pace.Add(p.now.Sub(s.LastEvent))
-				s.LastEvent, s.MeanGap, s.asked = p.now, s.pace.Mean(), 0
-				p.plan(s)
+			if !p.stalled(s) && !p.now.Before(s.nextEvent) {
+				s.gaps.Add(p.now.Sub(s.LastEvent))
+				s.LastEvent, s.MeanGap, s.probed = p.now, s.gaps.Mean(), 0
+				p.schedule(s)
 			}
-			p.look(s)
+			p.checkStall(s)
 		}
 	}
 }
 
-// look asks the stages of a stream that stands still, twice a pause.
-func (p *stallPlay) look(s *playedStream) {
-	stood := p.now.Sub(s.LastEvent)
-	ask := TimeoutsFor(playedGap, s.pace).Probe
-	if !s.foundAt.IsZero() || s.asked >= 2 || stood < ask+time.Duration(s.asked)*playedGap/2 {
+// checkStall probes the stages of a stalled stream, up to twice in one stall.
+func (p *simulation) checkStall(s *simStream) {
+	elapsed := p.now.Sub(s.LastEvent)
+	timeout := TimeoutsFor(simMaxGap, s.gaps).Probe
+	if !s.detectedAt.IsZero() || s.probed >= 2 || elapsed < timeout+time.Duration(s.probed)*simMaxGap/2 {
 		return
 	}
-	s.asked++
+	s.probed++
 	var others []Stream
 	for _, other := range p.streams {
 		if other != s {
@@ -107,93 +109,93 @@
 		}
 	}
 	suspicion := Suspects(s.Stream, others)
-	var asked []ProbedStage
+	var probed []ProbedStage
 	for _, stage := range suspicion.Suspects {
-		asked = append(asked, ProbedStage{Stage: stage, ProbeResult: p.answer(stage.Address)})
+		probed = append(probed, ProbedStage{Stage: stage, ProbeResult: p.probe(stage.Address)})
 	}
-	for _, stage := range StoppedStages(asked, suspicion.Passed) {
+	for _, stage := range StoppedStages(probed, suspicion.Passed) {
 		if p.stopped[stage.Address] == ProbeUnknown {
-			p.falseAlarms++
+			p.falsePositives++
 			continue
 		}
-		s.foundAt = p.now
+		s.detectedAt = p.now
 	}
 }
 
-func (p *stallPlay) answer(address string) ProbeResult {
-	if !p.now.Before(p.kept[address]) {
+func (p *simulation) probe(address string) ProbeResult {
+	if !p.now.Before(p.cachedUntil[address]) {
 		if !p.budget.Take() {
 			return ProbeUnknown
 		}
-		p.questions++
-		p.kept[address] = p.now.Add(playedKept)
+		p.probes++
+		p.cachedUntil[address] = p.now.Add(simCacheTime)
 	}
-	if answer := p.stopped[address]; answer != ProbeUnknown {
-		return answer
+	if probe := p.stopped[address]; probe != ProbeUnknown {
+		return probe
 	}
 	return ProbeAccepted
 }
 
-// Guards against streams that learn of a stopped stage only when callers have noticed the pause,
-// and against healthy stages that are blamed for it.
+// Guards against detecting a stopped stage only after callers have noticed the pause, and against
+// reporting healthy stages as stopped.
 func TestStoppedStagesAreFoundWithinTheAcceptedPause(t *testing.T) {
 	const seeds = 50
 	for name, c := range map[string]struct {
-		stopped map[string]ProbeResult
-		slow    float64
-		found   bool
+		stopped  map[string]ProbeResult
+		slow     float64
+		detected bool
 	}{
-		"one refuses":            {stopped: map[string]ProbeResult{cardAt(3, 0): ProbeRefused}, found: true},
-		"one is silent":          {stopped: map[string]ProbeResult{cardAt(3, 0): ProbeTimedOut}, found: true},
-		"four stop together":     {stopped: map[string]ProbeResult{cardAt(2, 0): ProbeTimedOut, cardAt(5, 1): ProbeRefused, cardAt(7, 2): ProbeTimedOut, cardAt(9, 0): ProbeRefused}, found: true},
-		"a third turns slow":     {slow: 12},
-		"the data centre is cut": {stopped: everyCard(ProbeTimedOut)},
+		"one refuses":            {stopped: map[string]ProbeResult{replicaAt(3, 0): ProbeRefused}, detected: true},
+		"one does not respond":   {stopped: map[string]ProbeResult{replicaAt(3, 0): ProbeTimedOut}, detected: true},
+		"four stop together":     {stopped: map[string]ProbeResult{replicaAt(2, 0): ProbeTimedOut, replicaAt(5, 1): ProbeRefused, replicaAt(7, 2): ProbeTimedOut, replicaAt(9, 0): ProbeRefused}, detected: true},
+		"a third becomes slow":   {slow: 12},
+		"the data centre is cut": {stopped: allReplicas(ProbeTimedOut)},
 		"nothing happens":        {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			stands, found := 0, 0
+			stalled, detected := 0, 0
 			for seed := range uint64(seeds) {
-				p := newStallPlay(seed)
+				p := newSimulation(seed)
 				p.run(time.Second)
-				before := p.questions
+				before := p.probes
 				p.stopped = c.stopped
-				for span := range playedSpans {
-					p.slow[cardAt(span, 0)] = c.slow
+				for stage := range simStages {
+					p.slow[replicaAt(stage, 0)] = c.slow
 				}
 				p.run(3 * time.Second)
 				for _, s := range p.streams {
-					if !p.stands(s) {
+					if !p.stalled(s) {
 						continue
 					}
-					stands++
-					if !s.foundAt.IsZero() && s.foundAt.Sub(s.LastEvent) <= playedGap {
-						found++
+					stalled++
+					if !s.detectedAt.IsZero() && s.detectedAt.Sub(s.LastEvent) <= simMaxGap {
+						detected++
 					}
 				}
-				if p.falseAlarms > 0 {
-					t.Errorf("seed %d: %d healthy stages were blamed", seed, p.falseAlarms)
+				if p.falsePositives > 0 {
+					t.Errorf("seed %d: %d healthy stages reported as stopped", seed, p.falsePositives)
 				}
-				if most := int(maxQuestions); before > most || p.questions > most {
-					t.Errorf("seed %d: %d questions", seed, p.questions)
+				if most := int(maxProbes); before > most || p.probes > most {
+					t.Errorf("seed %d: %d probes", seed, p.probes)
 				}
 			}
-			t.Logf("%d of %d streams that stood still knew why in time", found, stands)
-			if c.found && found < stands*9/10 {
-				t.Errorf("%d of %d streams that stood still knew why in time", found, stands)
+			t.Logf("stopped stage detected in time by %d of %d stalled streams", detected, stalled)
+			if c.detected && detected < stalled*9/10 {
+				t.Errorf("stopped stage detected in time by only %d of %d stalled streams", detected, stalled)
 			}
-			if !c.found && found > 0 {
-				t.Errorf("%d streams blamed a stage", found)
+			if !c.detected && detected > 0 {
+				t.Errorf("%d streams reported a stopped stage", detected)
 			}
 		})
 	}
 }
 
-func everyCard(answer ProbeResult) map[string]ProbeResult {
-	cards := map[string]ProbeResult{}
-	for span := range playedSpans {
-		for holder := range playedHolders {
-			cards[cardAt(span, holder)] = answer
+func allReplicas(result ProbeResult) map[string]ProbeResult {
+	results := map[string]ProbeResult{}
+	for stage := range simStages {
+		for replica := range simReplicas {
+			results[replicaAt(stage, replica)] = result
 		}
 	}
-	return cards
+	return results
 }
--- a/internal/stall/probe_budget.go
+++ b/internal/stall/probe_budget.go
@@ -3,44 +3,44 @@
 import "sync"
 
 const (
-	// questionsPerSend is how many questions each send allows; each costs as much as the send's own
-	// connection.
-	questionsPerSend = 0.25
-	// maxQuestions is how many may be saved up, some paths of usual length.
-	maxQuestions = 64.0
+	// probesPerSend is how many probes each sent request allows. A probe costs as much as the
+	// connection that the request is sent on.
+	probesPerSend = 0.25
+	// maxProbes is how many probes may be saved up, enough for a few paths of usual length.
+	maxProbes = 64.0
 )
 
-// ProbeBudget bounds the questions to stages by the sends of this VM, so that paths which stand
-// still again and again cost no more than the requests on them. It is safe for concurrent use.
+// ProbeBudget limits probes to a share of the requests that this VM sends, so that paths which stall
+// repeatedly cost no more than the requests on them. It is safe for concurrent use.
 type ProbeBudget struct {
-	mu   sync.Mutex // guards the field below
-	left float64
+	mu     sync.Mutex // guards the field below
+	tokens float64
 }
 
 // NewProbeBudget returns a full budget.
-func NewProbeBudget() *ProbeBudget { return &ProbeBudget{left: maxQuestions} }
+func NewProbeBudget() *ProbeBudget { return &ProbeBudget{tokens: maxProbes} }
 
-// Sent notes that a request was sent.
+// Sent records that a request was sent.
 func (b *ProbeBudget) Sent() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = min(maxQuestions, b.left+questionsPerSend)
+	b.tokens = min(maxProbes, b.tokens+probesPerSend)
 }
 
-// Take takes one question out of the budget, if there is one.
+// Take reports whether a probe is allowed, and if so takes it out of the budget.
 func (b *ProbeBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
-// Left reports whether a question is left.
+// Left reports whether a probe is allowed, without taking it.
 func (b *ProbeBudget) Left() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.left >= 1
+	return b.tokens >= 1
 }
--- a/internal/stall/probe_budget_test.go
+++ b/internal/stall/probe_budget_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against slow paths that are asked without end.
-func TestQuestionsAreBoundedBySends(t *testing.T) {
+// Guards against probing slow paths without limit.
+func TestProbesAreBoundedBySends(t *testing.T) {
 	budget := NewProbeBudget()
 	const sends = 500
 	taken := 0
@@ -15,7 +15,7 @@
 			}
 		}
 	}
-	if most := int(sends*questionsPerSend + maxQuestions); taken > most || float64(taken) < sends*questionsPerSend {
-		t.Errorf("%d questions for %d sends, %d are allowed", taken, sends, most)
+	if most := int(sends*probesPerSend + maxProbes); taken > most || float64(taken) < sends*probesPerSend {
+		t.Errorf("%d probes for %d sends, want at most %d", taken, sends, most)
 	}
 }
--- a/internal/stall/stopped.go
+++ b/internal/stall/stopped.go
@@ -1,54 +1,55 @@
 package stall
 
-// ProbeResult is what became of the question to a stage.
+// ProbeResult is the result of a connection attempt to a stage.
 type ProbeResult uint8
 
-// The answers of a stage that was asked for a connection.
+// The results of a probe.
 const (
-	// ProbeUnknown: it was not asked, or the question failed here.
+	// ProbeUnknown means that the stage was not probed, or that the probe failed on this VM.
 	ProbeUnknown ProbeResult = iota
-	// ProbeAccepted: it took the connection.
+	// ProbeAccepted means that the stage accepted the connection.
 	ProbeAccepted
-	// ProbeRefused: nobody listens at its address.
+	// ProbeRefused means that nothing listens at the stage's address.
 	ProbeRefused
-	// ProbeTimedOut: nothing came back.
+	// ProbeTimedOut means that there was no response.
 	ProbeTimedOut
 )
 
-// ProbedStage is a stage with its answer.
+// ProbedStage is a stage with the result of its probe.
 type ProbedStage struct {
 	Stage
 	ProbeResult ProbeResult
 }
 
-// alivePerSilent is how many stages of a data centre must be alive for each that is silent.
-const alivePerSilent = 3
+// minAlivePerTimeout is how many stages of a data centre must be alive for each one whose probe
+// timed out.
+const minAlivePerTimeout = 3
 
-// StoppedStages returns the stages that have stopped. A refusal is certain. Silence counts where
-// most stages of the same data centre answered or were passed by other streams: else the way there
-// may be cut, or this VM itself held up. An entry's silence says nothing: the connections of new
-// requests may wait at its listener.
-func StoppedStages(asked []ProbedStage, passed []Stage) []Stage {
-	alive, silent := map[string]int{}, map[string]int{}
+// StoppedStages returns the stages that have stopped. A refused connection is proof. A timeout
+// counts only if most stages of the same data centre responded or were passed by other streams;
+// otherwise the network to them may be cut, or this VM itself may have been held up. The timeout of
+// an entry stage does not count: the connections of new requests may be waiting in its accept queue.
+func StoppedStages(probed []ProbedStage, passed []Stage) []Stage {
+	alive, timedOut := map[string]int{}, map[string]int{}
 	for _, stage := range passed {
 		alive[stage.DataCentre]++
 	}
-	for _, a := range asked {
-		switch a.ProbeResult {
+	for _, p := range probed {
+		switch p.ProbeResult {
 		case ProbeAccepted, ProbeRefused:
-			alive[a.DataCentre]++
+			alive[p.DataCentre]++
 		case ProbeTimedOut:
-			if !a.Entry {
-				silent[a.DataCentre]++
+			if !p.Entry {
+				timedOut[p.DataCentre]++
 			}
 		}
 	}
 	var stopped []Stage
-	for _, a := range asked {
-		certain := a.ProbeResult == ProbeRefused
-		likely := a.ProbeResult == ProbeTimedOut && !a.Entry && alive[a.DataCentre] >= alivePerSilent*silent[a.DataCentre]
+	for _, p := range probed {
+		certain := p.ProbeResult == ProbeRefused
+		likely := p.ProbeResult == ProbeTimedOut && !p.Entry && alive[p.DataCentre] >= minAlivePerTimeout*timedOut[p.DataCentre]
 		if certain || likely {
-			stopped = append(stopped, a.Stage)
+			stopped = append(stopped, p.Stage)
 		}
 	}
 	return stopped
--- a/internal/stall/stream.go
+++ b/internal/stall/stream.go
@@ -6,21 +6,21 @@
 type Stage struct {
 	Address    string
 	DataCentre string
-	// Entry says that the path begins here. Such a replica takes a connection for each request.
+	// Entry is set for the first replica of the path. It accepts a connection for each request.
 	Entry bool
 }
 
-// Stream is what this VM sees of one stream.
+// Stream is what this VM observes of one stream.
 type Stream struct {
-	// LastEvent is when its last event came, or when it was sent if none has.
+	// LastEvent is when the last event arrived, or when the request was sent if none has.
 	LastEvent time.Time
-	// MeanGap is the usual gap between its events, 0 if unknown.
+	// MeanGap is the mean gap between events, 0 if unknown.
 	MeanGap time.Duration
 	Stages  []Stage
 }
 
 // passed reports whether the end of an event of the stream has passed all its stages after the
-// given moment.
+// given time.
 func (s Stream) passed(since time.Time) bool {
 	return s.MeanGap > 0 && s.LastEvent.Add(-s.MeanGap/2).After(since)
 }
--- a/internal/stall/suspects.go
+++ b/internal/stall/suspects.go
@@ -1,17 +1,18 @@
 package stall
 
-// Suspicion divides the stages of a stream that stands still.
+// Suspicion divides the stages of a stalled stream.
 type Suspicion struct {
-	// Suspects may have stopped.
+	// Suspects are the stages that may have stopped.
 	Suspects []Stage
-	// Passed are stages that another stream has passed since.
+	// Passed are the stages that another stream has passed since the stall began.
 	Passed []Stage
 }
 
-// Suspects looks for the stages that may have stopped. The next event of the stream was due a pace
-// after its last one; a stage that another stream has passed after that has not stopped.
-func Suspects(stopped Stream, others []Stream) Suspicion {
-	due := stopped.LastEvent.Add(stopped.MeanGap)
+// Suspects returns which stages of a stalled stream may have stopped. The stream's next event was
+// due one mean gap after its last one; a stage that another stream has passed after that has not
+// stopped.
+func Suspects(stalled Stream, others []Stream) Suspicion {
+	due := stalled.LastEvent.Add(stalled.MeanGap)
 	passed := map[string]bool{}
 	for _, other := range others {
 		if !other.passed(due) {
@@ -22,7 +23,7 @@
 		}
 	}
 	var s Suspicion
-	for _, stage := range stopped.Stages {
+	for _, stage := range stalled.Stages {
 		if passed[stage.Address] {
 			s.Passed = append(s.Passed, stage)
 		} else {
--- a/internal/stall/timeouts.go
+++ b/internal/stall/timeouts.go
@@ -3,36 +3,39 @@
 import "time"
 
 const (
-	// askShare is the part of the pause that callers accept after which a stream's stages are
-	// asked; the rest is for the order to move and for what the new stage has to read.
-	askShare = 0.4
-	// reportShare is the part after which its first replica is asked for a report.
+	// probeShare is the share of the longest acceptable gap after which a stream's stages are
+	// probed. The rest is left for the order to move the stream and for the new stage to read the
+	// tokens so far.
+	probeShare = 0.4
+	// reportShare is the share after which the path's first replica is asked for a report.
 	reportShare = 0.6
-	// usualGap stands for the pause that callers accept where the operator names none.
-	usualGap = 250 * time.Millisecond
+	// defaultMaxGap applies if the operator configures none.
+	defaultMaxGap = 250 * time.Millisecond
 )
 
-// MaxGap is the pause that callers accept, where the operator names one or, with 0, none.
-func MaxGap(named time.Duration) time.Duration {
-	if named <= 0 {
-		return usualGap
+// MaxGap returns the longest gap between two events that callers accept: the configured one, or the
+// default if it is 0.
+func MaxGap(configured time.Duration) time.Duration {
+	if configured <= 0 {
+		return defaultMaxGap
 	}
-	return named
+	return configured
 }
 
-// Timeouts is how long a stream may stand still.
+// Timeouts are the times since a stream's last event after which its stall is investigated.
 type Timeouts struct {
-	// Probe is how long before its stages are asked, Report before its first replica is.
+	// Probe is the time until the stages are probed, Report until the path's first replica is asked
+	// for a report.
 	Probe  time.Duration
 	Report time.Duration
 }
 
-// TimeoutsFor returns the patience with a stream of that pace, whose callers accept a pause of gap,
-// 0 if that is unknown. The stages of a path that is slow or uneven are asked later, but no later
-// than its first replica, which lets all streams share one answer.
-func TimeoutsFor(gap time.Duration, pace GapStats) Timeouts {
-	gap = MaxGap(gap)
-	share := func(of float64) time.Duration { return time.Duration(of * float64(gap)) }
+// TimeoutsFor returns the timeouts of a stream with these gaps whose callers accept a gap of at most
+// maxGap, 0 if unknown. The stages of a slow or uneven path are probed later, but not later than the
+// first replica is asked, whose answer all streams share.
+func TimeoutsFor(maxGap time.Duration, stats GapStats) Timeouts {
+	maxGap = MaxGap(maxGap)
+	share := func(of float64) time.Duration { return time.Duration(of * float64(maxGap)) }
 	report := share(reportShare)
-	return Timeouts{Probe: min(report, max(share(askShare), pace.OutlierThreshold())), Report: report}
+	return Timeouts{Probe: min(report, max(share(probeShare), stats.OutlierThreshold())), Report: report}
 }
