--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// attemptObjectives is how many times its objective one attempt of a repeatable
-	// call may take before another replica is tried: a replica that hangs then leaves
-	// time for the second one.
-	attemptObjectives = 3
-	// minAttempt bounds it from below.
-	minAttempt = 150 * time.Millisecond
+	// attemptTimeoutFactor times the objective is how long one attempt of a repeatable call may
+	// take before another replica is tried. A replica that hangs then leaves time for a second
+	// attempt.
+	attemptTimeoutFactor = 3
+	// minAttemptTimeout is the lower bound of that timeout.
+	minAttemptTimeout = 150 * time.Millisecond
 )
 
-// call serves a request that one replica answers whole.
-func (h *Handler) call(ctx context.Context, w http.ResponseWriter, q *request) {
+// serveCall serves a request to which a single replica sends the whole response.
+func (h *Handler) serveCall(ctx context.Context, w http.ResponseWriter, q *request) {
 	result, failure := h.runCall(ctx, q)
 	h.finish(q, failure)
 	if failure != nil {
@@ -35,15 +35,15 @@
 		return
 	}
 	header := w.Header()
-	for name, values := range withoutHops(result.header) {
+	for name, values := range withoutHopHeaders(result.header) {
 		header[name] = values
 	}
 	header.Set("Content-Length", strconv.Itoa(len(result.body)))
 	w.WriteHeader(result.status)
-	_, _ = w.Write(result.body) // the answer is whole; a caller that left does not read it
+	_, _ = w.Write(result.body) // the response is complete; a caller that has disconnected does not read it
 }
 
-// callResult is a replica's whole answer.
+// callResult is a replica's complete response.
 type callResult struct {
 	status int
 	header http.Header
@@ -55,44 +55,44 @@
 	if failure != nil {
 		return nil, failure
 	}
-	var tries callTries
+	var attempts callAttempts
 	var last *callResult
 	for {
 		result, err := h.attempt(ctx, q, slot)
-		tries.add(slot.Target().Name, err == nil || mayHaveArrived(err))
+		attempts.add(slot.Target().Name, err == nil || mayHaveArrived(err))
 		if err == nil && (result.status < http.StatusInternalServerError || !q.profile.Idempotent) {
 			return result, nil
 		}
 		if err == nil {
 			last = result
 		}
-		next := h.nextSlot(ctx, q, &tries)
+		next := h.nextSlot(ctx, q, &attempts)
 		if next == nil {
-			return h.giveUp(ctx, q, last, err)
+			return h.endCall(ctx, q, last, err)
 		}
 		h.Observer.Retry("retry")
 		slot = next
 	}
 }
 
-// giveUp ends a call without another attempt. The replica's own failure is passed on
-// where there is one.
-func (h *Handler) giveUp(ctx context.Context, q *request, last *callResult, err error) (*callResult, *outcome.Failure) {
+// endCall ends a call without another attempt. If a replica responded with a failure of its own,
+// that response is forwarded.
+func (h *Handler) endCall(ctx context.Context, q *request, last *callResult, err error) (*callResult, *outcome.Failure) {
 	if last != nil {
 		return last, nil
 	}
 	return nil, failureOf(ctx, q, err)
 }
 
-// failureOf says what is true of a request whose sends all ended without an answer.
+// failureOf returns the failure of a request whose sends all ended without a response.
 func failureOf(ctx context.Context, q *request, err error) *outcome.Failure {
-	// The connection has the same deadline as the context, and may be the first to end.
+	// The connection has the same deadline as the context and may time out first.
 	late := errors.Is(ctx.Err(), context.DeadlineExceeded) || !time.Now().Before(q.deadline)
 	switch {
 	case !q.boundary.MayHaveRun() && (late || ctx.Err() != nil):
-		return outcome.Refuse(outcome.ReasonDeadline, "the request could not start in time").WithRetryAfter(soon).WithCause(err)
+		return outcome.Refuse(outcome.ReasonDeadline, "the request could not start in time").WithRetryAfter(defaultRetryAfter).WithCause(err)
 	case !q.boundary.MayHaveRun():
-		return outcome.Refuse(outcome.ReasonNoTarget, "no replica took the request").WithRetryAfter(soon).WithCause(err)
+		return outcome.Refuse(outcome.ReasonNoTarget, "no replica took the request").WithRetryAfter(defaultRetryAfter).WithCause(err)
 	case late:
 		return outcome.Uncertain(outcome.ReasonTargetSilent, "no answer came in time; the request may have run").WithCause(err)
 	case ctx.Err() != nil:
@@ -103,12 +103,12 @@
 
 func (h *Handler) admitCall(ctx context.Context, q *request) (*balance.Slot, *outcome.Failure) {
 	var slot *balance.Slot
-	var none error
+	var pickErr error
 	failure := h.admit(ctx, q, 1, false, func() bool {
 		picked, err := h.Balancer.Pick(h.query(q, nil))
-		none = nil
+		pickErr = nil
 		if errors.Is(err, balance.ErrNoTarget) || h.heldTooLong(q, err) != nil {
-			none = err
+			pickErr = err
 			return true
 		}
 		slot = picked
@@ -123,109 +123,108 @@
 			return nil, failure
 		}
 	}
-	if held := h.heldTooLong(q, none); held != nil {
+	if held := h.heldTooLong(q, pickErr); held != nil {
 		return nil, refuseHeld(held)
 	}
-	if none != nil {
-		return nil, outcome.Refuse(outcome.ReasonNoTarget, "no replica of the service can take work now").WithRetryAfter(soon).WithCause(none)
+	if pickErr != nil {
+		return nil, outcome.Refuse(outcome.ReasonNoTarget, "no replica of the service can take work now").WithRetryAfter(defaultRetryAfter).WithCause(pickErr)
 	}
 	return slot, nil
 }
 
-// admit waits for the request's turn; try takes capacity. A request that resumes goes
-// first and may wait as long as its caller does.
+// admit queues the request until its turn. The function try takes capacity and returns true once
+// the wait is over. A request that resumes a stream goes first and may wait until its deadline.
 func (h *Handler) admit(ctx context.Context, q *request, cost int, resume bool, try func() bool) *outcome.Failure {
 	queued := time.Now()
-	most := h.queueWait(q)
+	maxWait := h.queueWait(q)
 	if resume {
-		most = 0
+		maxWait = 0
 	}
 	err := h.Admission.Admit(ctx, &admission.Request{
 		ID: q.RequestID, Workspace: q.workspace, Profile: q.profile.Name, Pool: q.service, Urgency: q.urgency(),
-		Cost: cost, Arrival: q.arrival, Deadline: q.deadline, MaxQueueWait: most, Resume: resume,
+		Cost: cost, Arrival: q.arrival, Deadline: q.deadline, MaxQueueWait: maxWait, Resume: resume,
 	}, try)
 	waited := time.Since(queued)
 	h.Observer.Queued(q.urgency(), waited)
-	q.progress.waitedFor(waited)
-	q.story.add("admission", zap.Duration("waited", waited), zap.Bool("admitted", err == nil))
+	q.progress.addWait(waited)
+	q.decisionLog.add("admission", zap.Duration("waited", waited), zap.Bool("admitted", err == nil))
 	var failure *outcome.Failure
 	if errors.As(err, &failure) {
-		return failure.WithRetryAfter(h.shortages.retryAfter(lackOfRoom+q.service, max(soon, failure.RetryAfter)))
+		return failure.WithRetryAfter(h.shortages.retryAfter(capacityShortage+q.service, max(defaultRetryAfter, failure.RetryAfter)))
 	}
 	if err != nil {
-		return outcome.Refuse(outcome.ReasonInternal, "the request was not admitted").WithRetryAfter(soon).WithCause(err)
+		return outcome.Refuse(outcome.ReasonInternal, "the request was not admitted").WithRetryAfter(defaultRetryAfter).WithCause(err)
 	}
 	return nil
 }
 
-// queueObjectives is how many times its objective a request may wait for its turn.
-// Callers leave a stream that has not begun after four; by three the answer could
-// only come late.
-const queueObjectives = 2.5
+// queueWaitFactor times the objective is how long a request may wait in the queue. Callers abandon
+// a stream that has not begun after four objectives; after three, the response could only be late.
+const queueWaitFactor = 2.5
 
 func (h *Handler) queueWait(q *request) time.Duration {
-	return time.Duration(queueObjectives * float64(q.profile.Objective))
+	return time.Duration(queueWaitFactor * float64(q.profile.Objective))
 }
 
 func (h *Handler) query(q *request, exclude []string) balance.Query {
 	return balance.Query{Pool: q.service, Urgency: q.urgency(), Exclude: exclude, DataCentre: h.DataCentre}
 }
 
-// nextSlot returns a slot for one more attempt, or nil. The attempt is paid for if the
-// one before may have arrived.
-func (h *Handler) nextSlot(ctx context.Context, q *request, tries *callTries) *balance.Slot {
+// nextSlot returns a slot for another attempt, or nil if there is none. The attempt is charged to
+// the retry budget if the previous one may have reached its replica.
+func (h *Handler) nextSlot(ctx context.Context, q *request, attempts *callAttempts) *balance.Slot {
 	mayRepeat := q.profile.Repeatable() || !q.boundary.MayHaveRun()
-	if ctx.Err() != nil || !mayRepeat || h.crashes.judge(q).Quarantined || tries.spent(q.profile.MaxAttempts) {
+	if ctx.Err() != nil || !mayRepeat || h.crashes.assess(q).Quarantined || attempts.exhausted(q.profile.MaxAttempts) {
 		return nil
 	}
-	slot, err := h.Balancer.Pick(h.query(q, tries.targets))
+	slot, err := h.Balancer.Pick(h.query(q, attempts.targets))
 	if err != nil {
-		q.story.add("no other replica", zap.Error(err))
+		q.decisionLog.add("no other replica", zap.Error(err))
 		return nil
 	}
-	if tries.lastArrived && !h.RetryBudgets.of(q.service).Take() {
+	if attempts.lastArrived && !h.RetryBudgets.of(q.service).Take() {
 		slot.Release(balance.ResultNeutral)
-		q.story.add("retry budget spent")
+		q.decisionLog.add("retry budget spent")
 		return nil
 	}
 	return slot
 }
 
-// attempt sends the call to the slot's replica and reads the whole answer.
+// attempt sends the call to the slot's replica and reads the complete response.
 func (h *Handler) attempt(ctx context.Context, q *request, slot *balance.Slot) (*callResult, error) {
 	replica := slot.Target()
 	if q.profile.Idempotent {
-		bound := max(minAttempt, time.Duration(attemptObjectives*float64(q.profile.Objective)))
+		timeout := max(minAttemptTimeout, time.Duration(attemptTimeoutFactor*float64(q.profile.Objective)))
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, bound)
+		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 	}
-	q.story.add("sent", zap.String("replica", replica.Name), zap.String("address", replica.Address), zap.Duration("left", q.left()))
-	result, err := h.exchange(ctx, q, target{address: replica.Address, incarnation: incarnation.Parse(replica.Name), dataCentre: replica.DataCentre})
-	slot.Release(verdict(ctx, result, err))
+	q.decisionLog.add("sent", zap.String("replica", replica.Name), zap.String("address", replica.Address), zap.Duration("left", q.remaining()))
+	result, err := h.roundTrip(ctx, q, target{address: replica.Address, incarnation: incarnation.Parse(replica.Name), dataCentre: replica.DataCentre})
+	slot.Release(attemptResult(ctx, result, err))
 	switch {
 	case err == nil:
-		h.crashes.ranWell(q)
-	case ctx.Err() == nil && brokeOff(err):
-		h.crashes.brokeAt(q, incarnation.Parse(replica.Name), h.targetEnded(replica.Address))
+		h.crashes.runSucceeded(q)
+	case ctx.Err() == nil && brokeAfterSend(err):
+		h.crashes.recordBrokenCall(q, incarnation.Parse(replica.Name), h.targetEnded(replica.Address))
 	}
 	if err != nil {
-		q.story.add("attempt failed", zap.String("replica", replica.Name), zap.Error(err))
+		q.decisionLog.add("attempt failed", zap.String("replica", replica.Name), zap.Error(err))
 	}
 	return result, err
 }
 
-func (h *Handler) exchange(ctx context.Context, q *request, to target) (*callResult, error) {
+func (h *Handler) roundTrip(ctx context.Context, q *request, to target) (*callResult, error) {
 	x, err := h.open(ctx, q, to, "")
 	if err != nil {
 		return nil, err
 	}
 	defer x.close()
-	if x.answer.NotRun {
-		// Its load is not taken: one that shows slots would end the hold on the replica.
+	if x.head.NotRun {
+		// The load is not recorded: a report with slots would end the hold on the replica.
 		return nil, &notRunError{Address: to.address, Status: x.resp.StatusCode}
 	}
-	h.learnLoad(to.incarnation.String(), x.answer)
+	h.recordLoad(to.incarnation.String(), x.head)
 	q.runs++
 	body, err := x.body()
 	if err != nil {
@@ -234,14 +233,14 @@
 	return &callResult{status: x.resp.StatusCode, header: x.resp.Header, body: body}, nil
 }
 
-func (h *Handler) learnLoad(replica string, a Response) {
-	if a.HasLoad {
-		h.Balancer.Report(replica, engine.LoadReport{At: time.Now(), Active: a.Running, Queued: a.Waiting, Slots: a.Slots})
+func (h *Handler) recordLoad(replica string, r Response) {
+	if r.HasLoad {
+		h.Balancer.Report(replica, engine.LoadReport{At: time.Now(), Active: r.Running, Queued: r.Waiting, Slots: r.Slots})
 	}
 }
 
-// verdict says what an attempt tells about the replica.
-func verdict(ctx context.Context, result *callResult, err error) balance.Result {
+// attemptResult returns what an attempt shows about the replica.
+func attemptResult(ctx context.Context, result *callResult, err error) balance.Result {
 	var busy *notRunError
 	var held *pushback.HeldError
 	switch {
--- a/internal/relay/codec.go
+++ b/internal/relay/codec.go
@@ -9,93 +9,96 @@
 	"geraniumcroft/internal/pushback"
 )
 
-// Codec knows how a request's facts are written in HTTP headers between callers, this
-// VM and replicas.
+// Codec translates between the metadata of a request and the HTTP headers in which callers, this VM
+// and replicas exchange it.
 type Codec interface {
-	// Decode reads a caller's headers.
+	// Decode reads the headers of a caller's request.
 	Decode(h http.Header) Inbound
-	// Encode sets what this VM adds to a request that is passed on, and removes what
-	// replicas must not see.
+	// Encode adds this VM's headers to a request that is forwarded, and removes those that replicas
+	// must not see.
 	Encode(h http.Header, out Outbound)
-	// DecodeResponse reads the head of a replica's answer.
+	// DecodeResponse reads the status and the headers of a replica's response.
 	DecodeResponse(status int, h http.Header) Response
-	// EncodeRefusal sets the headers of an answer of this VM's own.
+	// EncodeRefusal sets the headers of a response that this VM creates itself.
 	EncodeRefusal(h http.Header, requestID string, retryAfter time.Duration)
 }
 
-// Inbound is what a caller's headers say.
+// Inbound holds what a caller's headers state.
 type Inbound struct {
 	RequestID string
-	// CallerTimeout is how long the caller waits; 0 when it does not say.
+	// CallerTimeout is how long the caller waits for the response, 0 if not stated.
 	CallerTimeout time.Duration
-	// Key is the caller's key; it is never logged.
+	// Key is the caller's API key. It is never logged.
 	Key string
-	// LastEventID is the event behind which a stream is to go on, "" for its beginning.
+	// LastEventID is the event after which a stream resumes, "" to start at the beginning.
 	LastEventID string
-	// PromptTokens and MaxAnswerTokens are the size of a generation, 0 if unknown.
+	// PromptTokens and MaxAnswerTokens are the size of a generation's prompt and the bound on its
+	// answer, 0 if unknown.
 	PromptTokens    int
 	MaxAnswerTokens int
-	// LikelyAnswerTokens is the caller's estimate, 0 if it gave none.
+	// LikelyAnswerTokens is the caller's estimate of the answer's size, 0 if not given.
 	LikelyAnswerTokens int
 }
 
-// Outbound is what this VM adds to a request that it passes on.
+// Outbound holds what this VM adds to a request that it forwards.
 type Outbound struct {
-	// Left is how long the caller still waits.
+	// Left is the time until the request's deadline.
 	Left time.Duration
-	// ReplicaID is the replica that the request is meant for; whoever has its address now
-	// must not run it. A later incarnation of the same replica may.
+	// ReplicaID is the replica that the request is meant for. Another replica that now has its
+	// address must not run the request; a later incarnation of the same replica may.
 	ReplicaID string
-	// Workspace is the owner of the caller's key, "" without one.
+	// Workspace is the owner of the caller's key, "" if there is none.
 	Workspace string
-	// Priority is from 0, which is first, to 9.
+	// Priority ranges from 0, the highest, to 9.
 	Priority int
-	// Path is nil for a replica that serves the request alone.
+	// Path is nil for a replica that serves the request by itself.
 	Path layers.Path
-	// LastEventID replaces the caller's where a stream goes on.
+	// LastEventID replaces the caller's value if a stream is resumed.
 	LastEventID string
 }
 
-// Response is what the head of a replica's answer says.
+// Response holds what the head of a replica's response states.
 type Response struct {
 	RequestID string
-	// NotRun says that the replica did not run the request and will not.
+	// NotRun is set if the replica did not run the request and will not.
 	NotRun bool
-	// Encoded answers are not what the replica signed.
+	// Encoded is set if the body has a content encoding, and so is not what the replica signed.
 	Encoded bool
-	// FaultAddress is the replica of the path that could not take its part, "" if the
-	// answer does not say.
+	// FaultAddress is the address of the replica on the path that could not take part, "" if not
+	// stated.
 	FaultAddress string
-	// Load is the replica's load; it is there if HasLoad is set.
+	// HasLoad is set if the response states the replica's load: the requests that run and wait, and
+	// the slots.
 	HasLoad bool
 	Running int
 	Waiting int
 	Slots   int
-	// Pushback is what the replica asks of those who send to it.
+	// Pushback is what the replica asks of those that send to it.
 	Pushback pushback.Signal
 }
 
-// Engines asks and orders replicas that hold layers. A path's first replica knows of
-// the requests on it.
+// Engines queries and controls replicas that hold layers. The first replica of a path keeps track
+// of the requests on it.
 type Engines interface {
-	// Report returns what a replica says of itself.
+	// Report returns a replica's report on itself.
 	Report(ctx context.Context, address string) (EngineReport, error)
-	// Repath moves a request that is under way to another path with the same first
-	// replica. The stages that stay keep their memory.
+	// Repath moves a request in progress to another path with the same first replica. Stages that
+	// stay on the path keep their memory.
 	Repath(ctx context.Context, first layers.Replica, requestID string, path layers.Path) error
 }
 
-// EngineReport is what a replica says of itself; it lags by some hundred ms.
+// EngineReport is a replica's report on itself. It lags by some hundred milliseconds.
 type EngineReport struct {
-	// Born is the start of the incarnation that reports; see incarnation.BornMissing.
+	// Born is the start time of the incarnation that reports; see incarnation.BornMissing.
 	Born int64
-	// Pace above 1 means that the replica is slower than its kind.
+	// Pace is above 1 if the replica is slower than others of its kind.
 	Pace float64
 	// Stalled are the requests that wait for another replica.
 	Stalled []StalledRequest
 }
 
-// StalledRequest is a request whose path does not move, and the replica that stopped.
+// StalledRequest is a request whose path makes no progress, with the address of the replica that
+// stopped.
 type StalledRequest struct {
 	RequestID string
 	Address   string
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -8,10 +8,10 @@
 	"geraniumcroft/internal/layers"
 )
 
-// Config is the operator's configuration at one version. It is immutable.
+// Config is one version of the operator's configuration. It is immutable.
 type Config struct {
 	Version uint64
-	// Services are the plain services and model pools by name.
+	// Services holds the plain services and the model pools by name.
 	Services map[string]*Service
 	Limits   Limits
 
@@ -22,26 +22,27 @@
 // Service is a pool of replicas.
 type Service struct {
 	Name string
-	// Model describes the engines of a pool whose replicas hold ranges of layers; it
-	// is nil where each replica serves requests alone.
+	// Model describes the engines of a pool whose replicas hold ranges of layers. It is nil if each
+	// replica serves requests by itself.
 	Model *layers.Spec
 }
 
-// Workspace owns keys.
+// Workspace is the owner of one or more API keys.
 type Workspace struct {
 	Name string
-	// Priority goes before the profile's where HasPriority is set.
+	// Priority overrides the profile's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
 
-// Limits bound what a caller may send.
+// Limits bound the size of a caller's request. 0 means no limit.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
 }
 
-// NewConfig indexes the profiles and the workspaces' keys.
+// NewConfig returns a configuration in which profiles are looked up by host and path, and
+// workspaces by API key.
 func NewConfig(version uint64, profiles []*Profile, keys map[string]*Workspace, services map[string]*Service, limits Limits) *Config {
 	c := &Config{Version: version, Services: services, Limits: limits, workspaces: keys, profiles: map[string][]*Profile{}}
 	for _, p := range profiles {
@@ -53,7 +54,7 @@
 	return c
 }
 
-// Match returns the profile with the longest prefix of the path, or nil.
+// Match returns the host's profile with the longest prefix of the path, nil if there is none.
 func (c *Config) Match(host, path string) *Profile {
 	for _, p := range c.profiles[host] {
 		if strings.HasPrefix(path, p.Prefix) {
@@ -63,13 +64,13 @@
 	return nil
 }
 
-// Workspace returns the owner of a key, or nil.
+// Workspace returns the owner of an API key, nil if the key is unknown.
 func (c *Config) Workspace(key string) *Workspace { return c.workspaces[key] }
 
-// RequiresKey reports whether requests need a key at all.
+// RequiresKey reports whether any API keys are configured. If not, no request needs one.
 func (c *Config) RequiresKey() bool { return len(c.workspaces) > 0 }
 
-// NumProfiles returns how many profiles there are.
+// NumProfiles returns the number of profiles.
 func (c *Config) NumProfiles() int {
 	n := 0
 	for _, list := range c.profiles {
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// Only a request that did not run may be told so: callers send it again on 503 and 429.
-func TestStatusPromisesOnlyWhatIsTrue(t *testing.T) {
+// Guards against a status which implies that a request did not run although it may have: callers
+// send it again on 503 and 429.
+func TestStatusImpliesNotRunOnlyIfTrue(t *testing.T) {
 	for _, want := range []struct {
 		failure *outcome.Failure
 		status  int
@@ -59,9 +60,9 @@
 	}
 }
 
-// A burst of faults comes at once. The VM's whole part of a window's slack may be spent in
-// the burst, and no more than it. A VM that does not know yet how many share the slack
-// takes a small part, and what was spent still counts once it knows.
+// Faults come in bursts. A VM may spend its whole share of a window's slack in one burst, and no
+// more. A VM that does not know yet how many VMs share the slack gets a small share, and what it
+// has spent still counts once it knows.
 func TestRetrySlackMayComeInABurst(t *testing.T) {
 	budgets := NewRetryBudgets(RetryBudgetSettings{Slack: 100, Window: 10 * time.Second})
 	take := func() int {
@@ -74,22 +75,22 @@
 		return taken
 	}
 	if n := take(); n > 1 {
-		t.Errorf("%d retries of a VM that knows no others", n)
+		t.Errorf("%d retries of a VM that does not know the number of VMs", n)
 	}
 	budgets.SetVMs(4)
 	if n := take(); n < 15 || n > 25 {
-		t.Errorf("%d retries at once, the VM's part of the slack is 25 a window", n)
+		t.Errorf("%d retries at once, the VM's share of the slack is 25 per window", n)
 	}
 	budgets.SetVMs(3)
 	budgets.SetVMs(4)
 	if n := take(); n != 0 {
-		t.Errorf("%d retries more after the VMs were counted anew", n)
+		t.Errorf("%d more retries after the VMs were counted again", n)
 	}
 }
 
-func TestHeadersOfOneConnectionStayBehind(t *testing.T) {
+func TestHopByHopHeadersAreRemoved(t *testing.T) {
 	h := http.Header{"Connection": {"close, X-Mine"}, "X-Mine": {"1"}, "Keep-Alive": {"5"}, "X-Other": {"2"}}
-	if out := withoutHops(h); len(out) != 1 || out.Get("X-Other") != "2" {
+	if out := withoutHopHeaders(h); len(out) != 1 || out.Get("X-Other") != "2" {
 		t.Errorf("%v", out)
 	}
 }
--- a/internal/relay/crash_guard.go
+++ b/internal/relay/crash_guard.go
@@ -15,64 +15,65 @@
 )
 
 const (
-	// endedPause is the pause before a replica that broke a run off, and did not answer the question
-	// whether it still runs, is asked once more.
-	endedPause = 100 * time.Millisecond
-	// restartNews is for how long after a broken run discovery may tell of its replica's restart,
-	// restartLook the pause between two looks.
-	restartNews = 3 * time.Second
-	restartLook = 250 * time.Millisecond
-	// maxRestartWatches bounds the broken runs whose replicas' restarts are waited for.
+	// recheckDelay is the delay after which a replica whose connection broke during a run, and that
+	// did not answer whether it still runs, is queried once more.
+	recheckDelay = 100 * time.Millisecond
+	// restartTimeout is how long after a broken run discovery may report the restart of its
+	// replica, restartPollInterval the time between two checks for it.
+	restartTimeout      = 3 * time.Second
+	restartPollInterval = 250 * time.Millisecond
+	// maxRestartWatches bounds the broken runs for which a restart of the replica is awaited at a
+	// time.
 	maxRestartWatches = 256
 )
 
-// QuarantineNotifier tells other VMs of a change of what this VM knows of a request.
+// QuarantineNotifier publishes a change of what this VM knows about a request to other VMs.
 type QuarantineNotifier interface {
 	Publish(d quarantine.Digest)
 }
 
-// Incarnations tells which incarnation of a replica is the newest that is known.
+// Incarnations looks up the newest known incarnation of a replica.
 type Incarnations interface {
 	Newest(id string) incarnation.Key
 }
 
-// crashGuard keeps requests that crash the replicas that run them from being sent again.
+// crashGuard prevents requests that crash the replicas running them from being sent again.
 type crashGuard struct {
-	ledger *quarantine.Ledger
-	news   QuarantineNotifier
-	logger *zap.Logger
-	// incarnations is nil where restarts are not looked up.
+	ledger   *quarantine.Ledger
+	notifier QuarantineNotifier
+	logger   *zap.Logger
+	// incarnations is nil if restarts are not looked up.
 	incarnations Incarnations
-	// later does something that no request waits for, and sleep waits in it.
-	later func(func())
-	sleep func(time.Duration)
-	// watches is how many broken runs' replicas are being watched for a restart.
+	// runAsync runs a function that no request waits for; sleep is how that function waits.
+	runAsync func(func())
+	sleep    func(time.Duration)
+	// watches counts the broken runs for which a restart of the replica is awaited.
 	watches atomic.Int32
 }
 
 func newCrashGuard(o Options) *crashGuard {
 	return &crashGuard{
-		ledger: o.Quarantine, news: o.QuarantineNotifier, logger: o.Logger, incarnations: o.Incarnations,
-		later: func(do func()) { go do() }, sleep: time.Sleep,
+		ledger: o.Quarantine, notifier: o.QuarantineNotifier, logger: o.Logger, incarnations: o.Incarnations,
+		runAsync: func(do func()) { go do() }, sleep: time.Sleep,
 	}
 }
 
-// judge says what is known of a request.
-func (c *crashGuard) judge(q *request) quarantine.Verdict {
+// assess returns what is known about a request.
+func (c *crashGuard) assess(q *request) quarantine.Verdict {
 	return c.ledger.Judge(q.digest, time.Now())
 }
 
-// refusal returns why a quarantined request is not sent, nil if it may be. One that was sent
-// before is not told to have not run.
+// refusal returns why a quarantined request is not sent, nil if it may be sent. A request that was
+// sent before is not reported as not run.
 func (c *crashGuard) refusal(q *request) *outcome.Failure {
-	verdict := c.judge(q)
+	verdict := c.assess(q)
 	if !verdict.Quarantined {
 		return nil
 	}
 	if c.ledger.Refused(q.digest, time.Now()) {
-		c.news.Publish(q.digest)
+		c.notifier.Publish(q.digest)
 	}
-	q.story.add("request is quarantined", zap.Stringer("digest", q.digest), zap.Int("ends", verdict.Ends),
+	q.decisionLog.add("request is quarantined", zap.Stringer("digest", q.digest), zap.Int("ends", verdict.Ends),
 		zap.Strings("replicas", c.ledger.Replicas(q.digest)), zap.Duration("left", verdict.Left))
 	if q.boundary.MayHaveRun() {
 		return outcome.Uncertain(outcome.ReasonTargetFailed, "the replicas that ran the request crashed")
@@ -80,49 +81,50 @@
 	return outcome.Refuse(outcome.ReasonQuarantined, "replicas crashed each time that they ran this request").WithRetryAfter(verdict.Left)
 }
 
-// spared is why a request that may crash replicas is not sent to one of the last that paths can
-// begin at. One that was sent before is not told to have not run.
-func (c *crashGuard) spared(q *request) *outcome.Failure {
-	verdict := c.judge(q)
-	q.story.add("request kept from the last replicas", zap.Stringer("digest", q.digest), zap.Int("ends", verdict.Ends), zap.Duration("left", verdict.Left))
+// lastEntryRefusal returns why a request that may crash replicas is not sent to one of the last
+// replicas at which paths can begin. A request that was sent before is not reported as not run.
+func (c *crashGuard) lastEntryRefusal(q *request) *outcome.Failure {
+	verdict := c.assess(q)
+	q.decisionLog.add("request kept from the last replicas", zap.Stringer("digest", q.digest), zap.Int("ends", verdict.Ends), zap.Duration("left", verdict.Left))
 	if q.boundary.MayHaveRun() {
 		return outcome.Uncertain(outcome.ReasonTargetFailed, "the replica that ran the request crashed")
 	}
-	return outcome.Refuse(outcome.ReasonSuspected, "a replica crashed under this request and too few others are left").WithRetryAfter(max(soon, verdict.Left))
+	return outcome.Refuse(outcome.ReasonSuspected, "a replica crashed under this request and too few others are left").WithRetryAfter(max(defaultRetryAfter, verdict.Left))
 }
 
-// youngRun is how long a run must have brought events to clear its request.
+// youngRun returns how long a run must have produced events to clear its request.
 func (c *crashGuard) youngRun() time.Duration { return c.ledger.YoungRun() }
 
-// ranWell notes that a replica has run a request without crashing.
-func (c *crashGuard) ranWell(q *request) {
+// runSucceeded records that a replica has run a request without crashing.
+func (c *crashGuard) runSucceeded(q *request) {
 	if c.ledger.RanWell(q.digest, time.Now()) {
 		c.logger.Info("request no longer suspected of crashing replicas", zap.Stringer("digest", q.digest), zap.String("requestId", q.RequestID))
-		c.news.Publish(q.digest)
+		c.notifier.Publish(q.digest)
 	}
 }
 
-// broke notes that a young run broke off, if its replica has ended. The request waits for one
-// question to the replica.
-func (c *crashGuard) broke(q *request, replica incarnation.Key, ended func(context.Context) endedProbe) {
-	switch ask(ended) {
+// recordBrokenRun records that the connection broke during a young run, if the replica has ended.
+// The request waits for the first query of the replica only.
+func (c *crashGuard) recordBrokenRun(q *request, replica incarnation.Key, ended func(context.Context) endedResult) {
+	switch probeEnded(ended) {
 	case endedYes:
 		c.ended(q.RequestID, q.digest, replica)
 	case endedUnknown:
 		id, digest := q.RequestID, q.digest
-		c.later(func() {
-			c.sleep(endedPause)
-			if ask(ended) == endedYes {
+		c.runAsync(func() {
+			c.sleep(recheckDelay)
+			if probeEnded(ended) == endedYes {
 				c.ended(id, digest, replica)
 			}
 		})
 	}
 }
 
-// brokeAt is broke for a run of a plain replica, which does not say which incarnation answers. One
-// that was started again at once refuses nobody, so discovery's word is waited for.
-func (c *crashGuard) brokeAt(q *request, replica incarnation.Key, ended func(context.Context) endedProbe) {
-	c.broke(q, replica, ended)
+// recordBrokenCall is recordBrokenRun for a plain replica, which does not report its incarnation. A
+// replica that was restarted at once does not refuse connections, so discovery is watched for the
+// restart.
+func (c *crashGuard) recordBrokenCall(q *request, replica incarnation.Key, ended func(context.Context) endedResult) {
+	c.recordBrokenRun(q, replica, ended)
 	if c.incarnations == nil {
 		return
 	}
@@ -132,35 +134,36 @@
 		c.logger.Warn("restart of a replica not watched for: too many broken runs", zap.String("requestId", id), zap.Stringer("replica", replica))
 		return
 	}
-	c.later(func() {
+	c.runAsync(func() {
 		defer c.watches.Add(-1)
-		if c.restarted(replica) {
+		if c.waitForRestart(replica) {
 			c.ended(id, digest, replica)
 		}
 	})
 }
 
-// restarted waits for discovery to tell of a later incarnation of the replica.
-func (c *crashGuard) restarted(replica incarnation.Key) bool {
-	for waited := time.Duration(0); ; waited += restartLook {
+// waitForRestart waits for discovery to report a later incarnation of the replica, and returns
+// whether it did within restartTimeout.
+func (c *crashGuard) waitForRestart(replica incarnation.Key) bool {
+	for waited := time.Duration(0); ; waited += restartPollInterval {
 		if c.incarnations.Newest(replica.ID).Succeeds(replica) {
 			return true
 		}
-		if waited >= restartNews {
+		if waited >= restartTimeout {
 			return false
 		}
-		c.sleep(restartLook)
+		c.sleep(restartPollInterval)
 	}
 }
 
-// ask asks a replica whether it has ended.
-func ask(ended func(context.Context) endedProbe) endedProbe {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+// probeEnded queries whether a replica has ended.
+func probeEnded(ended func(context.Context) endedResult) endedResult {
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	return ended(ctx)
 }
 
-// ended notes that a replica ended under a young run.
+// ended records that a replica ended during a young run.
 func (c *crashGuard) ended(requestID string, d quarantine.Digest, replica incarnation.Key) {
 	if !c.ledger.Ended(d, replica, time.Now()) {
 		return
@@ -168,23 +171,25 @@
 	verdict := c.ledger.Judge(d, time.Now())
 	c.logger.Warn("replica ended under a young run", zap.String("requestId", requestID), zap.Stringer("digest", d),
 		zap.Stringer("replica", replica), zap.Int("ends", verdict.Ends), zap.Bool("quarantined", verdict.Quarantined))
-	c.news.Publish(d)
+	c.notifier.Publish(d)
 }
 
-// endedProbe is what a question to a replica tells of whether it has ended.
-type endedProbe uint8
+// endedResult is the result of a query whether a replica has ended.
+type endedResult uint8
 
 const (
-	// endedUnknown: it did not answer.
-	endedUnknown endedProbe = iota
-	// endedNo: the same incarnation answered.
+	// endedUnknown means that the replica did not respond.
+	endedUnknown endedResult = iota
+	// endedNo means that the same incarnation responded.
 	endedNo
-	// endedYes: nobody listens at its address, or a later incarnation does.
+	// endedYes means that nothing listens at the replica's address, or that a later incarnation
+	// does.
 	endedYes
 )
 
-// probeOf reads the error of a question. Silence is no end.
-func probeOf(err error) endedProbe {
+// endedResultOf interprets the error of a query. A timeout does not prove that the replica has
+// ended.
+func endedResultOf(err error) endedResult {
 	switch {
 	case err == nil:
 		return endedNo
@@ -194,20 +199,20 @@
 	return endedUnknown
 }
 
-// engineEnded asks an engine whether it has ended since it was sent a request.
-func (h *Handler) engineEnded(address string, replica incarnation.Key) func(context.Context) endedProbe {
-	return func(context.Context) endedProbe {
-		report, err := h.asking.report(address)
+// engineEnded returns a query whether an engine has ended since it was sent a request.
+func (h *Handler) engineEnded(address string, replica incarnation.Key) func(context.Context) endedResult {
+	return func(context.Context) endedResult {
+		report, err := h.reportCache.report(address)
 		if err == nil && (incarnation.Key{ID: replica.ID, Born: report.Born}).Succeeds(replica) {
 			return endedYes
 		}
-		return probeOf(err)
+		return endedResultOf(err)
 	}
 }
 
-// targetEnded asks whether anybody listens at a plain replica's address.
-func (h *Handler) targetEnded(address string) func(context.Context) endedProbe {
-	return func(ctx context.Context) endedProbe {
-		return probeOf(h.touch(ctx, address))
+// targetEnded returns a query whether a plain replica has ended, by connecting to its address.
+func (h *Handler) targetEnded(address string) func(context.Context) endedResult {
+	return func(ctx context.Context) endedResult {
+		return endedResultOf(h.probeConnect(ctx, address))
 	}
 }
--- a/internal/relay/crash_guard_test.go
+++ b/internal/relay/crash_guard_test.go
@@ -19,19 +19,19 @@
 	"geraniumcroft/internal/quarantine"
 )
 
-// told collects what other VMs would be told.
-type told struct{ digests []quarantine.Digest }
+// recordingNotifier records the digests that are published to other VMs.
+type recordingNotifier struct{ digests []quarantine.Digest }
 
-func (n *told) Publish(d quarantine.Digest) { n.digests = append(n.digests, d) }
+func (n *recordingNotifier) Publish(d quarantine.Digest) { n.digests = append(n.digests, d) }
 
-func newTestGuard() (*crashGuard, *told) {
-	news := &told{}
+func newTestGuard() (*crashGuard, *recordingNotifier) {
+	notifier := &recordingNotifier{}
 	guard := newCrashGuard(Options{
-		Quarantine: quarantine.NewLedger(quarantine.DefaultSettings, time.Now()), QuarantineNotifier: news, Logger: zap.NewNop(),
+		Quarantine: quarantine.NewLedger(quarantine.DefaultSettings, time.Now()), QuarantineNotifier: notifier, Logger: zap.NewNop(),
 	})
-	guard.later = func(do func()) { do() }
+	guard.runAsync = func(do func()) { do() }
 	guard.sleep = func(time.Duration) {}
-	return guard, news
+	return guard, notifier
 }
 
 func newTestRequest() *request {
@@ -42,102 +42,103 @@
 	return &url.Error{Op: "Get", URL: "http://192.0.2.1/", Err: &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}}
 }
 
-// Guards against resets and silence that are taken for the end of a replica.
-func TestOnlyAReplicaThatIsGoneHasEnded(t *testing.T) {
+// Guards against taking a reset connection or a timeout for the end of a replica.
+func TestOnlyRefusedConnectionCountsAsEnded(t *testing.T) {
 	for name, c := range map[string]struct {
-		answers []error
+		results []error
 		ended   bool
 	}{
-		"refused":                     {[]error{refusedDial()}, true},
-		"answered":                    {[]error{nil}, false},
-		"silent, then refused":        {[]error{context.DeadlineExceeded, refusedDial()}, true},
-		"silent, then answered":       {[]error{os.ErrDeadlineExceeded, nil}, false},
-		"silent":                      {[]error{os.ErrDeadlineExceeded, os.ErrDeadlineExceeded}, false},
-		"reset while it was asked":    {[]error{syscall.ECONNRESET, nil}, false},
-		"an answer that is not right": {[]error{errors.New("status 500"), errors.New("status 500")}, false},
+		"refused":                {[]error{refusedDial()}, true},
+		"answered":               {[]error{nil}, false},
+		"timeout, then refused":  {[]error{context.DeadlineExceeded, refusedDial()}, true},
+		"timeout, then answered": {[]error{os.ErrDeadlineExceeded, nil}, false},
+		"silent":                 {[]error{os.ErrDeadlineExceeded, os.ErrDeadlineExceeded}, false},
+		"reset during the query": {[]error{syscall.ECONNRESET, nil}, false},
+		"an invalid response":    {[]error{errors.New("status 500"), errors.New("status 500")}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			guard, news := newTestGuard()
+			guard, notifier := newTestGuard()
 			q, asked := newTestRequest(), 0
-			guard.broke(q, incarnation.Key{ID: "a"}, func(context.Context) endedProbe {
+			guard.recordBrokenRun(q, incarnation.Key{ID: "a"}, func(context.Context) endedResult {
 				asked++
-				return probeOf(c.answers[asked-1])
+				return endedResultOf(c.results[asked-1])
 			})
-			if got := guard.judge(q).Ends == 1; got != c.ended || (len(news.digests) == 1) != c.ended {
-				t.Errorf("counted: %t, others told: %d times", got, len(news.digests))
+			if got := guard.assess(q).Ends == 1; got != c.ended || (len(notifier.digests) == 1) != c.ended {
+				t.Errorf("counted: %t, published: %d times", got, len(notifier.digests))
 			}
-			if asked != len(c.answers) {
-				t.Errorf("asked %d times", asked)
+			if asked != len(c.results) {
+				t.Errorf("queried %d times", asked)
 			}
 		})
 	}
 }
 
-// Guards against "not run" being told of a request that ran and crashed its replicas.
-func TestQuarantinedRequestThatRanIsNotToldAsNotRun(t *testing.T) {
+// Guards against reporting a quarantined request as not run although it ran and crashed its
+// replicas.
+func TestQuarantinedRequestThatRanIsNotReportedAsNotRun(t *testing.T) {
 	guard, _ := newTestGuard()
 	fresh, sent := newTestRequest(), newTestRequest()
 	if failure := guard.refusal(fresh); failure != nil {
-		t.Fatalf("refused before any replica ended: %v", failure)
+		t.Fatalf("refused before a replica ended: %v", failure)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		guard.broke(fresh, incarnation.Key{ID: id}, func(context.Context) endedProbe { return endedYes })
+		guard.recordBrokenRun(fresh, incarnation.Key{ID: id}, func(context.Context) endedResult { return endedYes })
 	}
 	if failure := guard.refusal(fresh); failure == nil || failure.Outcome != outcome.NotRun || failure.Reason != outcome.ReasonQuarantined || failure.RetryAfter <= 0 {
-		t.Errorf("a new attempt: %+v", failure)
+		t.Errorf("request not sent before: %+v", failure)
 	}
 	sent.boundary.Cross()
 	if failure := guard.refusal(sent); failure == nil || failure.Outcome != outcome.Unknown {
-		t.Errorf("an attempt that was sent: %+v", failure)
+		t.Errorf("request sent before: %+v", failure)
 	}
 }
 
-// restartAfter shows a replica's next incarnation from its nth look on, 0 for never.
-type restartAfter struct{ looks, nth int }
+// restartAfter returns a replica's next incarnation from the nth poll on, or never if nth is 0.
+type restartAfter struct{ polls, nth int }
 
 func (r *restartAfter) Newest(id string) incarnation.Key {
-	r.looks++
-	if r.nth > 0 && r.looks >= r.nth {
+	r.polls++
+	if r.nth > 0 && r.polls >= r.nth {
 		return incarnation.Key{ID: id, Born: 2}
 	}
 	return incarnation.Key{ID: id, Born: 1}
 }
 
-// Guards against a supervisor's restart, after which the address answers at once, hiding that a
-// call crashed its replica.
-func TestRestartThatDiscoveryTellsOfIsAnEnd(t *testing.T) {
-	const looks = int(restartNews/restartLook) + 1
+// Guards against missing that a call crashed its replica because a supervisor restarted the replica
+// and its address accepts connections again at once.
+func TestRestartReportedByDiscoveryCountsAsEnd(t *testing.T) {
+	const polls = int(restartTimeout/restartPollInterval) + 1
 	for name, c := range map[string]struct {
 		nth   int
 		ended bool
 	}{
-		"known at once":     {1, true},
-		"told a second on":  {int(time.Second/restartLook) + 1, true},
-		"told by the last":  {looks, true},
-		"told after it":     {looks + 1, false},
-		"no restart at all": {0, false},
+		"known at once":                {1, true},
+		"reported after a second":      {int(time.Second/restartPollInterval) + 1, true},
+		"reported at the last poll":    {polls, true},
+		"reported after the last poll": {polls + 1, false},
+		"no restart at all":            {0, false},
 	} {
 		guard, _ := newTestGuard()
 		guard.incarnations = &restartAfter{nth: c.nth}
 		q := newTestRequest()
-		guard.brokeAt(q, incarnation.Key{ID: "a", Born: 1}, func(context.Context) endedProbe { return endedNo })
-		if got := guard.judge(q).Ends == 1; got != c.ended {
+		guard.recordBrokenCall(q, incarnation.Key{ID: "a", Born: 1}, func(context.Context) endedResult { return endedNo })
+		if got := guard.assess(q).Ends == 1; got != c.ended {
 			t.Errorf("%s: counted: %t", name, got)
 		}
 	}
 }
 
-// Guards against "not run" being told of a request whose replica crashed, when it is kept from the
-// last replicas.
-func TestSuspectThatRanIsNotToldAsNotRun(t *testing.T) {
+// Guards against reporting a request that is kept from the last replicas as not run although its
+// replica crashed.
+func TestSuspectedRequestThatRanIsNotReportedAsNotRun(t *testing.T) {
 	guard, _ := newTestGuard()
 	fresh, sent := newTestRequest(), newTestRequest()
-	guard.broke(fresh, incarnation.Key{ID: "a"}, func(context.Context) endedProbe { return endedYes })
-	if failure := guard.spared(fresh); failure.Outcome != outcome.NotRun || failure.RetryAfter <= soon {
-		t.Errorf("a new attempt: %+v", failure)
+	guard.recordBrokenRun(fresh, incarnation.Key{ID: "a"}, func(context.Context) endedResult { return endedYes })
+	if failure := guard.lastEntryRefusal(fresh); failure.Outcome != outcome.NotRun || failure.RetryAfter <= defaultRetryAfter {
+		t.Errorf("request not sent before: %+v", failure)
 	}
 	sent.boundary.Cross()
-	if failure := guard.spared(sent); failure.Outcome != outcome.Unknown {
-		t.Errorf("an attempt that was sent: %+v", failure)
+	if failure := guard.lastEntryRefusal(sent); failure.Outcome != outcome.Unknown {
+		t.Errorf("request sent before: %+v", failure)
 	}
 }
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -1,21 +1,20 @@
-// Package relay serves requests that are bytes to be passed on unchanged, with the
-// replica's own answer and proof, where package router serves prompts whose tokens it
-// puts together itself. Both use the same gate, admission, choice of targets, dispatch
-// boundary, retry budget, connections and outcomes.
+// Package relay serves requests whose bytes are forwarded unchanged. The caller receives the
+// replica's own response and proof. Package router, in contrast, serves prompts and assembles the
+// tokens itself. Both use the same gate, admission, choice of targets, dispatch boundary, retry
+// budget, connections and outcomes.
 //
-// A request is one arrival. It is matched to its profile, admitted, sent to one
-// replica or, for a model that no card holds whole, along a path of replicas, and
-// ends with one outcome. Each send goes on a connection of its own that carries
-// nothing before or after it: there is no answer of an earlier request to mistake for
-// this one's, no connection that went silent while it was idle, and nothing below
-// that could send twice. It costs one handshake a request.
+// A request is matched to its profile, admitted, and sent to one replica or, for a model that no
+// single card holds, along a path of replicas. It ends with one outcome. Each send uses a new
+// connection that carries nothing else: no response of an earlier request can be mistaken for this
+// one's, no connection can have failed while it was idle, and no lower layer can send the request
+// twice. This costs one handshake per request.
 //
-// What happens under failure. Before a byte was sent another replica is tried. After
-// that a request that may not be repeated ends as unknown unless the replica says
-// that it did not run it; one that may be repeated is sent once more within the retry
-// budget. When a stream stalls its stages are asked for a connection, and its first replica
-// for the stage that stopped; it gets other holders of the stopped stages' layers without
-// being sent again. A stream that breaks goes on at the next event elsewhere, in the same answer.
-// An answer that cannot be completed ends with its connection, so that it looks as
-// incomplete as it is.
+// Failures are handled as follows. Before a byte was sent, another replica is tried. After that, a
+// request that may not be repeated ends as unknown unless the replica declares that it did not run
+// it; one that may be repeated is sent once more within the retry budget. When a stream stalls, its
+// stages are probed with a connection attempt, and its first replica is queried for the stage that
+// stopped. The stream is moved to other holders of the stopped stages' layers without being sent
+// again. A stream that breaks off continues at the next event on another path, within the same
+// response. A response that cannot be completed ends with its connection, so that the caller can
+// detect that it is incomplete.
 package relay
--- a/internal/relay/entry_error.go
+++ b/internal/relay/entry_error.go
@@ -2,13 +2,14 @@
 
 import "fmt"
 
-// EntryError says why an entry of discovery names no replica to use.
+// EntryError reports why an entry of discovery does not describe a usable replica.
 type EntryError struct {
-	// Field is what is wrong, by its name in the entry, "" for the entry as a whole.
+	// Field is the name of the invalid field in the entry, or "the entry" or "the key" if these are
+	// invalid themselves.
 	Field string
-	// Found is what stands there, shortened; "" if there is nothing.
+	// Found is the present value, shortened, "" if there is none.
 	Found string
-	// Want is what should.
+	// Want describes a valid value.
 	Want string
 }
 
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -8,22 +8,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEventBytes bounds one event.
+// maxEventBytes bounds the size of one event.
 const maxEventBytes = 1 << 20
 
-var errPartialEvent = errors.New("the stream ended within an event")
+var errPartialEvent = errors.New("stream ended within an event")
 
-// event is one whole event of a stream.
+// event is one complete event of a stream.
 type event struct {
-	// ID is "" for an event without one.
+	// ID is the event's id, "" if it has none.
 	ID string
-	// Raw is the event as it came, with the blank line that ends it.
+	// Raw is the event as received, including the blank line that ends it.
 	Raw []byte
 }
 
-// eventReader cuts a stream into whole events. A rest that never became one is not
-// returned: the replica that goes on sends that event again, and the caller would get
-// a part of it twice.
+// eventReader splits a stream into complete events. An incomplete event at the end is not returned:
+// the replica that resumes the stream sends that event again, and the caller would receive a part
+// of it twice.
 type eventReader struct {
 	lines *bufio.Reader
 	raw   []byte
@@ -33,8 +33,8 @@
 	return &eventReader{lines: bufio.NewReaderSize(r, 1<<10)}
 }
 
-// next returns the next event, io.EOF behind the last, and another error where the
-// stream broke off. The event is valid until the next call.
+// next returns the next event, io.EOF after the last one, and another error if the stream broke
+// off. The event is valid until the next call.
 func (e *eventReader) next() (event, error) {
 	e.raw = e.raw[:0]
 	var id string
@@ -62,7 +62,7 @@
 		case err == nil:
 			return nil
 		case len(e.raw) > maxEventBytes:
-			return errors.New("an event is too long")
+			return errors.New("event is too long")
 		case errors.Is(err, bufio.ErrBufferFull):
 		case errors.Is(err, io.EOF) && len(e.raw) > 0:
 			return errPartialEvent
@@ -72,5 +72,8 @@
 	}
 }
 
-// isEnd reports whether a stream ended where its replica ended it.
-func isEnd(err error) bool { return errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) }
+// isStreamEnd reports whether the replica itself ended the stream, as opposed to a stream that
+// broke off.
+func isStreamEnd(err error) bool {
+	return errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF)
+}
--- a/internal/relay/events_test.go
+++ b/internal/relay/events_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestEventsAreCutWhole(t *testing.T) {
+func TestStreamIsSplitIntoWholeEvents(t *testing.T) {
 	stream := "id: 1\ndata: a\n\nweight-versions: 2\nid:2\r\ndata: b\r\n\r\n: comment\n\n"
 	ids, raw, err := readEvents(stream)
 	if !errors.Is(err, io.EOF) || strings.Join(ids, ",") != "1,2," || strings.Join(raw, "") != stream {
@@ -28,12 +28,12 @@
 	}
 }
 
-// A replica breaks off within an event. The part must not be passed on: whoever goes on
-// with the stream sends that event again.
+// Guards against forwarding an incomplete event of a replica that breaks off: the replica that
+// resumes the stream sends that event again.
 func TestPartOfAnEventIsNotReturned(t *testing.T) {
 	for _, stream := range []string{"id: 1\ndata: a\n\nid: 2\ndata", "id: 1\ndata: a\n\nid: 2\ndata: b\n"} {
 		ids, _, err := readEvents(stream)
-		if len(ids) != 1 || isEnd(err) {
+		if len(ids) != 1 || isStreamEnd(err) {
 			t.Errorf("%q: ids %q, %v", stream, ids, err)
 		}
 	}
@@ -45,7 +45,7 @@
 	if len(raw) != 1 || raw[0] != long {
 		t.Errorf("%d events", len(raw))
 	}
-	if _, _, err := readEvents("data: " + strings.Repeat("x", maxEventBytes+1)); isEnd(err) {
-		t.Errorf("an endless event: %v", err)
+	if _, _, err := readEvents("data: " + strings.Repeat("x", maxEventBytes+1)); isStreamEnd(err) {
+		t.Errorf("event above the size limit: %v", err)
 	}
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// maxAnswerBytes bounds a replica's answer.
-	maxAnswerBytes = 64 << 20
-	// connectTimeout bounds the handshake. It takes about 2 ms; a replica that needs a
-	// hundred times that is down or cut off.
+	// maxResponseBytes bounds a replica's response.
+	maxResponseBytes = 64 << 20
+	// connectTimeout bounds the connection handshake. It usually takes about 2 ms; a replica that
+	// needs a hundred times that is down or unreachable.
 	connectTimeout = 250 * time.Millisecond
 )
 
-// exchange is one send of a request to one replica and its answer, on a connection of
-// their own.
+// exchange is one request to one replica with its response, on a connection that is used for
+// nothing else.
 type exchange struct {
-	conn   *transport.Conn
-	answer Response
-	resp   *http.Response
-	stop   func() bool
+	conn *transport.Conn
+	head Response
+	resp *http.Response
+	stop func() bool
 }
 
-// target is where a request is sent.
+// target is the destination of a request.
 type target struct {
 	address     string
 	incarnation incarnation.Key
@@ -40,7 +40,7 @@
 	path        layers.Path
 }
 
-// open sends the request and reads the head of the answer. The error is a *sendError.
+// open sends the request and reads the head of the response. The error is a *sendError.
 func (h *Handler) open(ctx context.Context, q *request, to target, lastEvent string) (*exchange, error) {
 	conn, err := h.connect(ctx, to.address)
 	if err != nil {
@@ -52,11 +52,11 @@
 	}
 	if ctx.Err() != nil || !q.boundary.Cross() {
 		conn.Close()
-		return nil, &sendError{Address: to.address, Cause: errors.New("the request ended before it was sent")}
+		return nil, &sendError{Address: to.address, Cause: errors.New("request ended before it was sent")}
 	}
 	x := &exchange{conn: conn, stop: context.AfterFunc(ctx, conn.Close)}
 	conn.Until(q.deadline)
-	out := h.outgoing(q, to, lastEvent)
+	out := h.outgoingRequest(q, to, lastEvent)
 	sentAt := time.Now()
 	h.Pushback.Sent(to.incarnation)
 	if sent, err := conn.Send(out); err != nil {
@@ -70,21 +70,21 @@
 		x.close()
 		return nil, &sendError{Address: to.address, Sent: true, Cause: err}
 	}
-	if x.answer.NotRun {
+	if x.head.NotRun {
 		q.boundary.DeclaredNotRun()
 	}
-	h.heard(to, x, sentAt)
+	h.applyPushback(to, x, sentAt)
 	return x, nil
 }
 
-// heard takes what the replica asks of its callers. An answer for want of the replica that was meant
-// comes from another one.
-func (h *Handler) heard(to target, x *exchange, sent time.Time) {
+// applyPushback records what the replica asks of its callers. A response with status 421 comes from
+// another replica than the intended one and is ignored.
+func (h *Handler) applyPushback(to target, x *exchange, sent time.Time) {
 	if x.resp.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
 	from := pushback.Origin{Replica: to.incarnation, DataCentre: to.dataCentre, Sent: sent}
-	h.Pushback.Heard(from, x.answer.Pushback, time.Now())
+	h.Pushback.Heard(from, x.head.Pushback, time.Now())
 }
 
 func (h *Handler) connect(ctx context.Context, address string) (*transport.Conn, error) {
@@ -93,13 +93,13 @@
 	return h.Pool.Connect(ctx, address, time.Hour)
 }
 
-func (h *Handler) outgoing(q *request, to target, lastEvent string) *http.Request {
-	header := withoutHops(q.header)
+func (h *Handler) outgoingRequest(q *request, to target, lastEvent string) *http.Request {
+	header := withoutHopHeaders(q.header)
 	if _, given := header["User-Agent"]; !given {
 		header["User-Agent"] = []string{""} // keeps net/http from adding its own
 	}
 	h.Codec.Encode(header, Outbound{
-		Left: q.left(), ReplicaID: to.incarnation.ID, Workspace: q.workspace,
+		Left: q.remaining(), ReplicaID: to.incarnation.ID, Workspace: q.workspace,
 		Priority: q.priority, Path: to.path, LastEventID: lastEvent,
 	})
 	target := *q.url
@@ -114,20 +114,20 @@
 	return out
 }
 
-// readHead reads the answer's head. One that is for another request belongs to nobody
-// here.
+// readHead reads the head of the response. It rejects one with an encoded body, and one that
+// belongs to another request unless the replica declares that it did not run the request.
 func (x *exchange) readHead(codec Codec, out *http.Request, requestID string) error {
-	resp, err := x.conn.ReadHead(out, maxAnswerBytes)
+	resp, err := x.conn.ReadHead(out, maxResponseBytes)
 	if err != nil {
 		return err
 	}
 	x.resp = resp
-	x.answer = codec.DecodeResponse(resp.StatusCode, resp.Header)
-	if x.answer.RequestID != requestID && !x.answer.NotRun {
-		return errors.Newf("the answer is for request %q", x.answer.RequestID)
+	x.head = codec.DecodeResponse(resp.StatusCode, resp.Header)
+	if x.head.RequestID != requestID && !x.head.NotRun {
+		return errors.Newf("response is for request %q", x.head.RequestID)
 	}
-	if x.answer.Encoded {
-		return errors.New("the answer's body is encoded")
+	if x.head.Encoded {
+		return errors.New("response body is encoded")
 	}
 	return nil
 }
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -13,11 +13,11 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// maxRetryShare is how much of the time that a caller has left it may be told to wait;
-// callers pass over anything longer.
-const maxRetryShare = 3
+// retryAfterDivisor bounds the time a caller may be told to wait to the time it has left divided by
+// this. Callers do not come back after anything longer.
+const retryAfterDivisor = 3
 
-// finish gives the request its one outcome in log and metrics.
+// finish records the single outcome of the request in the log and the metrics.
 func (h *Handler) finish(q *request, failure *outcome.Failure) {
 	ended, reason := outcome.Complete, outcome.Reason("")
 	if failure != nil {
@@ -26,7 +26,7 @@
 	if q.boundary != nil {
 		q.boundary.Close()
 		truthful := ended != outcome.NotRun || !q.boundary.MayHaveRun()
-		h.Invariants.Check(truthful, invariant.NoDispatchAfterEnd, "request %s was sent and told as not run", q.RequestID)
+		h.Invariants.Check(truthful, invariant.NoDispatchAfterEnd, "request %s was sent but is reported as not run", q.RequestID)
 	}
 	took := time.Since(q.arrival)
 	urgency := config.Normal
@@ -54,19 +54,19 @@
 		h.Logger.Info("request complete", fields...)
 		return
 	}
-	q.story.write(h.Logger)
+	q.decisionLog.write(h.Logger)
 	fields = append(fields, zap.Stringer("outcome", failure.Outcome), zap.String("reason", string(failure.Reason)),
 		zap.String("detail", failure.Detail), zap.Duration("retryAfter", failure.RetryAfter), zap.NamedError("cause", failure.Cause))
 	h.Logger.Warn("request failed", fields...)
 }
 
-// refuse answers a request that got no answer of a replica.
+// refuse responds to a request that has no response of a replica.
 func (h *Handler) refuse(w http.ResponseWriter, q *request, failure *outcome.Failure) {
 	status := statusOf(failure)
 	header := w.Header()
 	retryAfter := failure.RetryAfter
 	if q.Inbound.CallerTimeout > 0 {
-		retryAfter = min(retryAfter, (q.Inbound.CallerTimeout-time.Since(q.arrival))/maxRetryShare)
+		retryAfter = min(retryAfter, (q.Inbound.CallerTimeout-time.Since(q.arrival))/retryAfterDivisor)
 	}
 	h.Codec.EncodeRefusal(header, q.RequestID, max(0, retryAfter))
 	header.Set("Content-Type", "application/problem+json")
@@ -76,7 +76,7 @@
 	}
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a caller that is gone needs no answer
+	_, _ = w.Write(body) // a caller that has disconnected does not read it
 }
 
 // problem is the RFC 9457 body of a refusal.
@@ -88,8 +88,8 @@
 	Reason  string `json:"reason"`
 }
 
-// statusOf maps a failure to a status. Callers read 503 and 429 as the promise that
-// the request did not run, and 502 and 504 as no promise at all.
+// statusOf maps a failure to an HTTP status. Callers take 503 and 429 as a guarantee that the
+// request did not run; 502 and 504 guarantee nothing.
 func statusOf(f *outcome.Failure) int {
 	status := f.Reason.Status()
 	switch {
--- /dev/null
+++ b/internal/relay/generation.go
@@ -0,0 +1,276 @@
+package relay
+
+import (
+	"context"
+	"maps"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"go.uber.org/zap"
+
+	"geraniumcroft/internal/incarnation"
+	"geraniumcroft/internal/layers"
+	"geraniumcroft/internal/outcome"
+	"geraniumcroft/internal/sleep"
+	"geraniumcroft/internal/stall"
+)
+
+const (
+	// maxSends bounds the sends of one generation, including those that replicas rejected.
+	maxSends = 4
+	// maxResends bounds them for a stream of which the caller has received a part: full replicas
+	// may reject it, which costs little compared with the response so far.
+	maxResends = 12
+	// budgetPollInterval is the time between two checks of an exhausted retry budget.
+	budgetPollInterval = 100 * time.Millisecond
+	// defaultPromptTokens and defaultAnswerTokens are the sizes assumed for a generation that
+	// states none.
+	defaultPromptTokens = 800
+	defaultAnswerTokens = 200
+	// answerTokensMargin is the factor by which the expected answer exceeds the caller's estimate,
+	// which is right at the median and often far off.
+	answerTokensMargin = 1.2
+)
+
+// generation is one streamed request, over all its sends.
+type generation struct {
+	h     *Handler
+	q     *request
+	w     http.ResponseWriter
+	table *layers.Table
+	// avoid holds the replicas that the next path must not contain.
+	avoid map[incarnation.Key]bool
+
+	// events is the number of events that the caller has received, sends the number of times the
+	// request was sent.
+	events atomic.Int64
+	sends  atomic.Int32
+	// responseAt is when the head of the current send's response arrived, firstEventAt when its
+	// first event did. Both are zero before.
+	responseAt   time.Time
+	firstEventAt time.Time
+	// cleared is set once a run of this generation has succeeded.
+	cleared bool
+	// gaps are the statistics of the gaps between events so far.
+	gaps stall.GapStats
+
+	mu sync.Mutex // guards the fields below, which the stall watch also uses
+	// lastEvent is the id of the last event that the caller has received.
+	lastEvent string
+	// runs counts the replicas that may have run the request.
+	runs int
+	// prepared is a path for the next send, reserved before the current send was ended.
+	prepared *layers.Reservation
+	// closed is set when no further send will follow.
+	closed bool
+	// headSent is set once the head of the response was sent to the caller.
+	headSent bool
+}
+
+// serveGeneration serves a request along a path of replicas.
+func (h *Handler) serveGeneration(ctx context.Context, w http.ResponseWriter, q *request) {
+	g := &generation{h: h, q: q, w: w, table: h.Pools.of(q.service), avoid: map[incarnation.Key]bool{}, lastEvent: q.LastEventID}
+	failure := g.run(ctx)
+	g.close()
+	h.finish(q, failure)
+	switch {
+	case failure == nil:
+	case !g.headSent:
+		h.refuse(w, q, failure)
+	default:
+		// The head was sent before the failure, so only a broken connection can show that the
+		// response is incomplete.
+		panic(http.ErrAbortHandler)
+	}
+}
+
+func (g *generation) run(ctx context.Context) *outcome.Failure {
+	reservation, failure := g.admit(ctx)
+	if failure != nil {
+		return failure
+	}
+	for sends := 1; ; sends++ {
+		g.sends.Store(int32(sends))
+		err := g.send(ctx, reservation)
+		if err == nil {
+			return nil
+		}
+		g.q.decisionLog.add("send failed", zap.Error(err), zap.Int64("events", g.events.Load()), zap.Duration("ran", g.runTime()))
+		if reservation = g.takePrepared(); reservation == nil {
+			if reservation, failure = g.nextReservation(ctx, err); failure != nil {
+				return failure
+			}
+		}
+		g.h.Observer.Retry("resume")
+	}
+}
+
+// runTime returns how long the current send has run since the head of its response arrived, 0
+// before.
+func (g *generation) runTime() time.Duration {
+	if g.responseAt.IsZero() {
+		return 0
+	}
+	return time.Since(g.responseAt)
+}
+
+// nextReservation waits for a path for another send after one has ended with err.
+func (g *generation) nextReservation(ctx context.Context, err error) (*layers.Reservation, *outcome.Failure) {
+	if failure := g.h.crashes.refusal(g.q); failure != nil {
+		return nil, failure.WithCause(err)
+	}
+	if ctx.Err() != nil || !g.mayResend() || mayHaveArrived(err) && !g.waitForRetry(ctx) {
+		return nil, failureOf(ctx, g.q, err)
+	}
+	reservation, failure := g.admit(ctx)
+	if failure != nil && g.q.boundary.MayHaveRun() {
+		failure = outcome.Uncertain(outcome.ReasonTargetFailed, "the replica failed and no other one had room").WithCause(err)
+	}
+	return reservation, failure
+}
+
+// mayResend reports whether the generation may be sent again.
+func (g *generation) mayResend() bool {
+	mayRepeat := g.q.profile.Repeatable() || !g.q.boundary.MayHaveRun()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	resumable := g.events.Load() == 0 || g.q.profile.Resumable && g.lastEvent != ""
+	limit := maxSends
+	if g.events.Load() > 0 {
+		limit = maxResends
+	}
+	return mayRepeat && resumable && int(g.sends.Load()) < limit && g.runs < max(1, g.q.profile.MaxAttempts)
+}
+
+// takeRetry takes one send out of the retry budget and reports whether there was one.
+func (g *generation) takeRetry() bool {
+	return g.h.RetryBudgets.of(g.q.service).Take()
+}
+
+// waitForRetry is takeRetry, but waits for the budget if the caller has received a part of the
+// stream. Ending that stream would cut off a response that other replicas can still continue.
+func (g *generation) waitForRetry(ctx context.Context) bool {
+	for !g.takeRetry() {
+		if !g.headSent || !sleep.For(ctx, budgetPollInterval) {
+			return false
+		}
+	}
+	return true
+}
+
+// prepareResend reserves a path for another send while the current send continues, and reports
+// whether the current one may be ended. Without a reservation, a stream that its replica might
+// still continue would be cut off. The path excludes the given replicas and those that are fuller
+// than maxFull, 0 for no limit; see layers.Need.
+func (g *generation) prepareResend(without []incarnation.Key, maxFull float64) bool {
+	verdict := g.h.crashes.assess(g.q)
+	if !g.mayResend() || verdict.Quarantined {
+		return false
+	}
+	need := g.need()
+	need.MaxFull = maxFull
+	need.Avoid = map[incarnation.Key]bool{}
+	for _, k := range without {
+		need.Avoid[k] = true
+	}
+	need.SpareEntries = verdict.Spare
+	reservation, err := g.table.Reserve(need)
+	if err != nil {
+		return false
+	}
+	if !g.takeRetry() {
+		reservation.Done(false)
+		return false
+	}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.closed || g.prepared != nil {
+		reservation.Done(false)
+		return false
+	}
+	g.prepared = reservation
+	return true
+}
+
+func (g *generation) takePrepared() *layers.Reservation {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	reservation := g.prepared
+	g.prepared = nil
+	return reservation
+}
+
+// close prevents further sends and releases a prepared path that was not used.
+func (g *generation) close() {
+	g.mu.Lock()
+	g.closed = true
+	g.mu.Unlock()
+	if reservation := g.takePrepared(); reservation != nil {
+		reservation.Done(false)
+	}
+}
+
+func (g *generation) need() layers.Need {
+	q := g.q
+	prompt, answer := q.PromptTokens, q.LikelyAnswerTokens
+	if prompt <= 0 {
+		prompt = defaultPromptTokens
+	}
+	if answer <= 0 {
+		answer = defaultAnswerTokens
+	}
+	answer = int(answerTokensMargin * float64(answer))
+	if q.MaxAnswerTokens > 0 {
+		answer = min(answer, q.MaxAnswerTokens)
+	}
+	// The reservation keeps the need, and the stall watch reads it while this send may already be
+	// adding a replica to avoid. On a shared map that ends the process.
+	return layers.Need{Prompt: prompt, Answer: answer, DataCentre: g.h.DataCentre, Avoid: maps.Clone(g.avoid)}
+}
+
+// admit waits for a path with capacity.
+func (g *generation) admit(ctx context.Context) (*layers.Reservation, *outcome.Failure) {
+	var reservation *layers.Reservation
+	var pathErr error
+	need := g.need()
+	var quarantined *outcome.Failure
+	failure := g.h.admit(ctx, g.q, need.Prompt+need.Answer, g.headSent, func() bool {
+		if quarantined = g.h.crashes.refusal(g.q); quarantined != nil {
+			return true
+		}
+		need.SpareEntries = g.h.crashes.assess(g.q).Spare // a crash may have been recorded during the wait
+		r, err := g.table.Reserve(need)
+		pathErr = nil
+		if errors.Is(err, layers.ErrNoPath) || errors.Is(err, layers.ErrLastEntries) || !g.headSent && g.h.heldTooLong(g.q, err) != nil {
+			pathErr = err
+			return true
+		}
+		reservation = r
+		return err == nil
+	})
+	if failure != nil {
+		g.q.decisionLog.add("no path with capacity", zap.String("why", g.table.Bottleneck(need)))
+		return nil, failure
+	}
+	if quarantined != nil {
+		return nil, quarantined
+	}
+	if errors.Is(pathErr, layers.ErrLastEntries) {
+		return nil, g.h.crashes.lastEntryRefusal(g.q).WithCause(pathErr)
+	}
+	if held := g.h.heldTooLong(g.q, pathErr); held != nil {
+		return nil, refuseHeld(held)
+	}
+	if pathErr != nil && len(g.avoid) > 0 {
+		g.avoid = map[incarnation.Key]bool{}
+		return g.admit(ctx)
+	}
+	if pathErr != nil {
+		return nil, outcome.Refuse(outcome.ReasonNoTarget, "no path covers the model").
+			WithRetryAfter(g.h.shortages.retryAfter(pathShortage+g.q.service, defaultRetryAfter)).WithCause(pathErr)
+	}
+	return reservation, nil
+}
--- a/internal/relay/need_test.go
+++ b/internal/relay/generation_need_test.go
@@ -6,9 +6,9 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// A stream stands still and its watch looks for another path, while its send ends and notes one
-// more replica to avoid. Both had the same map: the process of the VM ended, with all requests
-// in its hands ("concurrent map iteration and map write").
+// Guards against a concurrent map access that ended the VM's process with all its requests in
+// progress ("concurrent map iteration and map write"): the watch of a stalled stream looks for
+// another path while the send ends and records one more replica to avoid. Both used the same map.
 func TestReservationHasItsOwnReplicasToAvoid(t *testing.T) {
 	g := &generation{h: &Handler{}, q: &request{}, avoid: map[incarnation.Key]bool{{ID: "first"}: true}}
 	need := g.need()
--- /dev/null
+++ b/internal/relay/generation_send.go
@@ -0,0 +1,187 @@
+package relay
+
+import (
+	"context"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"go.uber.org/zap"
+
+	"geraniumcroft/internal/invariant"
+	"geraniumcroft/internal/layers"
+	"geraniumcroft/internal/pushback"
+)
+
+// send sends the generation along the reserved path and forwards its events to the caller.
+func (g *generation) send(ctx context.Context, reservation *layers.Reservation) (err error) {
+	started := time.Now()
+	g.responseAt, g.firstEventAt = time.Time{}, time.Time{}
+	defer func() {
+		reservation.Done(err == nil)
+		g.h.Admission.Finished(g.q.service, time.Since(started))
+		g.h.Admission.Wake(g.q.service)
+	}()
+	path := reservation.Path()
+	first := path.First()
+	g.h.Invariants.Check(path.Covers(g.table.Layers()), invariant.LayersOnceInOrder, "path %s", path)
+	g.q.progress.path = path.String()
+	g.q.progress.sends++
+	g.h.prober.budget.Sent()
+	g.q.decisionLog.add("path chosen", zap.String("path", g.q.progress.path), zap.Duration("left", g.q.remaining()), zap.String("lastEvent", g.lastEvent))
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	watch := newStallWatch(ctx, g, reservation, cancel)
+	defer watch.stop()
+	x, err := g.h.open(ctx, g.q, target{address: first.Address, incarnation: first.Key(), dataCentre: first.DataCentre, path: path}, g.lastEvent)
+	if err != nil {
+		return g.handleSendError(ctx, first, err)
+	}
+	defer x.close()
+	if x.head.NotRun {
+		return g.handleRejection(x, path)
+	}
+	g.responseAt = time.Now()
+	g.mu.Lock()
+	g.runs++
+	g.q.runs = g.runs
+	g.mu.Unlock()
+	if x.resp.StatusCode != http.StatusOK {
+		return g.forwardFailure(x)
+	}
+	if err := g.forwardEvents(x, watch); err != nil {
+		return g.handleSendError(ctx, first, err)
+	}
+	return nil
+}
+
+// handleSendError marks the replica at fault to be avoided, which is the first one unless the
+// stream stalled at another. It marks none if the caller has left or the deadline has passed. It
+// returns the error that ended the send.
+func (g *generation) handleSendError(ctx context.Context, first layers.Replica, err error) error {
+	cause := context.Cause(ctx)
+	var stalled *stallError
+	var held *pushback.HeldError
+	switch {
+	case errors.As(err, &held):
+		return err // another path, or this one later; the replica is healthy
+	case errors.As(cause, &stalled):
+		g.avoid[stalled.Replica.Key()] = true
+		g.q.progress.replicaLeft(stalled.Replica.Address, stalled.Why)
+		return cause
+	case ctx.Err() != nil:
+		return err
+	}
+	g.avoid[first.Key()] = true
+	g.table.Suspect(first)
+	g.q.progress.replicaLeft(first.Address, "its connection broke")
+	if mayHaveArrived(err) && g.isYoung() {
+		g.h.crashes.recordBrokenRun(g.q, first.Key(), g.h.engineEnded(first.Address, first.Key()))
+	}
+	return err
+}
+
+// handleRejection marks the replica at fault to be avoided after the first replica declared that it
+// did not run the request.
+func (g *generation) handleRejection(x *exchange, path layers.Path) error {
+	fault := path.First()
+	if x.head.FaultAddress != "" {
+		fault = g.replicaAt(path, x.head.FaultAddress)
+	}
+	g.avoid[fault.Key()] = true
+	g.table.TurnedAway(fault)
+	g.q.progress.replicaLeft(fault.Address, "it turned the request away")
+	return &notRunError{Address: path.First().Address, Status: x.resp.StatusCode, Fault: fault.Address}
+}
+
+// replicaAt returns the replica at an address on the path, or else the one that is listed at the
+// address now: a report may still refer to the previous path.
+func (g *generation) replicaAt(path layers.Path, address string) layers.Replica {
+	if r, ok := path.At(address); ok {
+		return r
+	}
+	if r, ok := g.table.At(address); ok {
+		return r
+	}
+	return layers.Replica{Address: address}
+}
+
+// forwardFailure forwards a response that is the replica's own failure.
+func (g *generation) forwardFailure(x *exchange) error {
+	body, err := x.body()
+	if err != nil {
+		return err
+	}
+	g.runSucceeded()
+	if g.headSent {
+		return &sendError{Address: x.resp.Request.URL.Host, Sent: true, Cause: errors.Newf("status %d", x.resp.StatusCode)}
+	}
+	g.startResponse(x)
+	g.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	g.w.WriteHeader(x.resp.StatusCode)
+	_, _ = g.w.Write(body) // a caller that has disconnected does not read it
+	return nil
+}
+
+// forwardEvents forwards events until the stream ends.
+func (g *generation) forwardEvents(x *exchange, watch *stallWatch) error {
+	events := newEventReader(x.resp.Body)
+	control := http.NewResponseController(g.w)
+	for {
+		e, err := events.next()
+		if isStreamEnd(err) {
+			return g.finishResponse(x)
+		}
+		if err != nil {
+			return err
+		}
+		watch.eventArrived()
+		g.checkRunAge(time.Now())
+		g.q.progress.recordEvent(g.q.arrival, time.Now())
+		if !g.headSent {
+			g.startResponse(x)
+			g.w.WriteHeader(http.StatusOK)
+			g.h.Observer.FirstToken(g.q.urgency(), time.Since(g.q.arrival))
+		}
+		if err := g.writeEvent(control, e); err != nil {
+			return err
+		}
+	}
+}
+
+// finishResponse completes the response after the replica has ended the stream. A stream without
+// events is complete too.
+func (g *generation) finishResponse(x *exchange) error {
+	g.runSucceeded()
+	if !g.headSent {
+		g.startResponse(x)
+		g.w.WriteHeader(http.StatusOK)
+	}
+	return nil
+}
+
+func (g *generation) startResponse(x *exchange) {
+	g.headSent = true
+	header := g.w.Header()
+	for name, values := range withoutHopHeaders(x.resp.Header) {
+		header[name] = values
+	}
+	header.Del("Content-Length")
+}
+
+func (g *generation) writeEvent(control *http.ResponseController, e event) error {
+	if _, err := g.w.Write(e.Raw); err != nil {
+		return err
+	}
+	if err := control.Flush(); err != nil {
+		return err
+	}
+	g.events.Add(1)
+	if e.ID != "" {
+		g.mu.Lock()
+		g.lastEvent = e.ID
+		g.mu.Unlock()
+	}
+	return nil
+}
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -23,32 +23,32 @@
 )
 
 const (
-	// defaultDeadline holds where neither caller nor profile says one.
-	defaultDeadline = 30 * time.Second
-	// answerMargin is kept off the deadline, so that the last answer still arrives: the
-	// way to the caller and back, and one late turn of the processor.
-	answerMargin = 30 * time.Millisecond
-	// bodyTime bounds the reading of a request's body.
-	bodyTime = 10 * time.Second
-	// staleAfter is the age of the configuration from which an unknown key or path may
-	// be this VM's ignorance and not the caller's mistake: a caller with a key that was
-	// added while the VM heard nothing would be told 401, and not come back. Copies are
-	// confirmed within 2 s in calm times.
+	// defaultTimeout applies if neither the caller nor the profile sets a timeout.
+	defaultTimeout = 30 * time.Second
+	// responseMargin is subtracted from the deadline so that the last response still arrives in
+	// time. It covers the network path to the caller and back, and one scheduling delay.
+	responseMargin = 30 * time.Millisecond
+	// bodyReadTimeout bounds reading a request's body.
+	bodyReadTimeout = 10 * time.Second
+	// staleAfter is the age of the configuration above which an unknown key or path may be missing
+	// on this VM, rather than being the caller's mistake. Without it, a caller whose key was added
+	// while the VM was cut off would get 401 and not come back. Copies are confirmed within 2 s in
+	// normal operation.
 	staleAfter = 3 * time.Second
-	// maxHeldBodies bounds the bytes of all bodies in hand, beside one more for each
-	// connection that is being read. A VM has 184 MB and more.
-	maxHeldBodies = 48 << 20
-	// soon is when a request comes back that this VM could not serve for a reason that
-	// passes or that other VMs don't have.
-	soon = 200 * time.Millisecond
+	// maxBufferedBodies bounds the bytes of all buffered bodies, not counting one more body for
+	// each connection that is being read. A VM has at least 184 MB of memory.
+	maxBufferedBodies = 48 << 20
+	// defaultRetryAfter is when to retry a request that this VM could not serve for a reason that
+	// is temporary or does not apply to other VMs.
+	defaultRetryAfter = 200 * time.Millisecond
 )
 
-// Gate says whether this VM takes new requests.
+// Gate decides whether this VM accepts new requests. Check returns nil if it does.
 type Gate interface {
 	Check() *outcome.Failure
 }
 
-// Observer takes measurements; it must not block.
+// Observer receives measurements. Its methods must not block.
 type Observer interface {
 	Queued(u config.Urgency, took time.Duration)
 	FirstToken(u config.Urgency, took time.Duration)
@@ -56,7 +56,7 @@
 	Retry(kind string)
 }
 
-// Options are the parts that a Handler is put together from.
+// Options are the dependencies of a Handler.
 type Options struct {
 	DataCentre   string
 	ConfigSource ConfigSource
@@ -70,40 +70,42 @@
 	Pool         *transport.Pool
 	Observer     Observer
 	Invariants   *invariant.Registry
-	// Quarantine knows requests that crash replicas, and News tells other VMs of them.
+	// Quarantine records requests that crash replicas, QuarantineNotifier publishes its changes to
+	// other VMs.
 	Quarantine         *quarantine.Ledger
 	QuarantineNotifier QuarantineNotifier
-	// Pushback keeps what replicas ask of those who send to them.
+	// Pushback records what replicas ask of those that send to them.
 	Pushback *pushback.Ledger
-	// Incarnations are discovery's; nil leaves restarts of plain replicas uncounted.
+	// Incarnations is provided by discovery. If it is nil, restarts of plain replicas are not
+	// counted.
 	Incarnations Incarnations
 	Logger       *zap.Logger
 }
 
-// Handler serves callers. It is safe for concurrent use.
+// Handler serves the requests of callers. It is safe for concurrent use.
 type Handler struct {
 	Options
-	asking  *asking
-	prober  *stageProber
-	watches *stallWatches
-	// shortages tell refused callers when to come back.
+	reportCache *reportCache
+	prober      *stageProber
+	watches     *stallWatches
+	// shortages determines when refused callers should retry.
 	shortages *shortages
 	crashes   *crashGuard
 	inHand    atomic.Int64
-	// heldBodies is how many bytes of bodies are in hand.
-	heldBodies atomic.Int64
+	// bufferedBodies is the number of bytes of all buffered bodies.
+	bufferedBodies atomic.Int64
 }
 
-// New returns a handler.
+// New returns a handler with the given dependencies.
 func New(o Options) *Handler {
 	o.Balancer.OnFree(o.Admission.Wake)
-	h := &Handler{Options: o, asking: newAsking(o.Engines), watches: newStallWatches(), shortages: newShortages(), crashes: newCrashGuard(o)}
-	h.prober = newStageProber(h.touch)
+	h := &Handler{Options: o, reportCache: newReportCache(o.Engines), watches: newStallWatches(), shortages: newShortages(), crashes: newCrashGuard(o)}
+	h.prober = newStageProber(h.probeConnect)
 	return h
 }
 
-// touch opens a connection to a replica and closes it.
-func (h *Handler) touch(ctx context.Context, address string) error {
+// probeConnect opens a connection to a replica and closes it.
+func (h *Handler) probeConnect(ctx context.Context, address string) error {
 	conn, err := h.connect(ctx, address)
 	if err == nil {
 		conn.Close()
@@ -111,7 +113,7 @@
 	return err
 }
 
-// InHand returns how many requests have arrived and not ended.
+// InHand returns the number of requests that have arrived and not ended.
 func (h *Handler) InHand() int { return int(h.inHand.Load()) }
 
 // ServeHTTP implements http.Handler.
@@ -121,9 +123,9 @@
 	q := &request{
 		Inbound: h.Codec.Decode(r.Header), method: r.Method, host: r.Host, url: r.URL, header: r.Header, arrival: time.Now(),
 	}
-	q.story.id = q.RequestID
-	defer func() { h.heldBodies.Add(-int64(len(q.body))) }()
-	if failure := h.begin(q, w, r); failure != nil {
+	q.decisionLog.id = q.RequestID
+	defer func() { h.bufferedBodies.Add(-int64(len(q.body))) }()
+	if failure := h.accept(q, w, r); failure != nil {
 		h.finish(q, failure)
 		h.refuse(w, q, failure)
 		return
@@ -131,49 +133,49 @@
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
 	defer cancel()
 	if h.Pools.of(q.service) != nil {
-		h.generate(ctx, w, q)
+		h.serveGeneration(ctx, w, q)
 		return
 	}
-	h.call(ctx, w, q)
+	h.serveCall(ctx, w, q)
 }
 
-// begin looks the request up and reads it whole. Nothing has been sent, so every
+// accept looks up the request's profile and reads its body. Nothing has been sent yet, so every
 // failure is "not run".
-func (h *Handler) begin(q *request, w http.ResponseWriter, r *http.Request) *outcome.Failure {
+func (h *Handler) accept(q *request, w http.ResponseWriter, r *http.Request) *outcome.Failure {
 	q.config = h.ConfigSource.Config()
 	if listener.AboveLimit(r.Context()) {
 		w.Header().Set("Connection", "close")
 		return outcome.Refuse(outcome.ReasonOverloaded, "this VM has as many connections as it can serve").
-			WithRetryAfter(h.shortages.retryAfter(lackOfConnections, soon))
+			WithRetryAfter(h.shortages.retryAfter(connectionShortage, defaultRetryAfter))
 	}
 	if failure := h.Gate.Check(); failure != nil {
 		if q.config == nil {
-			return failure.WithRetryAfter(h.shortages.retryAfter(lackOfConfig, soon))
+			return failure.WithRetryAfter(h.shortages.retryAfter(configShortage, defaultRetryAfter))
 		}
-		return failure.WithRetryAfter(soon)
+		return failure.WithRetryAfter(defaultRetryAfter)
 	}
 	if q.config == nil {
-		return outcome.Refuse(outcome.ReasonStopping, "this VM has no configuration yet").WithRetryAfter(h.shortages.retryAfter(lackOfConfig, soon))
+		return outcome.Refuse(outcome.ReasonStopping, "this VM has no configuration yet").WithRetryAfter(h.shortages.retryAfter(configShortage, defaultRetryAfter))
 	}
-	if failure := h.look(q, r); failure != nil {
+	if failure := h.resolve(q, r); failure != nil {
 		return failure
 	}
-	if failure := h.read(q, w, r); failure != nil {
+	if failure := h.readBody(q, w, r); failure != nil {
 		return failure
 	}
 	q.digest = q.contentDigest()
-	q.deadline = q.arrival.Add(h.patience(q) - answerMargin)
+	q.deadline = q.arrival.Add(h.timeout(q) - responseMargin)
 	q.boundary = dispatch.NewBoundary(q.RequestID, q.profile.Repeatable(), h.Invariants)
 	q.service = q.profile.service(q.hash())
 	h.RetryBudgets.of(q.service).Fresh()
 	return h.crashes.refusal(q)
 }
 
-// look finds the profile and the workspace.
-func (h *Handler) look(q *request, r *http.Request) *outcome.Failure {
+// resolve finds the request's profile and workspace.
+func (h *Handler) resolve(q *request, r *http.Request) *outcome.Failure {
 	q.profile = q.config.Match(r.Host, r.URL.Path)
 	if q.profile == nil {
-		return h.unknown(outcome.ReasonUnknownProfile, "no profile has this host and path")
+		return h.refuseUnknown(outcome.ReasonUnknownProfile, "no profile has this host and path")
 	}
 	q.priority = q.profile.Priority
 	if !q.config.RequiresKey() || q.profile.Public {
@@ -181,7 +183,7 @@
 	}
 	workspace := q.config.Workspace(q.Key)
 	if workspace == nil {
-		return h.unknown(outcome.ReasonUnauthorized, "the key is not known")
+		return h.refuseUnknown(outcome.ReasonUnauthorized, "the key is not known")
 	}
 	q.workspace = workspace.Name
 	if workspace.HasPriority {
@@ -190,29 +192,29 @@
 	return nil
 }
 
-// unknown refuses what this VM does not know. While its configuration may be old the
-// caller is told to come back, because it may be right.
-func (h *Handler) unknown(reason outcome.Reason, detail string) *outcome.Failure {
+// refuseUnknown refuses a request whose profile or key this VM does not know. While the
+// configuration may be outdated, the caller is asked to retry, because the request may be valid.
+func (h *Handler) refuseUnknown(reason outcome.Reason, detail string) *outcome.Failure {
 	if age := h.ConfigSource.ConfigAge(); age > staleAfter {
-		return outcome.Refuse(outcome.ReasonIsolated, "this VM may not have the configuration in force").WithRetryAfter(asLongAgain(age, soon))
+		return outcome.Refuse(outcome.ReasonIsolated, "this VM may not have the configuration in force").WithRetryAfter(retryAfterFor(age, defaultRetryAfter))
 	}
 	return outcome.Refuse(reason, detail)
 }
 
-func (h *Handler) patience(q *request) time.Duration {
-	patience := q.profile.Timeout
-	if patience <= 0 {
-		patience = defaultDeadline
+func (h *Handler) timeout(q *request) time.Duration {
+	timeout := q.profile.Timeout
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
 	if q.CallerTimeout > 0 {
-		patience = min(patience, q.CallerTimeout)
+		timeout = min(timeout, q.CallerTimeout)
 	}
-	return patience
+	return timeout
 }
 
-// read takes the body in whole, so that a replica which answers early never leaves a
-// rest of it under way, and a second send has all of it.
-func (h *Handler) read(q *request, w http.ResponseWriter, r *http.Request) *outcome.Failure {
+// readBody reads the whole body, so that a replica that responds early never leaves a part of it
+// unsent, and a second send has all of it.
+func (h *Handler) readBody(q *request, w http.ResponseWriter, r *http.Request) *outcome.Failure {
 	if limit := q.config.Limits.HeaderBytes; limit > 0 && headerBytes(r) > limit {
 		return outcome.Refuse(outcome.ReasonHeadersTooLarge, "the request's head is larger than allowed")
 	}
@@ -220,14 +222,14 @@
 	if r.ContentLength == 0 {
 		return nil
 	}
-	if h.heldBodies.Load() > maxHeldBodies {
-		return outcome.Refuse(outcome.ReasonOverloaded, "this VM holds too many bodies").WithRetryAfter(soon)
+	if h.bufferedBodies.Load() > maxBufferedBodies {
+		return outcome.Refuse(outcome.ReasonOverloaded, "this VM holds too many bodies").WithRetryAfter(defaultRetryAfter)
 	}
 	if limit > 0 && r.ContentLength > limit {
 		return outcome.Refuse(outcome.ReasonTooLarge, "the body is larger than allowed")
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyTime)) // a connection that takes none is bounded by its caller
+	_ = control.SetReadDeadline(time.Now().Add(bodyReadTimeout)) // without support for deadlines, the caller bounds the read
 	defer func() { _ = control.SetReadDeadline(time.Time{}) }()
 	body := r.Body
 	if limit > 0 {
@@ -242,7 +244,7 @@
 		return outcome.Refuse(outcome.ReasonBadRequest, "the body did not arrive whole").WithCause(err)
 	}
 	q.body = whole
-	h.heldBodies.Add(int64(len(whole)))
+	h.bufferedBodies.Add(int64(len(whole)))
 	return nil
 }
 
--- a/internal/relay/held.go
+++ b/internal/relay/held.go
@@ -10,12 +10,13 @@
 	"geraniumcroft/internal/pushback"
 )
 
-// heldSpread is by how much longer callers are told to wait than replicas have asked for, at most,
-// so that they do not all come back at the same moment.
-const heldSpread = 0.5
+// heldJitter is the largest fraction by which callers are told to wait longer than replicas have
+// asked for, so that they do not all retry at the same time.
+const heldJitter = 0.5
 
-// heldTooLong returns the error if all replicas have asked not to be sent requests for longer than
-// the request may wait for its turn, or only other VMs may send to them, else nil.
+// heldTooLong returns the *pushback.HeldError in err if all replicas have asked not to be sent
+// requests for longer than the request may wait in the queue, or if only other VMs may send to
+// them. Otherwise it returns nil.
 func (h *Handler) heldTooLong(q *request, err error) *pushback.HeldError {
 	var held *pushback.HeldError
 	if !errors.As(err, &held) {
@@ -27,13 +28,13 @@
 	return held
 }
 
-// refuseHeld refuses a request that no replica takes until later.
+// refuseHeld refuses a request that no replica accepts until later.
 func refuseHeld(held *pushback.HeldError) *outcome.Failure {
-	left := soon // another VM may send to the replicas
+	wait := defaultRetryAfter // another VM may send to the replicas
 	if !held.Until.IsZero() {
-		left = max(soon, time.Until(held.Until))
+		wait = max(defaultRetryAfter, time.Until(held.Until))
 	}
-	spread := 1 + heldSpread*rand.Float64()
+	jitter := 1 + heldJitter*rand.Float64()
 	return outcome.Refuse(outcome.ReasonHeld, "all replicas have asked not to be sent requests now").
-		WithRetryAfter(time.Duration(spread * float64(left))).WithCause(held)
+		WithRetryAfter(time.Duration(jitter * float64(wait))).WithCause(held)
 }
--- a/internal/relay/held_test.go
+++ b/internal/relay/held_test.go
@@ -11,16 +11,17 @@
 	"geraniumcroft/internal/pushback"
 )
 
-// Guards against callers that wait until their deadline for replicas which are known to take nothing.
+// Guards against callers waiting until their deadline for replicas that are known to accept
+// nothing.
 func TestRequestIsRefusedAtOnceWhenReplicasAreHeldForLongerThanItMayWait(t *testing.T) {
 	h, now := &Handler{}, time.Now()
 	q := &request{arrival: now, profile: &Profile{Objective: 100 * time.Millisecond}}
 	soonOpen, late := &pushback.HeldError{Until: now.Add(200 * time.Millisecond)}, &pushback.HeldError{Until: now.Add(3 * time.Second)}
 	if h.heldTooLong(q, soonOpen) != nil || h.heldTooLong(q, balance.ErrNoCapacity) != nil {
-		t.Error("refused though it may wait")
+		t.Error("refused although it may wait")
 	}
 	if h.heldTooLong(q, &pushback.HeldError{}) == nil {
-		t.Error("waits though only other VMs may send")
+		t.Error("waits although only other VMs may send")
 	}
 	held := h.heldTooLong(q, errors.Wrap(late, "no slot"))
 	if held == nil {
--- a/internal/relay/limited_load_test.go
+++ b/internal/relay/limited_load_test.go
@@ -22,34 +22,35 @@
 
 const (
 	limitedPool = "desk"
-	// limitedTo is the limit of the only replica, in requests a second.
-	limitedTo = 10.0
-	// mayWait is how long a call may wait for its turn.
-	mayWait = 250 * time.Millisecond
-	// urgentEvery and bulkEvery are the times between two calls: five times the limit is wanted.
-	urgentEvery = 200 * time.Millisecond
-	bulkEvery   = 22 * time.Millisecond
-	loadLasts   = 20 * time.Second
+	// replicaLimit is the rate limit of the only replica, in requests per second.
+	replicaLimit = 10.0
+	// maxQueueWait is how long a call may wait in the queue.
+	maxQueueWait = 250 * time.Millisecond
+	// urgentInterval and bulkInterval are the times between two calls. The load is five times the
+	// limit.
+	urgentInterval = 200 * time.Millisecond
+	bulkInterval   = 22 * time.Millisecond
+	loadDuration   = 20 * time.Second
 )
 
-// limitedLoad is calls before one replica that names a limit, in virtual time.
+// limitedLoad makes calls to a single replica with a rate limit, in virtual time.
 type limitedLoad struct {
 	admission *admission.Controller
 	balancer  *balance.Balancer
 
-	mu             sync.Mutex // guards the fields below
-	served         map[config.Urgency]int
-	asked          map[config.Urgency]int
-	longestRefusal time.Duration
-	withoutReturn  int
+	mu                sync.Mutex // guards the fields below
+	served            map[config.Urgency]int
+	requested         map[config.Urgency]int
+	longestRefusal    time.Duration
+	withoutRetryAfter int
 }
 
 func newLimitedLoad() *limitedLoad {
 	replica := incarnation.Key{ID: "desk-0", Born: 1}
 	ledger := pushback.NewLedger(zap.NewNop())
 	ledger.SetFleet(pushback.Fleet{Self: "vm", Known: true, VMs: []pushback.VM{{Name: "vm"}}}, time.Now())
-	ledger.Heard(pushback.Origin{Replica: replica, Sent: time.Now()}, pushback.Signal{Limit: pushback.LimitOf(limitedTo)}, time.Now())
-	l := &limitedLoad{admission: admission.New(admission.Settings{}, invariant.Strict()), served: map[config.Urgency]int{}, asked: map[config.Urgency]int{}}
+	ledger.Heard(pushback.Origin{Replica: replica, Sent: time.Now()}, pushback.Signal{Limit: pushback.LimitOf(replicaLimit)}, time.Now())
+	l := &limitedLoad{admission: admission.New(admission.Settings{}, invariant.Strict()), served: map[config.Urgency]int{}, requested: map[config.Urgency]int{}}
 	gate := TargetGate{NewReplicaGate(ledger, l.admission.WakeAll)}
 	l.balancer = balance.New(balance.Settings{Gate: gate}, invariant.Strict())
 	l.balancer.OnFree(l.admission.Wake)
@@ -60,18 +61,18 @@
 	return l
 }
 
-// call asks for a slot as a call does, and notes what its caller gets.
+// call takes a slot in the way that the handler does, and records what the caller gets.
 func (l *limitedLoad) call(id string, u config.Urgency) {
 	arrived := time.Now()
 	var slot *balance.Slot
-	err := l.admission.Admit(context.Background(), &admission.Request{ID: id, Pool: limitedPool, Urgency: u, MaxQueueWait: mayWait}, func() bool {
+	err := l.admission.Admit(context.Background(), &admission.Request{ID: id, Pool: limitedPool, Urgency: u, MaxQueueWait: maxQueueWait}, func() bool {
 		picked, err := l.balancer.Pick(balance.Query{Pool: limitedPool, Urgency: u})
 		slot = picked
 		return err == nil
 	})
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked[u]++
+	l.requested[u]++
 	if err == nil {
 		l.served[u]++
 		go slot.Release(balance.ResultOK)
@@ -80,36 +81,36 @@
 	l.longestRefusal = max(l.longestRefusal, time.Since(arrived))
 	var failure *outcome.Failure
 	if !errors.As(err, &failure) || failure.Outcome != outcome.NotRun || failure.RetryAfter <= 0 {
-		l.withoutReturn++
+		l.withoutRetryAfter++
 	}
 }
 
-// every makes calls at an interval until the load is over.
-func (l *limitedLoad) every(interval time.Duration, u config.Urgency, calls *sync.WaitGroup) {
-	for n := range int(loadLasts / interval) {
+// callEvery makes calls at an interval until the load ends.
+func (l *limitedLoad) callEvery(interval time.Duration, u config.Urgency, calls *sync.WaitGroup) {
+	for n := range int(loadDuration / interval) {
 		time.Sleep(interval)
 		calls.Go(func() { l.call(fmt.Sprint(u, "-", n), u) })
 	}
 }
 
-// Guards against urgent calls that wait behind others for a replica which names a limit, against a limit
-// that is not used, and against refusals that come late or don't say when to come back.
+// Guards against urgent calls that wait behind others for a replica with a rate limit, against a
+// limit that is not used up, and against refusals that are late or have no Retry-After.
 func TestUrgentCallsGoFirstAtALimitedReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLimitedLoad()
 		var calls sync.WaitGroup
-		calls.Go(func() { l.every(urgentEvery, config.Urgent, &calls) })
-		l.every(bulkEvery, config.Bulk, &calls)
+		calls.Go(func() { l.callEvery(urgentInterval, config.Urgent, &calls) })
+		l.callEvery(bulkInterval, config.Bulk, &calls)
 		calls.Wait()
 		served := l.served[config.Urgent] + l.served[config.Bulk]
-		if l.served[config.Urgent] < l.asked[config.Urgent] {
-			t.Errorf("%d of %d urgent calls served", l.served[config.Urgent], l.asked[config.Urgent])
+		if l.served[config.Urgent] < l.requested[config.Urgent] {
+			t.Errorf("%d of %d urgent calls served", l.served[config.Urgent], l.requested[config.Urgent])
 		}
-		if most := limitedTo * loadLasts.Seconds(); float64(served) < 0.9*most || float64(served) > most+limitedTo {
+		if most := replicaLimit * loadDuration.Seconds(); float64(served) < 0.9*most || float64(served) > most+replicaLimit {
 			t.Errorf("%d calls served, the limit allows %g", served, most)
 		}
-		if l.longestRefusal > mayWait || l.withoutReturn > 0 {
-			t.Errorf("refused after up to %s, %d without the time to come back", l.longestRefusal, l.withoutReturn)
+		if l.longestRefusal > maxQueueWait || l.withoutRetryAfter > 0 {
+			t.Errorf("refused after up to %s, %d without Retry-After", l.longestRefusal, l.withoutRetryAfter)
 		}
 	})
 }
--- a/internal/relay/not_run_error.go
+++ b/internal/relay/not_run_error.go
@@ -6,7 +6,7 @@
 type notRunError struct {
 	Address string
 	Status  int
-	// Fault is the replica of the path that could not take its part, "" if unknown.
+	// Fault is the address of the replica on the path that could not take part, "" if unknown.
 	Fault string
 }
 
--- a/internal/relay/pools.go
+++ b/internal/relay/pools.go
@@ -7,7 +7,7 @@
 	"geraniumcroft/internal/layers"
 )
 
-// Pools holds the view of each model's replicas. It is safe for concurrent use.
+// Pools holds the table of replicas of each model's service. It is safe for concurrent use.
 type Pools struct {
 	mu      sync.RWMutex // guards the fields below
 	tables  map[string]*layers.Table
@@ -15,17 +15,17 @@
 	gate    layers.Gate
 }
 
-// NewPools returns no pools.
+// NewPools returns an empty set of pools.
 func NewPools() *Pools { return &Pools{tables: map[string]*layers.Table{}} }
 
-// of returns the table of a service, nil for a plain one.
+// of returns the table of a service, nil for one without a model.
 func (p *Pools) of(service string) *layers.Table {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	return p.tables[service]
 }
 
-// Update takes over the replicas of a model's service.
+// Update replaces the replicas of a model's service.
 func (p *Pools) Update(service string, spec *layers.Spec, replicas []layers.Replica) {
 	p.mu.Lock()
 	table := p.tables[service]
@@ -41,7 +41,7 @@
 	table.Update(spec, replicas)
 }
 
-// SetSharers tells how many VMs share the replicas.
+// SetSharers sets how many VMs share the replicas.
 func (p *Pools) SetSharers(s layers.Sharers) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,14 +51,15 @@
 	}
 }
 
-// SetGate sets what holds replicas back. It is called before the first Update.
+// SetGate sets the gate that withholds requests from replicas. It must be called before the first
+// Update.
 func (p *Pools) SetGate(gate layers.Gate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.gate = gate
 }
 
-// SetLoads takes over what replicas of any pool reported.
+// SetLoads records the loads reported by replicas of any pool.
 func (p *Pools) SetLoads(loads map[incarnation.Key]layers.Load) {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -67,7 +68,7 @@
 	}
 }
 
-// Covered reports whether every model's layers are all held.
+// Covered reports whether the replicas hold all layers of every model.
 func (p *Pools) Covered() bool {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -79,7 +80,7 @@
 	return true
 }
 
-// Dump returns the state of all pools.
+// Dump returns the state of all pools by service.
 func (p *Pools) Dump() map[string][]layers.Dump {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
--- a/internal/relay/profile.go
+++ b/internal/relay/profile.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Profile says how the requests of one host and path prefix are served.
+// Profile defines how the requests of one host and path prefix are served.
 type Profile struct {
 	Name string
 	Host string
-	// Prefix begins the paths of the profile's requests; it ends with a slash.
+	// Prefix is the start of the paths of the profile's requests. It ends with a slash.
 	Prefix string
-	// Idempotent requests may run more than once.
+	// Idempotent is set if requests may run more than once.
 	Idempotent bool
-	// Resumable generations may go on at another replica behind the last event.
+	// Resumable is set if generations may continue on another replica after the last event.
 	Resumable bool
-	// Public requests need no key.
+	// Public is set if requests need no API key.
 	Public bool
-	// Timeout bounds a request from its arrival.
+	// Timeout bounds the duration of a request from its arrival.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to the first event, that callers expect.
+	// Objective is the time to the response, or to the first event, that callers expect.
 	Objective time.Duration
-	// Gap is the longest pause between two events of a generation that callers expect, 0 if
-	// the operator does not say.
+	// Gap is the longest pause between two events of a generation that callers expect, 0 if the
+	// operator sets none.
 	Gap time.Duration
 	// MaxAttempts is how many replicas one request may run on.
 	MaxAttempts int
-	// Priority ranks requests; 0 goes first.
+	// Priority ranks requests; 0 is the highest.
 	Priority int
-	// Backends are where requests go; which of them serve a model along a path is in
-	// Config.Services.
+	// Backends are the services that requests are sent to. Config.Services states which of them
+	// serve a model along a path.
 	Backends []Backend
 }
 
-// Backend is one service that a profile's requests go to, by weight.
+// Backend is a service that receives a profile's requests in proportion to its weight.
 type Backend struct {
 	Service string
 	Weight  int
@@ -39,8 +39,8 @@
 // Repeatable reports whether a request may run more than once.
 func (p *Profile) Repeatable() bool { return p.Idempotent || p.Resumable }
 
-// service chooses the backend of a request. The choice depends on the request alone,
-// so a second send goes to the same service.
+// service returns the backend's service for a request, "" if there is none. The choice depends on
+// the request's hash alone, so that a second send goes to the same service.
 func (p *Profile) service(hash uint64) string {
 	total := 0
 	for _, b := range p.Backends {
--- a/internal/relay/progress.go
+++ b/internal/relay/progress.go
@@ -7,33 +7,32 @@
 	"go.uber.org/zap"
 )
 
-// progress is how a generation went. The log's line of a completed stream has it, so
-// that a stream which was late says where its time went.
+// progress records the course of a generation. It is part of the request's log line, so that the
+// line shows what a late stream spent its time on.
 type progress struct {
-	// path is the last one that it was sent along.
+	// path is the last path that the request was sent along.
 	path string
-	// waited is the time that it waited for room before its first event.
+	// waited is the time spent waiting for capacity before the first event.
 	waited time.Duration
-	// first is the time from the arrival to the first event, longest the longest pause
+	// firstEvent is the time from the arrival to the first event, longestPause the longest pause
 	// between two events.
-	first   time.Duration
-	longest time.Duration
-	last    time.Time
-	// ended is what ended the longest pause.
-	ended pauseEnd
-	sends int
-	// moves counts the changes of path without another send. The watch of a stalled
-	// stream writes it.
+	firstEvent   time.Duration
+	longestPause time.Duration
+	lastEvent    time.Time
+	// endedBy is what ended the longest pause.
+	endedBy pauseEnd
+	sends   int
+	// moves counts the changes of path without another send. The stall watch updates it.
 	moves atomic.Int32
-	// sendsThen and movesThen are what they were at the last event.
-	sendsThen int
-	movesThen int32
-	// fault is the replica that was last left, and evidence who told of it.
+	// sendsAtLastEvent and movesAtLastEvent are the values of sends and moves at the last event.
+	sendsAtLastEvent int
+	movesAtLastEvent int32
+	// fault is the address of the replica that was left last, evidence the reason for leaving it.
 	fault    string
 	evidence string
 }
 
-// pauseEnd is what let a stream go on after a pause.
+// pauseEnd is what ended a pause of a stream.
 type pauseEnd string
 
 const (
@@ -42,37 +41,37 @@
 	pauseSentAnew pauseEnd = "sent anew"
 )
 
-// event notes that an event came.
-func (p *progress) event(arrival, now time.Time) {
-	if p.last.IsZero() {
-		p.first = now.Sub(arrival)
-	} else if pause := now.Sub(p.last); pause > p.longest {
-		p.longest, p.ended = pause, p.pauseEnd()
+// recordEvent records the arrival of an event.
+func (p *progress) recordEvent(arrival, now time.Time) {
+	if p.lastEvent.IsZero() {
+		p.firstEvent = now.Sub(arrival)
+	} else if pause := now.Sub(p.lastEvent); pause > p.longestPause {
+		p.longestPause, p.endedBy = pause, p.pauseEnd()
 	}
-	p.last = now
-	p.sendsThen, p.movesThen = p.sends, p.moves.Load()
+	p.lastEvent = now
+	p.sendsAtLastEvent, p.movesAtLastEvent = p.sends, p.moves.Load()
 }
 
-// pauseEnd says what has changed since the last event.
+// pauseEnd returns what has changed since the last event.
 func (p *progress) pauseEnd() pauseEnd {
 	switch {
-	case p.sends > p.sendsThen:
+	case p.sends > p.sendsAtLastEvent:
 		return pauseSentAnew
-	case p.moves.Load() > p.movesThen:
+	case p.moves.Load() > p.movesAtLastEvent:
 		return pauseMoved
 	}
 	return pauseByItself
 }
 
-// waitedFor notes that a send had to wait for room.
-func (p *progress) waitedFor(took time.Duration) {
-	if p.last.IsZero() {
+// addWait records that a send waited for capacity.
+func (p *progress) addWait(took time.Duration) {
+	if p.lastEvent.IsZero() {
 		p.waited += took
 	}
 }
 
-// left notes that a send left a replica, and on whose word.
-func (p *progress) left(address, evidence string) {
+// replicaLeft records that a send left a replica, and on what evidence.
+func (p *progress) replicaLeft(address, evidence string) {
 	p.fault, p.evidence = address, evidence
 }
 
@@ -81,11 +80,11 @@
 		return nil
 	}
 	fields := []zap.Field{
-		zap.String("path", p.path), zap.Duration("waited", p.waited), zap.Duration("firstEvent", p.first), zap.Duration("longestPause", p.longest),
+		zap.String("path", p.path), zap.Duration("waited", p.waited), zap.Duration("firstEvent", p.firstEvent), zap.Duration("longestPause", p.longestPause),
 		zap.Int("sends", p.sends), zap.Int32("moves", p.moves.Load()),
 	}
-	if p.longest > 0 {
-		fields = append(fields, zap.String("pauseEnded", string(p.ended)))
+	if p.longestPause > 0 {
+		fields = append(fields, zap.String("pauseEnded", string(p.endedBy)))
 	}
 	if p.fault != "" {
 		fields = append(fields, zap.String("fault", p.fault), zap.String("evidence", p.evidence))
--- a/internal/relay/repath_error.go
+++ b/internal/relay/repath_error.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// RepathError reports that a replica did not take the order to move a request.
+// RepathError reports that a replica refused the order to move a request to another path.
 type RepathError struct {
 	Status int
-	// Address is that of a stage of the new path which is not there, "" if none was named.
+	// Address is the address of a stage of the new path that is gone, "" if none was named.
 	Address string
 }
 
--- a/internal/relay/replica.go
+++ b/internal/relay/replica.go
@@ -6,6 +6,6 @@
 type Replica struct {
 	layers.Replica
 	Service string
-	// Slots is how many requests the replica works on at once.
+	// Slots is how many requests the replica processes at once.
 	Slots int
 }
--- a/internal/relay/gate.go
+++ b/internal/relay/replica_gate.go
@@ -10,8 +10,8 @@
 	"geraniumcroft/internal/pushback"
 )
 
-// ReplicaGate holds replicas back as they have asked, and wakes what waits for them when they may be
-// sent requests again. It is safe for concurrent use.
+// ReplicaGate withholds requests from replicas as these have asked, and wakes what waits for a
+// replica once it may be sent requests again. It is safe for concurrent use.
 type ReplicaGate struct {
 	ledger *pushback.Ledger
 	wake   func()
@@ -45,7 +45,7 @@
 	return g.ledger.Take(replica, now)
 }
 
-// wakeAt arms the timer for a moment, unless it fires before that.
+// wakeAt arms the timer for the given time unless it fires before that.
 func (g *ReplicaGate) wakeAt(at, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -67,7 +67,7 @@
 	g.wake()
 }
 
-// TargetGate is a ReplicaGate for those that know replicas by their targets' names.
+// TargetGate is a ReplicaGate for users that identify replicas by the names of their targets.
 type TargetGate struct{ *ReplicaGate }
 
 // Open implements balance.Gate.
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -12,7 +12,7 @@
 	"geraniumcroft/internal/quarantine"
 )
 
-// request is one arrival in hand.
+// request is a caller's request in progress.
 type request struct {
 	Inbound
 	method  string
@@ -21,7 +21,7 @@
 	header  http.Header
 	body    []byte
 	arrival time.Time
-	// deadline is when the caller or the profile gives up.
+	// deadline is the end of the caller's or the profile's timeout, less responseMargin.
 	deadline time.Time
 
 	config    *Config
@@ -29,11 +29,11 @@
 	workspace string
 	priority  int
 	service   string
-	// digest identifies the content once the body was read.
-	digest   quarantine.Digest
-	boundary *dispatch.Boundary
-	story    story
-	// progress of a generation, for the log.
+	// digest identifies the content. It is set once the body has been read.
+	digest      quarantine.Digest
+	boundary    *dispatch.Boundary
+	decisionLog decisionLog
+	// progress is that of a generation, for the log.
 	progress progress
 	// runs counts the replicas that may have run the request.
 	runs int
@@ -41,17 +41,17 @@
 
 func (q *request) hash() uint64 { return xxhash.Sum64String(q.RequestID) }
 
-// contentDigest identifies what the request asks for; its body must have been read.
+// contentDigest returns the digest of what the request asks for. The body must have been read.
 func (q *request) contentDigest() quarantine.Digest {
 	return quarantine.DigestOf(quarantine.Content{
 		Method: q.method, Host: q.host, URI: q.url.RequestURI(), Workspace: q.workspace, Body: q.body,
 	})
 }
 
-// left is how long the request may still take.
-func (q *request) left() time.Duration { return time.Until(q.deadline) }
+// remaining returns the time until the deadline.
+func (q *request) remaining() time.Duration { return time.Until(q.deadline) }
 
-// urgency maps the operator's ranks to the levels of admission.
+// urgency maps the operator's priorities to the urgencies of admission.
 func (q *request) urgency() config.Urgency {
 	switch {
 	case q.priority <= 0:
@@ -62,5 +62,5 @@
 	return config.Bulk
 }
 
-// lastNormalPriority is the last of the ten ranks that is not bulk.
+// lastNormalPriority is the last of the ten priorities that is not bulk.
 const lastNormalPriority = 4
--- a/internal/relay/budgets.go
+++ b/internal/relay/retry_budgets.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// budgetMargin is how much of the allowance this VM uses. The rest covers VMs that
-	// this one does not know of, and requests that are counted at another moment.
-	budgetMargin = 0.85
-	// unknownVMs is how many VMs are taken to share the slack before they were counted, a
-	// few more than the largest fleet of today has. A whole fleet may start while the
-	// store is away, and each VM must not take the part that it would have in a small one.
-	unknownVMs = 100
+	// budgetFraction is the fraction of the allowance that this VM uses. The rest covers VMs that
+	// this one does not know of, and requests that are counted at different times.
+	budgetFraction = 0.85
+	// defaultVMs is the number of VMs assumed to share the slack before they were counted, a few
+	// more than the largest current fleet has. A whole fleet may start during a store outage, and
+	// each VM must not take the share that it would have in a small fleet.
+	defaultVMs = 100
 )
 
 // RetryBudgetSettings are the fleet's allowance of sends beyond the first, for one service.
 type RetryBudgetSettings struct {
-	// Share is the part of fresh requests that may be sent again.
+	// Share is the fraction of fresh requests that may be sent again.
 	Share float64
-	// Slack is what may be sent again beside it in each Window, by all VMs together.
+	// Slack is the number of sends allowed beyond that share in each Window, by all VMs together.
 	Slack  float64
 	Window time.Duration
 }
@@ -35,12 +35,12 @@
 	budgets map[string]*dispatch.WindowBudget
 }
 
-// NewRetryBudgets returns the budgets of a VM that does not know yet how many share the slack.
+// NewRetryBudgets returns the budgets of a VM that does not know yet how many VMs share the slack.
 func NewRetryBudgets(s RetryBudgetSettings) *RetryBudgets {
-	return &RetryBudgets{settings: s, vms: unknownVMs, budgets: map[string]*dispatch.WindowBudget{}}
+	return &RetryBudgets{settings: s, vms: defaultVMs, budgets: map[string]*dispatch.WindowBudget{}}
 }
 
-// SetVMs tells how many VMs share the slack.
+// SetVMs sets the number of VMs that share the slack.
 func (b *RetryBudgets) SetVMs(vms int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -50,15 +50,15 @@
 	}
 }
 
-// slack is this VM's part of the slack. b.mu is held.
-func (b *RetryBudgets) slack() float64 { return budgetMargin * b.settings.Slack / float64(b.vms) }
+// slack returns this VM's share of the slack. b.mu must be held.
+func (b *RetryBudgets) slack() float64 { return budgetFraction * b.settings.Slack / float64(b.vms) }
 
 func (b *RetryBudgets) of(service string) *dispatch.WindowBudget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	budget := b.budgets[service]
 	if budget == nil {
-		budget = dispatch.NewWindowBudget(budgetMargin*b.settings.Share, b.slack(), b.settings.Window)
+		budget = dispatch.NewWindowBudget(budgetFraction*b.settings.Share, b.slack(), b.settings.Window)
 		b.budgets[service] = budget
 	}
 	return budget
--- a/internal/relay/send_error.go
+++ b/internal/relay/send_error.go
@@ -6,10 +6,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// sendError reports a send without an answer's head.
+// sendError reports a send that ended without the head of a response.
 type sendError struct {
 	Address string
-	// Sent says whether a byte of the request may have left this VM.
+	// Sent is set if a byte of the request may have left this VM.
 	Sent  bool
 	Cause error
 }
@@ -22,20 +22,20 @@
 	return fmt.Sprintf("not sent to %s: %v", e.Address, e.Cause)
 }
 
-// mayHaveArrived reports whether a send that failed may have reached a replica. One that
-// did not is no repetition when the request is sent once more, and costs no retry budget:
-// else a few dead replicas use up what is needed for those that answer.
+// mayHaveArrived reports whether a failed send may have reached a replica. If it did not, sending
+// the request again is no repetition and costs no retry budget; otherwise a few dead replicas would
+// use up the budget needed for those that respond.
 func mayHaveArrived(err error) bool {
 	var failed *sendError
 	return !errors.As(err, &failed) || failed.Sent
 }
 
-// Unwrap implements the errors package's convention.
+// Unwrap returns the cause.
 func (e *sendError) Unwrap() error { return e.Cause }
 
-// brokeOff reports whether a send that failed had reached its replica, which did not say that it
-// did not run the request.
-func brokeOff(err error) bool {
+// brokeAfterSend reports whether a failed send had reached its replica, which did not declare that
+// it did not run the request.
+func brokeAfterSend(err error) bool {
 	var failed *sendError
 	return errors.As(err, &failed) && failed.Sent
 }
--- a/internal/relay/shortages.go
+++ b/internal/relay/shortages.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// calmAfter is how long nothing must have been refused for a shortage to be over: at 5
-	// requests a second to a small VM, a second without a refusal is no chance.
-	calmAfter = time.Second
-	// longestReturn bounds what callers are told to wait. They pass over more than a third
-	// of the time that they have left, 6.6 s of 20 s.
-	longestReturn = 6 * time.Second
-	// returnSpread is by how much the time may be longer or shorter, so that those who were
-	// refused in the same moment do not come back in one.
-	returnSpread = 0.25
+	// shortageQuietPeriod is how long nothing must have been refused for a shortage to be over. At
+	// 5 requests per second to a small VM, a second without a refusal is unlikely to be chance.
+	shortageQuietPeriod = time.Second
+	// maxRetryAfter bounds the time that callers are told to wait. They do not come back after more
+	// than a third of the time they have left, 6.6 s of 20 s.
+	maxRetryAfter = 6 * time.Second
+	// retryAfterJitter is the fraction by which that time is varied in both directions, so that
+	// callers refused at the same time do not retry at the same time.
+	retryAfterJitter = 0.25
 )
 
-// What may be lacking; of a service its name follows.
+// The resources that may be short. The name of the service follows where there is one.
 const (
-	lackOfConfig      = "configuration"
-	lackOfConnections = "connections"
-	lackOfPath        = "path of "
-	lackOfRoom        = "room of "
+	configShortage     = "configuration"
+	connectionShortage = "connections"
+	pathShortage       = "path of "
+	capacityShortage   = "room of "
 )
 
-// shortages tell refused callers when to come back. A caller comes back once, so what
-// counts is that the shortage is over by then. How long it will last nobody knows; of one
-// that has lasted for a while, as long again is the best guess.
+// shortages determines when refused callers should retry. A caller retries once, so the shortage
+// should be over by then. How long it will last is unknown; for one that has lasted for some time,
+// as long again is the best estimate.
 type shortages struct {
 	mu    sync.Mutex // guards the field below
 	spans map[string]shortage
 }
 
-// shortage is one span of refusals.
+// shortage is one period of refusals.
 type shortage struct {
 	since time.Time
 	last  time.Time
@@ -42,25 +42,25 @@
 
 func newShortages() *shortages { return &shortages{spans: map[string]shortage{}} }
 
-// retryAfter notes a refusal for the lack of something and returns when to come back, not
-// before the least time.
-func (s *shortages) retryAfter(lacking string, least time.Duration) time.Duration {
+// retryAfter records a refusal for lack of a resource and returns when to retry, at least minWait
+// before jitter.
+func (s *shortages) retryAfter(resource string, minWait time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	span := s.spans[lacking]
-	if now.Sub(span.last) > calmAfter {
+	span := s.spans[resource]
+	if now.Sub(span.last) > shortageQuietPeriod {
 		span.since = now
 	}
 	span.last = now
-	s.spans[lacking] = span
-	return asLongAgain(now.Sub(span.since), least)
+	s.spans[resource] = span
+	return retryAfterFor(now.Sub(span.since), minWait)
 }
 
-// asLongAgain is when to come back from a lack that has lasted for a time, not before the
-// least time.
-func asLongAgain(lasted, least time.Duration) time.Duration {
-	wait := min(longestReturn, max(least, lasted))
-	spread := 1 + returnSpread*(2*rand.Float64()-1)
-	return time.Duration(spread * float64(wait))
+// retryAfterFor returns when to retry after a shortage that has lasted for the elapsed time. The
+// result is at least minWait and at most maxRetryAfter before jitter.
+func retryAfterFor(elapsed, minWait time.Duration) time.Duration {
+	wait := min(maxRetryAfter, max(minWait, elapsed))
+	jitter := 1 + retryAfterJitter*(2*rand.Float64()-1)
+	return time.Duration(jitter * float64(wait))
 }
--- a/internal/relay/shortages_test.go
+++ b/internal/relay/shortages_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// A VM knows no configuration for three seconds, as the store is away. Its callers come
-// back once, when they are told to. Each that is refused must be told a time after which
-// the lack is likely over, and those refused together not the same one; with 200 ms for
-// all, whoever came in the first 2.8 s was refused twice.
+// Guards against refusing callers twice. A VM has no configuration for three seconds, during a
+// store outage, and its callers retry once, when they are told to. Each must be told a time after
+// which the shortage is likely over, and callers refused together must not all get the same one.
+// With 200 ms for all, every caller of the first 2.8 s was refused twice.
 func TestCallersComeBackWhenAShortageMayBeOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const lasts = 3 * time.Second
@@ -18,7 +18,7 @@
 		twice, all := 0, 0
 		for time.Since(began) < lasts {
 			all++
-			if back := time.Since(began) + s.retryAfter(lackOfConfig, soon); back < lasts {
+			if back := time.Since(began) + s.retryAfter(configShortage, defaultRetryAfter); back < lasts {
 				twice++
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -29,23 +29,23 @@
 	})
 }
 
-// A shortage is over once nothing was refused for a while; the next one begins anew, and
-// the first who meet it are not sent away for as long as the last one took.
+// A shortage is over once nothing was refused for some time. The next one starts anew: its first
+// callers are not told to wait for as long as the last one lasted.
 func TestShortagesEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newShortages()
 		for range 40 {
-			s.retryAfter(lackOfRoom, soon)
+			s.retryAfter(capacityShortage, defaultRetryAfter)
 			time.Sleep(100 * time.Millisecond)
 		}
-		if wait := s.retryAfter(lackOfRoom, soon); wait < 2*time.Second || wait > longestReturn*5/4 {
-			t.Errorf("after 4 s callers are to come back after %s", wait)
+		if wait := s.retryAfter(capacityShortage, defaultRetryAfter); wait < 2*time.Second || wait > maxRetryAfter*5/4 {
+			t.Errorf("after 4 s, callers are told to retry after %s", wait)
 		}
-		if wait := s.retryAfter(lackOfPath, soon); wait > time.Second {
-			t.Errorf("another lack: %s", wait)
+		if wait := s.retryAfter(pathShortage, defaultRetryAfter); wait > time.Second {
+			t.Errorf("another resource: %s", wait)
 		}
-		time.Sleep(2 * calmAfter)
-		if wait := s.retryAfter(lackOfRoom, soon); wait > time.Second {
+		time.Sleep(2 * shortageQuietPeriod)
+		if wait := s.retryAfter(capacityShortage, defaultRetryAfter); wait > time.Second {
 			t.Errorf("a new shortage: %s", wait)
 		}
 	})
--- a/internal/relay/stage_prober.go
+++ b/internal/relay/stage_prober.go
@@ -13,73 +13,74 @@
 )
 
 const (
-	// stageAnswer is how long a stage may take to accept a connection, which takes some 2 ms.
-	stageAnswer = 60 * time.Millisecond
-	// nextDial is after how long a stage that has not answered is asked on one more connection, of
-	// maxDials: packets may be lost, or its listener full for a moment.
-	nextDial = 15 * time.Millisecond
-	maxDials = 3
-	// dialLate is by how much a wait may be longer than asked for before this VM is taken for the
-	// one that was held up.
-	dialLate = 10 * time.Millisecond
-	// takenFresh is how long the answer of a stage that accepts connections holds, and goneFresh
-	// that of one that does not.
-	takenFresh = time.Second
-	goneFresh  = time.Second
+	// probeTimeout is how long a stage may take to accept a connection. About 2 ms is usual.
+	probeTimeout = 60 * time.Millisecond
+	// dialInterval is the time after which a stage that has not responded is dialled again, up to
+	// maxDials times: packets may be lost, or its accept queue may be full for a moment.
+	dialInterval = 15 * time.Millisecond
+	maxDials     = 3
+	// maxDialDelay is how much longer than probeTimeout a probe may take. If it takes longer, this
+	// VM is assumed to have been held up, not the stage.
+	maxDialDelay = 10 * time.Millisecond
+	// acceptedTTL is how long the result of a stage that accepts connections is valid, failedTTL
+	// that of a stage that does not.
+	acceptedTTL = time.Second
+	failedTTL   = time.Second
 )
 
-// stageProber asks stages whether they accept connections, once for all streams of this VM that
-// want to know.
+// stageProber probes whether stages accept connections, once for all streams of this VM that need
+// the result.
 type stageProber struct {
 	connect func(ctx context.Context, address string) error
 	budget  *stall.ProbeBudget
-	answers *keptAnswers[stall.ProbeResult]
+	results *ttlCache[stall.ProbeResult]
 }
 
 func newStageProber(connect func(ctx context.Context, address string) error) *stageProber {
-	return &stageProber{connect: connect, budget: stall.NewProbeBudget(), answers: newKeptAnswers[stall.ProbeResult]()}
+	return &stageProber{connect: connect, budget: stall.NewProbeBudget(), results: newTTLCache[stall.ProbeResult]()}
 }
 
-// ask asks all stages at once, and returns how many of the answers were not known before.
-func (p *stageProber) ask(stages []stall.Stage) (asked []stall.ProbedStage, dialled int) {
-	asked = make([]stall.ProbedStage, len(stages))
+// probeAll probes all stages whose result is not cached, concurrently and as far as the budget
+// allows. It returns the results and how many probes it made.
+func (p *stageProber) probeAll(stages []stall.Stage) (probed []stall.ProbedStage, dialled int) {
+	probed = make([]stall.ProbedStage, len(stages))
 	var all sync.WaitGroup
 	for i, stage := range stages {
-		answer, known := p.answers.recent(stage.Address)
-		asked[i] = stall.ProbedStage{Stage: stage, ProbeResult: answer}
+		result, known := p.results.get(stage.Address)
+		probed[i] = stall.ProbedStage{Stage: stage, ProbeResult: result}
 		if known || !p.budget.Left() {
 			continue
 		}
 		dialled++
-		all.Go(func() { asked[i].ProbeResult = p.question(stage.Address) })
+		all.Go(func() { probed[i].ProbeResult = p.probe(stage.Address) })
 	}
 	all.Wait()
-	return asked, dialled
+	return probed, dialled
 }
 
-// question asks one stage, together with others that ask it now.
-func (p *stageProber) question(address string) stall.ProbeResult {
-	answer, _ := p.answers.once(address, func() (stall.ProbeResult, error) {
-		if answer, ok := p.answers.recent(address); ok {
-			return answer, nil
+// probe probes one stage, merged with concurrent probes of it.
+func (p *stageProber) probe(address string) stall.ProbeResult {
+	result, _ := p.results.do(address, func() (stall.ProbeResult, error) {
+		if result, ok := p.results.get(address); ok {
+			return result, nil
 		}
 		if !p.budget.Take() {
 			return stall.ProbeUnknown, nil
 		}
-		answer := p.dial(address)
-		p.keep(address, answer)
-		return answer, nil
+		result := p.dial(address)
+		p.put(address, result)
+		return result, nil
 	})
-	return answer
+	return result
 }
 
-// dial asks on one connection, and on others as long as nothing comes back.
+// dial connects to a stage, and again while there is no response.
 func (p *stageProber) dial(address string) stall.ProbeResult {
-	ctx, cancel := context.WithTimeout(context.Background(), stageAnswer)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	started := time.Now()
 	results := make(chan error, maxDials)
-	next := time.NewTicker(nextDial)
+	next := time.NewTicker(dialInterval)
 	defer next.Stop()
 	for dials := 0; ctx.Err() == nil; {
 		if dials < maxDials {
@@ -88,19 +89,20 @@
 		}
 		select {
 		case err := <-results:
-			return answerOf(err)
+			return probeResultOf(err)
 		case <-next.C:
 		case <-ctx.Done():
 		}
 	}
-	if time.Since(started) > stageAnswer+dialLate {
+	if time.Since(started) > probeTimeout+maxDialDelay {
 		return stall.ProbeUnknown
 	}
 	return stall.ProbeTimedOut
 }
 
-// answerOf reads the error of a connection. A reset comes from a listener that is there.
-func answerOf(err error) stall.ProbeResult {
+// probeResultOf interprets the error of a connection attempt. A reset shows that there is a
+// listener.
+func probeResultOf(err error) stall.ProbeResult {
 	var timeout net.Error
 	switch {
 	case err == nil, errors.Is(err, syscall.ECONNRESET):
@@ -113,12 +115,12 @@
 	return stall.ProbeUnknown
 }
 
-// keep remembers an answer for as long as it holds.
-func (p *stageProber) keep(address string, answer stall.ProbeResult) {
-	switch answer {
+// put caches a result for as long as it is valid. An unknown result is not cached.
+func (p *stageProber) put(address string, result stall.ProbeResult) {
+	switch result {
 	case stall.ProbeAccepted:
-		p.answers.keep(address, answer, takenFresh)
+		p.results.put(address, result, acceptedTTL)
 	case stall.ProbeRefused, stall.ProbeTimedOut:
-		p.answers.keep(address, answer, goneFresh)
+		p.results.put(address, result, failedTTL)
 	}
 }
--- a/internal/relay/stage_prober_test.go
+++ b/internal/relay/stage_prober_test.go
@@ -15,43 +15,43 @@
 
 var oneStage = []stall.Stage{{Address: "192.0.2.1:80", DataCentre: "north"}}
 
-func TestAnswersOfStages(t *testing.T) {
+func TestProbeResults(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	for name, c := range map[string]struct {
 		err    error
-		answer stall.ProbeResult
+		result stall.ProbeResult
 	}{
-		"takes the connection":  {nil, stall.ProbeAccepted},
-		"resets it, being full": {syscall.ECONNRESET, stall.ProbeAccepted},
-		"refuses it":            {refused, stall.ProbeRefused},
-		"no handle is left":     {syscall.EMFILE, stall.ProbeUnknown},
+		"accepts the connection":     {nil, stall.ProbeAccepted},
+		"resets it when full":        {syscall.ECONNRESET, stall.ProbeAccepted},
+		"refuses it":                 {refused, stall.ProbeRefused},
+		"no file descriptor is left": {syscall.EMFILE, stall.ProbeUnknown},
 	} {
 		prober := newStageProber(func(context.Context, string) error { return c.err })
-		if got, _ := prober.ask(oneStage); got[0].ProbeResult != c.answer {
+		if got, _ := prober.probeAll(oneStage); got[0].ProbeResult != c.result {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
 }
 
-// Guards against a lost packet that is taken for a stage that stopped.
-func TestSilentStageIsAskedTwice(t *testing.T) {
+// Guards against taking a lost packet for a stage that stopped.
+func TestUnresponsiveStageIsDialledAgain(t *testing.T) {
 	for name, c := range map[string]struct {
-		answersFrom int32
-		answer      stall.ProbeResult
+		respondsFrom int32
+		result       stall.ProbeResult
 	}{
-		"the second question is answered": {2, stall.ProbeAccepted},
-		"none is":                         {9, stall.ProbeTimedOut},
+		"the second dial is answered": {2, stall.ProbeAccepted},
+		"none is":                     {9, stall.ProbeTimedOut},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var dials atomic.Int32
 			prober := newStageProber(func(ctx context.Context, _ string) error {
-				if dials.Add(1) >= c.answersFrom {
+				if dials.Add(1) >= c.respondsFrom {
 					return nil
 				}
 				<-ctx.Done()
 				return ctx.Err()
 			})
-			if got, _ := prober.ask(oneStage); got[0].ProbeResult != c.answer {
+			if got, _ := prober.probeAll(oneStage); got[0].ProbeResult != c.result {
 				t.Errorf("%s: %v", name, got)
 			}
 			synctest.Wait()
@@ -59,13 +59,13 @@
 	}
 }
 
-// Guards against each stream of a VM asking the same stages.
-func TestStreamsShareAnswers(t *testing.T) {
+// Guards against each stream of a VM probing the same stages.
+func TestStreamsShareProbeResults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var dials atomic.Int32
 		prober := newStageProber(func(context.Context, string) error { dials.Add(1); return nil })
 		for range 10 {
-			prober.ask(oneStage)
+			prober.probeAll(oneStage)
 		}
 		if dials.Load() != 1 {
 			t.Errorf("%d connections", dials.Load())
@@ -73,13 +73,13 @@
 	})
 }
 
-// Guards against questions without end where all paths stand still again and again.
-func TestQuestionsEndWithTheBudget(t *testing.T) {
-	prober := newStageProber(func(context.Context, string) error { return errors.New("not an answer that is kept") })
+// Guards against unlimited probes if all paths stall repeatedly.
+func TestProbesEndWithTheBudget(t *testing.T) {
+	prober := newStageProber(func(context.Context, string) error { return errors.New("not a result that is cached") })
 	for range 1000 {
-		prober.ask(oneStage)
+		prober.probeAll(oneStage)
 	}
 	if prober.budget.Take() {
-		t.Error("questions are left after 1000")
+		t.Error("probes are left after 1000")
 	}
 }
--- a/internal/relay/stall_error.go
+++ b/internal/relay/stall_error.go
@@ -6,9 +6,9 @@
 	"geraniumcroft/internal/layers"
 )
 
-// stallError ends a send whose stream stands still and could not be moved.
+// stallError ends a send whose stream stalled and could not be moved.
 type stallError struct {
-	// Replica is the one that stopped.
+	// Replica is the replica that stopped.
 	Replica layers.Replica
 	// Why is the evidence against it.
 	Why string
@@ -16,5 +16,5 @@
 
 // Error implements error.
 func (e *stallError) Error() string {
-	return fmt.Sprintf("the stream stands still at %s: %s", e.Replica.Address, e.Why)
+	return fmt.Sprintf("stream stalled at %s: %s", e.Replica.Address, e.Why)
 }
--- a/internal/relay/stall_move.go
+++ b/internal/relay/stall_move.go
@@ -17,47 +17,51 @@
 const (
 	// moveTimeout bounds the order to take another path.
 	moveTimeout = 300 * time.Millisecond
-	// movePatience is how long a moved stream may take: the new stage reads all tokens
-	// so far first.
-	movePatience = 600 * time.Millisecond
-	// roomyPath is how full the replicas of a path may be that a stream takes in place of a late move.
-	roomyPath = 0.6
-	// leastLeft is the least part of the accepted pause that holders are given to read in: one in so
-	// many.
-	leastLeft = 4
-	// maxOrders bounds the orders to move in one pause; each may name one more stage that is gone.
-	maxOrders = 2
+	// moveGrace is the time that a moved stream is given before it is checked again: the new stage
+	// first reads all tokens so far.
+	moveGrace = 600 * time.Millisecond
+	// maxPathLoad is how full the replicas of a path may be that a stream takes instead of a late
+	// move.
+	maxPathLoad = 0.6
+	// minReadDivisor sets the least time that holders are given to read the tokens: the longest
+	// accepted gap divided by this.
+	minReadDivisor = 4
+	// maxMoveOrders bounds the orders to move in one call of reroute. Each refusal may name one
+	// more stage that is gone.
+	maxMoveOrders = 2
 )
 
-// move takes the stream round the stages that stopped, and returns when to look again: to other
-// holders of their layers nearby, else along another path from its last event on, else to holders
-// far away. If none has room it asks again. Where the holders nearby can't read all the streams
-// that come to them in time, the rest go along another path first, if one has room to spare: reading
-// the whole prompt anew takes more of a fleet that is full than a late move does.
-func (w *stallWatch) move(p pause, stopped []string) time.Duration {
+// moveStream moves the stream past the stages that stopped, and returns the time until the next
+// check. It tries other holders of their layers nearby, then another path from the last event on,
+// then holders far away. If none has capacity, the check is repeated. If the holders nearby cannot
+// read the tokens of all streams that move to them in time, the streams in excess first try another
+// path, if one has capacity to spare: reading the whole prompt again costs a full fleet more than a
+// late move does.
+func (w *stallWatch) moveStream(c stallCheck, stopped []string) time.Duration {
 	path := w.reservation.Path()
 	for _, address := range stopped {
 		w.g.table.Suspect(w.g.replicaAt(path, address))
 	}
 	const why = "a stage of its path stopped"
 	fault := w.g.replicaAt(path, stopped[0])
-	if crowded := w.crowded(stopped); len(crowded) > 0 && w.leave(p, fault, why, crowded, roomyPath) {
-		return movePatience
+	if crowded := w.crowded(stopped); len(crowded) > 0 && w.resendAvoiding(c, fault, why, crowded, maxPathLoad) {
+		return moveGrace
 	}
-	if w.detour(path.First(), stopped, true) || w.elsewhere(p, fault, why) || w.detour(path.First(), stopped, false) {
-		return movePatience
+	if w.reroute(path.First(), stopped, true) || w.resendElsewhere(c, fault, why) || w.reroute(path.First(), stopped, false) {
+		return moveGrace
 	}
-	return askAgain
+	return recheckInterval
 }
 
-// crowded returns the holders nearby that this stream leaves to others, as they can't read all in
-// time; which streams do is left to chance, as the VMs don't know of each other's.
+// crowded returns the holders nearby that this stream leaves to others because they cannot read the
+// tokens of all streams in time. The streams that leave are chosen at random, since VMs do not know
+// of each other's streams.
 func (w *stallWatch) crowded(stopped []string) []incarnation.Key {
 	gap := stall.MaxGap(w.g.q.profile.Gap)
 	w.mu.Lock()
-	left := gap - time.Since(w.last)
+	remaining := gap - time.Since(w.lastEvent)
 	w.mu.Unlock()
-	crowd, ok := w.reservation.Crowd(stopped, int(w.g.events.Load()), max(left, gap/leastLeft))
+	crowd, ok := w.reservation.Crowd(stopped, int(w.g.events.Load()), max(remaining, gap/minReadDivisor))
 	if !ok || rand.Float64() < crowd.InTime {
 		return nil
 	}
@@ -66,15 +70,15 @@
 	return crowd.Holders
 }
 
-// detour moves the stream without sending it again, and reports whether it did. An order that is
-// refused as one more stage is gone is given again without that one.
-func (w *stallWatch) detour(first layers.Replica, stopped []string, near bool) bool {
-	for range maxOrders {
+// reroute moves the stream without sending it again, and reports whether it did. An order that is
+// refused because one more stage is gone is repeated without that stage.
+func (w *stallWatch) reroute(first layers.Replica, stopped []string, near bool) bool {
+	for range maxMoveOrders {
 		path, err := w.reservation.Detour(stopped, int(w.g.events.Load()), near)
 		if err != nil {
 			return false
 		}
-		err = w.order(first, path, stopped, near)
+		err = w.orderMove(first, path, stopped, near)
 		var refused *RepathError
 		switch {
 		case err == nil:
@@ -88,8 +92,8 @@
 	return false
 }
 
-// order gives the order to move.
-func (w *stallWatch) order(first layers.Replica, path layers.Path, stopped []string, near bool) error {
+// orderMove orders the first replica to move the stream.
+func (w *stallWatch) orderMove(first layers.Replica, path layers.Path, stopped []string, near bool) error {
 	w.g.q.progress.moves.Add(1)
 	ctx, cancel := context.WithTimeout(w.ctx, moveTimeout)
 	defer cancel()
@@ -99,18 +103,18 @@
 	return err
 }
 
-// elsewhere ends the send if the stream can go on along another path, and reports
-// whether it did. If it cannot, the stream is left to its replica, which may yet go on
-// with it: silence alone is no reason to cut an answer off.
-func (w *stallWatch) elsewhere(p pause, stopped layers.Replica, why string) bool {
-	return w.leave(p, stopped, why, nil, 0)
+// resendElsewhere ends the send if the stream can continue along another path, and reports whether
+// it did. If it cannot, the stream is left with its replica, which may still continue it: a stall
+// alone is no reason to cut off a response.
+func (w *stallWatch) resendElsewhere(c stallCheck, stopped layers.Replica, why string) bool {
+	return w.resendAvoiding(c, stopped, why, nil, 0)
 }
 
-// leave is elsewhere, along a path without some more replicas and without those that are fuller
-// than maxFull, 0 for any.
-func (w *stallWatch) leave(p pause, stopped layers.Replica, why string, without []incarnation.Key, maxFull float64) bool {
+// resendAvoiding is resendElsewhere along a path that excludes the given replicas and those that
+// are fuller than maxFull, 0 for no limit.
+func (w *stallWatch) resendAvoiding(c stallCheck, stopped layers.Replica, why string, without []incarnation.Key, maxFull float64) bool {
 	w.g.table.Suspect(stopped)
-	if !w.still(p) || !w.g.prepare(append(without, stopped.Key()), maxFull) {
+	if !w.stillStalled(c) || !w.g.prepareResend(append(without, stopped.Key()), maxFull) {
 		return false
 	}
 	w.g.h.Logger.Info("stream sent elsewhere", zap.String("requestId", w.g.q.RequestID), zap.String("from", stopped.Address), zap.String("why", why))
--- a/internal/relay/stall_watch.go
+++ b/internal/relay/stall_watch.go
@@ -11,21 +11,23 @@
 )
 
 const (
-	// firstPatience is how long a stream may take to its first event before it is asked why.
-	firstPatience = 300 * time.Millisecond
-	// maxStageRounds is how often the stages are asked in one pause: a stage may end just after
-	// it was passed or has answered.
-	maxStageRounds = 2
-	// wakeLate is by how much a watch may be late before this VM is taken for the one that stood
-	// still; what has arrived meanwhile is read first.
-	wakeLate  = 50 * time.Millisecond
-	readFirst = 20 * time.Millisecond
+	// firstEventTimeout is how long a stream may take to its first event before the cause is
+	// investigated.
+	firstEventTimeout = 300 * time.Millisecond
+	// maxProbeRounds is how often the stages are probed during one stall. A stage may end just
+	// after it was passed or has responded.
+	maxProbeRounds = 2
+	// maxTimerDelay is how late a check may start before this VM is assumed to have been frozen
+	// itself. The check is then repeated after lateCheckDelay, so that events that have arrived
+	// meanwhile are read first.
+	maxTimerDelay  = 50 * time.Millisecond
+	lateCheckDelay = 20 * time.Millisecond
 )
 
-// stallWatch looks after one send. When its stream stands still it asks the stages that may have
-// stopped for a connection, and then the path's first replica, which names a stage that stopped.
-// It moves the stream to other holders of those stages' layers. If nothing helps it ends the send,
-// so that the stream goes on elsewhere before the caller leaves.
+// stallWatch monitors one send. When its stream stalls, it probes the stages that may have stopped
+// with a connection attempt, and then queries the path's first replica, which names a stage that
+// stopped. It moves the stream to other holders of those stages' layers. If nothing helps it ends
+// the send, so that the stream continues on another path before the caller leaves.
 type stallWatch struct {
 	g           *generation
 	ctx         context.Context
@@ -34,58 +36,63 @@
 
 	mu    sync.Mutex // guards the fields below
 	timer *time.Timer
-	// due is when the timer fires, events how many events came.
-	due    time.Time
-	last   time.Time
-	events int
-	pace   stall.GapStats
-	// movesThen are the moves at the last event: a pause with a move says nothing of the pace.
-	movesThen int32
-	unheard   int
-	rounds    int
-	checking  bool
-	hinted    bool
-	stopped   bool
-	// stages are those of the path that begins at stagesOf.
+	// due is when the timer fires, lastEvent when the last event arrived or else when the watch
+	// began, events the number of events.
+	due       time.Time
+	lastEvent time.Time
+	events    int
+	gaps      stall.GapStats
+	// movesAtLastEvent is the number of moves at the last event. A pause with a move is not counted
+	// as a gap of the stream.
+	movesAtLastEvent int32
+	// unanswered counts the queries in a row that the first replica did not answer, probeRounds the
+	// probes of the stages since the last event.
+	unanswered  int
+	probeRounds int
+	// checking is set during a check, notified if another stream found a stage of the path gone.
+	checking bool
+	notified bool
+	stopped  bool
+	// stages are those of the path whose first element stagesOf points to.
 	stages   []stall.Stage
 	stagesOf *layers.Stage
 }
 
 func newStallWatch(ctx context.Context, g *generation, r *layers.Reservation, cancel context.CancelCauseFunc) *stallWatch {
 	now := time.Now()
-	w := &stallWatch{g: g, ctx: ctx, cancel: cancel, reservation: r, last: now, due: now.Add(firstPatience), pace: g.pace, movesThen: g.q.progress.moves.Load()}
-	w.timer = time.AfterFunc(firstPatience, w.check)
+	w := &stallWatch{g: g, ctx: ctx, cancel: cancel, reservation: r, lastEvent: now, due: now.Add(firstEventTimeout), gaps: g.gaps, movesAtLastEvent: g.q.progress.moves.Load()}
+	w.timer = time.AfterFunc(firstEventTimeout, w.check)
 	g.h.watches.add(w)
 	return w
 }
 
-// moved says that an event came.
-func (w *stallWatch) moved() {
+// eventArrived records an event and restarts the timer.
+func (w *stallWatch) eventArrived() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
 	moves := w.g.q.progress.moves.Load()
-	if w.events > 0 && moves == w.movesThen {
-		w.pace.Add(now.Sub(w.last))
-		w.g.pace = w.pace
+	if w.events > 0 && moves == w.movesAtLastEvent {
+		w.gaps.Add(now.Sub(w.lastEvent))
+		w.g.gaps = w.gaps
 	}
-	w.last, w.movesThen, w.rounds, w.hinted = now, moves, 0, false
+	w.lastEvent, w.movesAtLastEvent, w.probeRounds, w.notified = now, moves, 0, false
 	w.events++
-	w.reset(w.patience().Probe)
+	w.reset(w.timeouts().Probe)
 }
 
-// patience is that with the stream as it runs now. w.mu is held.
-func (w *stallWatch) patience() stall.Timeouts {
+// timeouts returns the timeouts of the stream at its present state. w.mu must be held.
+func (w *stallWatch) timeouts() stall.Timeouts {
 	if w.events == 0 {
-		return stall.Timeouts{Probe: firstPatience, Report: firstPatience}
+		return stall.Timeouts{Probe: firstEventTimeout, Report: firstEventTimeout}
 	}
-	return stall.TimeoutsFor(w.g.q.profile.Gap, w.pace)
+	return stall.TimeoutsFor(w.g.q.profile.Gap, w.gaps)
 }
 
-// reset sets the timer. w.mu is held.
-func (w *stallWatch) reset(pause time.Duration) {
-	w.due = time.Now().Add(pause)
-	w.timer.Reset(pause)
+// reset sets the timer. w.mu must be held.
+func (w *stallWatch) reset(delay time.Duration) {
+	w.due = time.Now().Add(delay)
+	w.timer.Reset(delay)
 }
 
 func (w *stallWatch) stop() {
@@ -96,7 +103,7 @@
 	w.g.h.watches.remove(w)
 }
 
-// stream is what the watch has seen.
+// stream returns what the watch has observed of its stream.
 func (w *stallWatch) stream() stall.Stream {
 	path := w.reservation.Path()
 	w.mu.Lock()
@@ -104,7 +111,7 @@
 	if w.stagesOf != &path[0] {
 		w.stagesOf, w.stages = &path[0], stagesOf(path)
 	}
-	return stall.Stream{LastEvent: w.last, MeanGap: w.pace.Mean(), Stages: w.stages}
+	return stall.Stream{LastEvent: w.lastEvent, MeanGap: w.gaps.Mean(), Stages: w.stages}
 }
 
 func stagesOf(path layers.Path) []stall.Stage {
@@ -123,71 +130,74 @@
 	})
 }
 
-// wake makes the watch look at its stages at once: one of them is gone.
-func (w *stallWatch) wake() {
+// checkNow makes the watch probe its stages at once, because one of them is gone.
+func (w *stallWatch) checkNow() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.stopped || w.checking || w.events == 0 {
 		return
 	}
-	w.hinted = true
+	w.notified = true
 	w.reset(0)
 }
 
-// pause is one look at a stream that stands still.
-type pause struct {
-	// events is how many events had come when the look began.
-	events int
-	stood  time.Duration
-	// stages says that the stages are to be asked, report that the first replica is.
-	stages, report bool
+// stallCheck is one check of a stalled stream.
+type stallCheck struct {
+	// events is the number of events when the check began, elapsed the time since the last one.
+	events  int
+	elapsed time.Duration
+	// probeDue is set if the stages are to be probed, reportDue if the first replica is to be
+	// queried.
+	probeDue, reportDue bool
 }
 
-// begin starts a look. Ok is false if there is nothing to look at now.
-func (w *stallWatch) begin() (p pause, ok bool) {
+// beginCheck starts a check. It returns false if there is nothing to check now.
+func (w *stallWatch) beginCheck() (c stallCheck, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
 	switch {
 	case w.stopped || w.ctx.Err() != nil:
-		return p, false
-	case w.checking || now.Sub(w.due) > wakeLate:
-		w.reset(readFirst)
-		return p, false
+		return c, false
+	case w.checking || now.Sub(w.due) > maxTimerDelay:
+		w.reset(lateCheckDelay)
+		return c, false
 	}
-	patience := w.patience()
-	p = pause{events: w.events, stood: now.Sub(w.last)}
-	p.stages = w.hinted || p.stood >= patience.Probe && w.rounds < maxStageRounds
-	p.report = p.stood >= patience.Report
-	if p.stages {
-		w.rounds++
+	timeouts := w.timeouts()
+	c = stallCheck{events: w.events, elapsed: now.Sub(w.lastEvent)}
+	c.probeDue = w.notified || c.elapsed >= timeouts.Probe && w.probeRounds < maxProbeRounds
+	c.reportDue = c.elapsed >= timeouts.Report
+	if c.probeDue {
+		w.probeRounds++
 	}
-	w.checking, w.hinted = true, false
-	return p, true
+	w.checking, w.notified = true, false
+	return c, true
 }
 
-// end arms the timer for the next look, unless an event came: then it is armed for that.
-func (w *stallWatch) end(p pause, next time.Duration) {
+// endCheck arms the timer for the next check, unless an event has arrived, which has armed it
+// already.
+func (w *stallWatch) endCheck(c stallCheck, next time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.checking = false
-	if !w.stopped && w.events == p.events {
+	if !w.stopped && w.events == c.events {
 		w.reset(next)
 	}
 }
 
-// still reports whether the stream stands still yet.
-func (w *stallWatch) still(p pause) bool {
+// stillStalled reports whether no event has arrived since the check began, and the send has not
+// ended.
+func (w *stallWatch) stillStalled(c stallCheck) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.stopped && w.events == p.events && w.ctx.Err() == nil
+	return !w.stopped && w.events == c.events && w.ctx.Err() == nil
 }
 
-// check looks at the stream.
+// check checks the stream once.
 func (w *stallWatch) check() {
-	p, ok := w.begin()
+	c, ok := w.beginCheck()
 	if !ok {
 		return
 	}
-	w.end(p, w.look(p))
+	w.endCheck(c, w.investigate(c))
 }
--- a/internal/relay/stall_watches.go
+++ b/internal/relay/stall_watches.go
@@ -6,8 +6,8 @@
 	"geraniumcroft/internal/stall"
 )
 
-// stallWatches are the watches of the sends that are under way. What the other streams of this VM
-// bring tells which stages run.
+// stallWatches holds the watches of the sends in progress. The events of this VM's other streams
+// show which stages run.
 type stallWatches struct {
 	mu  sync.Mutex // guards the field below
 	all map[*stallWatch]struct{}
@@ -27,20 +27,20 @@
 	delete(s.all, w)
 }
 
-// others returns the watches but one.
-func (s *stallWatches) others(than *stallWatch) []*stallWatch {
+// others returns all watches except one.
+func (s *stallWatches) others(except *stallWatch) []*stallWatch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	others := make([]*stallWatch, 0, len(s.all))
 	for w := range s.all {
-		if w != than {
+		if w != except {
 			others = append(others, w)
 		}
 	}
 	return others
 }
 
-// suspects says which stages of a stream that stands still may have stopped.
+// suspects returns which stages of a stalled stream may have stopped.
 func (s *stallWatches) suspects(w *stallWatch) stall.Suspicion {
 	others := s.others(w)
 	streams := make([]stall.Stream, 0, len(others))
@@ -50,11 +50,11 @@
 	return stall.Suspects(w.stream(), streams)
 }
 
-// tell wakes the other streams that pass through stages which are gone for certain.
-func (s *stallWatches) tell(from *stallWatch, gone []string) {
+// notify triggers a check of the other streams that pass through stages which refused a connection.
+func (s *stallWatches) notify(from *stallWatch, refused []string) {
 	for _, other := range s.others(from) {
-		if other.passesAny(gone) {
-			other.wake()
+		if other.passesAny(refused) {
+			other.checkNow()
 		}
 	}
 }
