--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -52,7 +52,7 @@
 	p.pools = relay.NewPools()
 	p.pools.SetGate(gate)
 	p.budgets = relay.NewBudgets(relay.BudgetSettings{Share: s.Relay.RetryShare, Slack: s.Relay.RetrySlack, Window: s.Relay.RetryWindow})
-	p.pools.SetSharers(layers.Sharers{DataCentre: s.VM.DataCentre, All: usualVMs, Home: usualVMs / usualDataCentres})
+	p.pools.SetSharers(layers.VMCounts{DataCentre: s.VM.DataCentre, Fleet: usualVMs, Local: usualVMs / usualDataCentres})
 	p.view = &view{
 		wiring: p.Wiring, pools: p.pools, balancer: p.balancer, invariants: p.invariants, logger: p.Logger,
 		listing: newListing(p.Wiring.DecodeReplica, p.Logger, p.onRestart),
@@ -65,10 +65,10 @@
 	p.view.replicas = p.follower(p.Wiring.ReplicaTable, p.view.onReplicas)
 	own := census.VM{Name: s.VM.Name, Address: p.PeersAddress(), DataCentre: s.VM.DataCentre, Cores: s.VM.Cores}
 	p.census = census.New(p.table, own, p.onVMs, p.Logger)
-	p.board = loads.NewBoard(p.view.onLoads, p.Logger)
+	p.board = loads.NewCache(p.view.onLoads, p.Logger)
 	p.board.Attach(p.pushbackSharing)
-	p.keeper = loads.NewKeeper(loads.Options{
-		Board: p.board, Replicas: p.Wiring.Engines, Peers: p.peers, Tenure: func() (uint64, bool) { return p.tenure.now() }, Listed: p.view.engines, Logger: p.Logger,
+	p.keeper = loads.NewCollector(loads.Options{
+		Cache: p.board, Client: p.Wiring.Engines, Peers: p.peers, Tenure: func() (uint64, bool) { return p.tenure.now() }, ListReplicas: p.view.engines, Logger: p.Logger,
 		MayAsk: func(k incarnation.Key) bool { return p.pushback.MayAsk(k, time.Now()) },
 	})
 	p.leases = lease.NewManager(lease.Options{
--- a/internal/entry/fit.go
+++ b/internal/entry/fit.go
@@ -18,10 +18,10 @@
 	case service.Model == nil:
 		return nil
 	}
-	if _, known := service.Model.Kinds[r.Kind]; !known {
+	if _, known := service.Model.Accelerators[r.Kind]; !known {
 		return &relay.EntryError{Field: "kind", Found: strconv.QuoteToASCII(shortID(r.Kind)), Want: "one that the service names"}
 	}
-	if !service.Model.Holds(r.Held) {
+	if !service.Model.ValidRange(r.Held) {
 		return &relay.EntryError{Field: "layers", Found: r.Held.String(), Want: "layers of the model"}
 	}
 	return nil
--- a/internal/entry/listing.go
+++ b/internal/entry/listing.go
@@ -73,7 +73,7 @@
 	successor, known := before[r.ID]
 	if !known {
 		successor = r
-		successor.Replica = r.Replica.StartedAgain(heard.Key)
+		successor.Replica = r.Replica.NextIncarnation(heard.Key)
 	}
 	l.listed[r.ID] = successor
 }
@@ -102,7 +102,7 @@
 			continue
 		}
 		if heard.Key.Succeeds(r.Key()) || heard.Restarted {
-			r.Replica = r.Replica.StartedAgain(heard.Key)
+			r.Replica = r.Replica.NextIncarnation(heard.Key)
 			l.restarted(r)
 		} else {
 			r.Born = heard.Key.Born // its entry did not give a start
--- a/internal/entry/listing_test.go
+++ b/internal/entry/listing_test.go
@@ -287,7 +287,7 @@
 // A range beyond the model's layers ended the process that placed them, on one VM after the
 // other.
 func TestEntryThatTheConfigurationHasNoUseFor(t *testing.T) {
-	spec := &layers.Spec{Layers: 20, Kinds: map[string]layers.Kind{"big": {MemoryMB: 36000}}}
+	spec := &layers.Spec{Layers: 20, Accelerators: map[string]layers.Accelerator{"big": {MemoryMB: 36000}}}
 	c := relay.NewConfig(1, nil, nil, map[string]*relay.Service{"engines": {Name: "engines", Model: spec}, "desk": {Name: "desk"}}, relay.Limits{})
 	for name, r := range map[string]relay.Replica{
 		"service": {Service: "nobody's"},
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -92,11 +92,11 @@
 	return fleet
 }
 
-func (p *Process) sharers(vms []census.VM) layers.Sharers {
-	s := layers.Sharers{DataCentre: p.Settings.VM.DataCentre, All: len(vms)}
+func (p *Process) sharers(vms []census.VM) layers.VMCounts {
+	s := layers.VMCounts{DataCentre: p.Settings.VM.DataCentre, Fleet: len(vms)}
 	for _, vm := range vms {
 		if vm.DataCentre == s.DataCentre {
-			s.Home++
+			s.Local++
 		}
 	}
 	return s
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -76,8 +76,8 @@
 	tries  *follow.Tries
 	leases *lease.Manager
 	tenure *tenure
-	board  *loads.Board
-	keeper *loads.Keeper
+	board  *loads.Cache
+	keeper *loads.Collector
 	mirror *mirror.Server
 	peers  *mirror.Client
 	// quarantine knows requests that crash replicas, and sharing exchanges it with other VMs.
--- a/internal/entry/tenure.go
+++ b/internal/entry/tenure.go
@@ -21,7 +21,7 @@
 // what a replica is to hold, and on which earlier orders it builds.
 type tenure struct {
 	leases *lease.Manager
-	board  *loads.Board
+	board  *loads.Cache
 	logger *zap.Logger
 
 	mu     sync.Mutex // guards the fields below
--- a/internal/entry/wiring.go
+++ b/internal/entry/wiring.go
@@ -27,5 +27,5 @@
 type Engines interface {
 	relay.Engines
 	placer.Engines
-	loads.Replicas
+	loads.Client
 }
--- a/internal/layers/bench_test.go
+++ b/internal/layers/bench_test.go
@@ -35,7 +35,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			reservation.Done(true)
+			reservation.Release(true)
 		}
 	})
 }
--- a/internal/layers/bottleneck.go
+++ b/internal/layers/bottleneck.go
@@ -10,7 +10,7 @@
 // first layers that none of its replicas can take, and what keeps each holder from it.
 // It is for the log's line about a request that was refused, as without it nobody can
 // tell a full card from a VM that has used up its part of one.
-func (t *Table) Bottleneck(need Need) string {
+func (t *Table) Bottleneck(need Query) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
--- a/internal/layers/bottleneck_test.go
+++ b/internal/layers/bottleneck_test.go
@@ -10,7 +10,7 @@
 func TestBottleneckNamesWhatIsMissing(t *testing.T) {
 	near, far := cards("a", "large", 3), cards("b", "large", 3)
 	table := placedTable(testSpec(), append(near, far...))
-	table.SetSharers(Sharers{DataCentre: "a", All: 1, Home: 1})
+	table.SetVMCounts(VMCounts{DataCentre: "a", Fleet: 1, Local: 1})
 	reportAll(table, 2)
 	need := usual
 	need.DataCentre = "a"
--- a/internal/layers/cost.go
+++ b/internal/layers/cost.go
@@ -55,11 +55,11 @@
 	if !s.table.mayCross(from, to, s.now) {
 		return math.Inf(1)
 	}
-	cost := float64(s.need.Answer) * spec.Delay.Seconds()
-	if spec.PipeMbps > 0 {
-		perToken := spec.ActivationBytes * 8 / (spec.PipeMbps * 1e6)
+	cost := float64(s.need.Answer) * spec.LinkDelay.Seconds()
+	if spec.LinkMbps > 0 {
+		perToken := spec.ActivationBytes * 8 / (spec.LinkMbps * 1e6)
 		cost += crossingWeight * float64(s.need.Prompt) * perToken
-		cost += pipeShare * float64(s.need.Answer) * float64(spec.UsualPrompt) * perToken
+		cost += pipeShare * float64(s.need.Answer) * float64(spec.MeanPrompt) * perToken
 	}
 	return cost
 }
@@ -70,7 +70,7 @@
 func (s *search) stageCost(r *state, n int) float64 {
 	spec := s.table.spec
 	amount := s.need.tokens() * float64(n)
-	if !r.fits(amount, s.table.sharers.allowance(r.DataCentre), s.now) || s.need.MaxFull > 0 && r.fullerThan(s.need.MaxFull, s.now) {
+	if !r.fits(amount, s.table.sharers.allowance(r.DataCentre), s.now) || s.need.MaxUsage > 0 && r.fullerThan(s.need.MaxUsage, s.now) {
 		return math.Inf(1)
 	}
 	used := r.fullness(s.share(r))
--- a/internal/layers/coverage.go
+++ b/internal/layers/coverage.go
@@ -18,18 +18,20 @@
 }
 
 // add adds or, with sign -1, takes away what a card gives with a range.
-func (c *coverage) add(k Kind, held config.LayerRange, sign float64) {
+func (c *coverage) add(k Accelerator, held config.LayerRange, sign float64) {
 	for l := max(0, held.From); l < min(held.To, c.spec.Layers); l++ {
 		c.room[l] += sign * c.requestsAt(k, held.Len(), l)
 	}
 }
 
 // requests is how many usual requests fit beside n layers of a card.
-func (c *coverage) requests(k Kind, n int) float64 { return c.spec.room(k, n) / c.spec.usualTokens() }
+func (c *coverage) requests(k Accelerator, n int) float64 {
+	return c.spec.room(k, n) / c.spec.usualTokens()
+}
 
 // requestsAt is requests for one of the layers. Those that enter at a card are bounded by
 // its slots too: the first event of one more waits until another request has ended.
-func (c *coverage) requestsAt(k Kind, n, layer int) float64 {
+func (c *coverage) requestsAt(k Accelerator, n, layer int) float64 {
 	room := c.requests(k, n)
 	if layer == 0 && c.spec.Slots > 0 {
 		return min(room, float64(c.spec.Slots))
@@ -38,7 +40,7 @@
 }
 
 // layersFor is how many layers a card holds beside room for so many requests.
-func (c *coverage) layersFor(k Kind, room float64) int {
+func (c *coverage) layersFor(k Accelerator, room float64) int {
 	perLayer := c.spec.LayerMB + room*c.spec.usualTokens()*c.spec.KVBytes/float64(c.spec.Layers)/1e6
 	return min(c.spec.maxLayers(k), int(k.MemoryMB/perLayer))
 }
@@ -76,25 +78,25 @@
 
 // best returns the range for a card, whose present range is not counted in c, that
 // leaves the least shortage, and that shortage.
-func (c *coverage) best(k Kind) (config.LayerRange, float64) {
+func (c *coverage) best(k Accelerator) (config.LayerRange, float64) {
 	return c.bestOf(k, config.LayerRange{}, func(config.LayerRange) bool { return true })
 }
 
 // wider is best among the ranges that contain the present one, which it returns where
 // none is better.
-func (c *coverage) wider(k Kind, held config.LayerRange) (config.LayerRange, float64) {
+func (c *coverage) wider(k Accelerator, held config.LayerRange) (config.LayerRange, float64) {
 	return c.bestOf(k, held, func(r config.LayerRange) bool { return r.Contains(held) })
 }
 
 // narrower is best among the parts of the present range, which it returns where none is
 // better.
-func (c *coverage) narrower(k Kind, held config.LayerRange) (config.LayerRange, float64) {
+func (c *coverage) narrower(k Accelerator, held config.LayerRange) (config.LayerRange, float64) {
 	return c.bestOf(k, held, held.Contains)
 }
 
 // bestOf returns the range with the least shortage among those that are allowed, or the
 // present one where none is better.
-func (c *coverage) bestOf(k Kind, held config.LayerRange, allowed func(config.LayerRange) bool) (config.LayerRange, float64) {
+func (c *coverage) bestOf(k Accelerator, held config.LayerRange, allowed func(config.LayerRange) bool) (config.LayerRange, float64) {
 	before := c.sums(0)
 	total := before[c.spec.Layers]
 	with := func(r config.LayerRange, sums []float64) float64 {
--- a/internal/layers/crowd.go
+++ b/internal/layers/crowd.go
@@ -14,35 +14,35 @@
 	minRead = 100 * time.Microsecond
 )
 
-// Crowd is what comes to the replicas that nearby streams would be moved to when some stages stop.
-type Crowd struct {
-	// InTime is the part of these streams that the replicas can read within the time asked for, 1
+// DetourCapacity is what comes to the replicas that nearby streams would be moved to when some stages stop.
+type DetourCapacity struct {
+	// MovableFraction is the part of these streams that the replicas can read within the time asked for, 1
 	// for all.
-	InTime float64
+	MovableFraction float64
 	// Holders are the replicas.
 	Holders []incarnation.Key
 }
 
-// Crowd tells how many of the streams that had the stopped stages on their paths can be moved to
+// DetourCapacity tells how many of the streams that had the stopped stages on their paths can be moved to
 // other holders in the same data centre within a time. All VMs move theirs in the same moment, and
 // a replica reads one after the other. Ok is false if no detour nearby is possible.
-func (r *Reservation) Crowd(stopped []string, written int, within time.Duration) (crowd Crowd, ok bool) {
+func (r *Reservation) DetourCapacity(stopped []string, written int, within time.Duration) (crowd DetourCapacity, ok bool) {
 	t := r.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	crowd.InTime = 1
+	crowd.MovableFraction = 1
 	err := r.eachReplacement(stopped, written, true, now, func(p detourPart) {
 		streams := t.streamsThrough(r.path[p.at.from:p.at.to], now)
 		need := p.need
 		for _, stage := range p.stages {
 			crowd.Holders = append(crowd.Holders, stage.Replica.Key())
-			crowd.InTime = min(crowd.InTime, t.readable(stage, need, within, now)/streams)
+			crowd.MovableFraction = min(crowd.MovableFraction, t.readable(stage, need, within, now)/streams)
 			need = need.avoiding(stage.Replica.Key())
 		}
 	})
 	if err != nil {
-		return Crowd{}, false
+		return DetourCapacity{}, false
 	}
 	return crowd, true
 }
@@ -67,7 +67,7 @@
 
 // readable is how many moved streams the holders of a stage's layers in its data centre can read
 // within a time, taken to be like the one that was found. The table is locked.
-func (t *Table) readable(stage Stage, need Need, within time.Duration, now time.Time) float64 {
+func (t *Table) readable(stage Stage, need Query, within time.Duration, now time.Time) float64 {
 	s := t.replicas[stage.Replica.Key()]
 	if s == nil {
 		return 0
--- a/internal/layers/crowd_test.go
+++ b/internal/layers/crowd_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	spec := testSpec()
 	table := NewTable()
-	table.SetSharers(Sharers{DataCentre: "a", All: 90, Home: 30})
+	table.SetVMCounts(VMCounts{DataCentre: "a", Fleet: 90, Local: 30})
 	stopped := Replica{ID: "2", Address: "2", DataCentre: "a", Kind: "large", Held: config.LayerRange{From: 20, To: 40}}
 	others := []Replica{
 		{ID: "1", Address: "1", DataCentre: "a", Kind: "large", Held: config.LayerRange{From: 0, To: 20}},
@@ -44,7 +44,7 @@
 	const within = 150 * time.Millisecond
 	for _, streams := range []int{5, 40, 150, 600} {
 		table, reservation := crowdedTable(t, streams)
-		crowd, ok := reservation.Crowd([]string{"2"}, 50, within)
+		crowd, ok := reservation.DetourCapacity([]string{"2"}, 50, within)
 		if !ok || len(crowd.Holders) != 1 || crowd.Holders[0].ID != "2b" {
 			t.Fatalf("%+v, %t", crowd, ok)
 		}
@@ -52,7 +52,7 @@
 		random := rand.New(rand.NewPCG(uint64(streams), 1))
 		moved, late := 0, 0
 		for range streams {
-			if random.Float64() >= crowd.InTime {
+			if random.Float64() >= crowd.MovableFraction {
 				continue
 			}
 			moved++
@@ -72,7 +72,7 @@
 func TestNoDetourNearbyIsNoCrowd(t *testing.T) {
 	_, reservation := crowdedTable(t, 10)
 	for _, stopped := range []string{"1", "3", "none"} {
-		if crowd, ok := reservation.Crowd([]string{stopped}, 5, time.Second); ok {
+		if crowd, ok := reservation.DetourCapacity([]string{stopped}, 5, time.Second); ok {
 			t.Errorf("without %s: %+v", stopped, crowd)
 		}
 	}
@@ -82,7 +82,7 @@
 func TestPathOfRoomyReplicasOnly(t *testing.T) {
 	table, _ := crowdedTable(t, 5)
 	need := usual
-	need.MaxFull = 0.6
+	need.MaxUsage = 0.6
 	if _, err := table.Reserve(need); !errors.Is(err, ErrNoRoom) {
 		t.Errorf("nothing is known of the replicas' room: %v", err)
 	}
--- a/internal/layers/errors.go
+++ b/internal/layers/errors.go
@@ -7,7 +7,7 @@
 	ErrNoPath = errors.New("no path covers every layer")
 	// ErrNoRoom means that the replicas that hold the layers are full; a request may wait.
 	ErrNoRoom = errors.New("no path has room")
-	// ErrLastEntries means that too few replicas are left that a path can begin at, as
+	// ErrNoSpareEntry means that too few replicas are left that a path can begin at, as
 	// Need.SpareEntries asks for. Waiting may take until one of them is replaced.
-	ErrLastEntries = errors.New("too few replicas are left that a path can begin at")
+	ErrNoSpareEntry = errors.New("too few replicas are left that a path can begin at")
 )
--- a/internal/layers/improve.go
+++ b/internal/layers/improve.go
@@ -104,7 +104,7 @@
 	k := spec.kind(r.Kind)
 	c.add(k, held, -1)
 	defer c.add(k, held, 1)
-	cost := k.MemoryMB / max(1, k.StepPace)
+	cost := k.MemoryMB / max(1, k.StepTimeFactor)
 	var moves []move
 	if to, left := c.wider(k, held); to != held {
 		moves = append(moves, move{to: to, left: left, worth: worthMoving, cost: cost})
--- a/internal/layers/load.go
+++ b/internal/layers/load.go
@@ -27,8 +27,8 @@
 	Total float64 `json:"t"`
 	// Pace above 1 means that the replica is slower than its kind.
 	Pace float64 `json:"p"`
-	// Entered is how many requests run or wait here as the first replica of their paths.
-	Entered int `json:"n,omitempty"`
+	// EntryRequests is how many requests run or wait here as the first replica of their paths.
+	EntryRequests int `json:"n,omitempty"`
 	// Sequence is how many orders the incarnation has begun.
 	Sequence uint64 `json:"s,omitempty"`
 	// Held are the layers that the replica has loaded.
--- a/internal/layers/main_test.go
+++ b/internal/layers/main_test.go
@@ -10,13 +10,13 @@
 func testSpec() *Spec {
 	return &Spec{
 		Layers: 80, LayerMB: 1750, KVBytes: 590000, ActivationBytes: 29500, Slots: 192,
-		Step: 850e3, PerSequence: 3820, PerContext: 5120, ReadPerSecond: 196000, PipeMbps: 11000, Delay: 250e3,
-		LoadTime: 14e9, UsualPrompt: 770, UsualAnswer: 174,
-		Kinds: map[string]Kind{
-			"large": {MemoryMB: 72000, StepPace: 1.4, ReadPace: 1},
-			"fast":  {MemoryMB: 36000, StepPace: 3.1, ReadPace: 3.2},
-			"slow":  {MemoryMB: 21600, StepPace: 16, ReadPace: 8.2},
-			"small": {MemoryMB: 14400, StepPace: 15, ReadPace: 15},
+		StepBase: 850e3, StepPerSequence: 3820, StepPerContext: 5120, PrefillTokensPerSecond: 196000, LinkMbps: 11000, LinkDelay: 250e3,
+		LoadTime: 14e9, MeanPrompt: 770, MeanAnswer: 174,
+		Accelerators: map[string]Accelerator{
+			"large": {MemoryMB: 72000, StepTimeFactor: 1.4, PrefillTimeFactor: 1},
+			"fast":  {MemoryMB: 36000, StepTimeFactor: 3.1, PrefillTimeFactor: 3.2},
+			"slow":  {MemoryMB: 21600, StepTimeFactor: 16, PrefillTimeFactor: 8.2},
+			"small": {MemoryMB: 14400, StepTimeFactor: 15, PrefillTimeFactor: 15},
 		},
 	}
 }
--- a/internal/layers/path.go
+++ b/internal/layers/path.go
@@ -48,8 +48,8 @@
 	return Replica{}, false
 }
 
-// At returns the replica of the stage at an address. Ok is false if the path has none.
-func (p Path) At(address string) (r Replica, ok bool) {
+// ReplicaAt returns the replica of the stage at an address. Ok is false if the path has none.
+func (p Path) ReplicaAt(address string) (r Replica, ok bool) {
 	for _, stage := range p {
 		if stage.Replica.Address == address {
 			return stage.Replica, true
--- a/internal/layers/path_test.go
+++ b/internal/layers/path_test.go
@@ -13,7 +13,7 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-var usual = Need{Prompt: 770, Answer: 174, DataCentre: "a"}
+var usual = Query{Prompt: 770, Answer: 174, DataCentre: "a"}
 
 // Whatever ranges replicas report, a path runs every layer once and in order and names
 // no replica twice; engines check neither gaps nor overlaps.
@@ -82,13 +82,13 @@
 	if len(taken) < 100 {
 		t.Errorf("only %d requests found room", len(taken))
 	}
-	taken[0].Done(true)
+	taken[0].Release(true)
 	if _, err := table.Reserve(usual); err != nil {
 		t.Errorf("no room after a request ended: %v", err)
 	}
 	for _, reservation := range taken {
-		reservation.Done(true)
-		reservation.Done(true)
+		reservation.Release(true)
+		reservation.Release(true)
 	}
 	for _, replica := range table.Dump() {
 		if replica.ID != "" && replica.Reserved > 0.1 {
@@ -137,7 +137,7 @@
 		leaving := old.Path()[1].Replica
 		time.Sleep(time.Millisecond)
 		table.Suspect(leaving)
-		old.Done(true)
+		old.Release(true)
 		for range 50 {
 			next, err := table.Reserve(usual)
 			if err != nil {
@@ -157,7 +157,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again.Done(true)
+		again.Release(true)
 	})
 }
 
@@ -185,9 +185,9 @@
 			}
 			if reservation.Path().First().Address == replicas[0].Address {
 				turns++
-				table.TurnedAway(replicas[0])
+				table.RecordRefusal(replicas[0])
 			}
-			reservation.Done(false)
+			reservation.Release(false)
 			time.Sleep(time.Second / 2)
 		}
 		if turns != 2 {
@@ -215,7 +215,7 @@
 	replicas := cards("a", "large", 3)
 	count := func(used float64) int {
 		table := placedTable(spec, replicas)
-		table.SetSharers(Sharers{DataCentre: "a", All: 10, Home: 10})
+		table.SetVMCounts(VMCounts{DataCentre: "a", Fleet: 10, Local: 10})
 		reportAll(table, used)
 		return countRoom(table)
 	}
@@ -271,7 +271,7 @@
 	table.Update(spec, append(first, other[0]))
 	reportAll(table, 0.1)
 	full := table.replicas[first[0].Key()]
-	full.load.Entered = spec.Slots
+	full.load.EntryRequests = spec.Slots
 	for range 5 {
 		reservation, err := table.Reserve(usual)
 		if err != nil {
@@ -290,7 +290,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		reservation.Done(true)
+		reservation.Release(true)
 	}
 }
 
@@ -303,7 +303,7 @@
 		{ID: "2", Address: "2", DataCentre: "a", Kind: "large", Held: config.LayerRange{From: 0, To: 40}},
 		{ID: "3", Address: "3", DataCentre: "a", Kind: "large", Held: config.LayerRange{From: 40, To: 80}},
 	})
-	for spare, want := range []error{nil, nil, ErrLastEntries} {
+	for spare, want := range []error{nil, nil, ErrNoSpareEntry} {
 		need := usual
 		need.SpareEntries = spare
 		reservation, err := table.Reserve(need)
@@ -311,13 +311,13 @@
 			t.Errorf("%d to be left: %v", spare, err)
 		}
 		if err == nil {
-			reservation.Done(true)
+			reservation.Release(true)
 		}
 	}
 	table.Suspect(Replica{ID: "1"})
 	need := usual
 	need.SpareEntries = 1
-	if _, err := table.Reserve(need); !errors.Is(err, ErrLastEntries) {
+	if _, err := table.Reserve(need); !errors.Is(err, ErrNoSpareEntry) {
 		t.Errorf("a suspected replica counts as one that is left: %v", err)
 	}
 }
--- a/internal/layers/pipe_test.go
+++ b/internal/layers/pipe_test.go
@@ -54,7 +54,7 @@
 		spec := testSpec()
 		const vms = 100
 		table := NewTable()
-		table.SetSharers(Sharers{DataCentre: "a", All: vms, Home: vms / 2})
+		table.SetVMCounts(VMCounts{DataCentre: "a", Fleet: vms, Local: vms / 2})
 		table.Update(spec, halves())
 		begin := time.Now()
 		crossed := 0
@@ -64,7 +64,7 @@
 			switch {
 			case err == nil:
 				crossed++
-				reservation.Done(true)
+				reservation.Release(true)
 			case !errors.Is(err, ErrNoRoom):
 				t.Fatal(err)
 			}
@@ -72,7 +72,7 @@
 		}
 		bytes := float64(crossed) * usual.tokens() * spec.ActivationBytes
 		fleet := bytes * vms / goBeyond
-		link := spec.PipeMbps / 8 * 1e6 * 20
+		link := spec.LinkMbps / 8 * 1e6 * 20
 		if fleet < 0.3*link || fleet > 0.8*link {
 			t.Errorf("%d requests crossed; the VMs that do so at once fill %.2f of the link", crossed, fleet/link)
 		}
@@ -84,7 +84,7 @@
 func TestPathInAnotherDataCentreNeedsNoLink(t *testing.T) {
 	spec := testSpec()
 	table := NewTable()
-	table.SetSharers(Sharers{DataCentre: "a", All: 100, Home: 50})
+	table.SetVMCounts(VMCounts{DataCentre: "a", Fleet: 100, Local: 50})
 	var replicas []Replica
 	for i, r := range cards("b", "large", 4) {
 		r.Held = config.LayerRange{From: 20 * i, To: 20 * (i + 1)}
@@ -96,7 +96,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		reservation.Done(true)
+		reservation.Release(true)
 	}
 }
 
@@ -108,7 +108,7 @@
 	const home = 28
 	count := func(used float64) int {
 		table := placedTable(spec, cards("a", "large", 3))
-		table.SetSharers(Sharers{DataCentre: "a", All: 3 * home, Home: home})
+		table.SetVMCounts(VMCounts{DataCentre: "a", Fleet: 3 * home, Local: home})
 		reportAll(table, used)
 		return countRoom(table)
 	}
--- a/internal/layers/pipes.go
+++ b/internal/layers/pipes.go
@@ -26,13 +26,13 @@
 // pipeRate is this VM's part of a link, in bytes a second.
 func (t *Table) pipeRate() float64 {
 	const bitsPerMegabyte = 8
-	return pipeUse * t.sharers.freePart() * t.spec.PipeMbps / bitsPerMegabyte * 1e6
+	return pipeUse * t.sharers.freePart() * t.spec.LinkMbps / bitsPerMegabyte * 1e6
 }
 
 // mayCross reports whether a request may be sent between the two data centres now. The
 // table is locked.
 func (t *Table) mayCross(a, b string, now time.Time) bool {
-	return t.spec.PipeMbps <= 0 || t.pipes.of(a, b).open(now, t.pipeRate())
+	return t.spec.LinkMbps <= 0 || t.pipes.of(a, b).open(now, t.pipeRate())
 }
 
 // cross notes what a request sends between data centres along a part of its path, which
@@ -41,7 +41,7 @@
 func (t *Table) cross(from string, part Path, tokens float64, now time.Time) {
 	for _, stage := range part {
 		at := stage.Replica.DataCentre
-		if from != "" && from != at && t.spec.PipeMbps > 0 {
+		if from != "" && from != at && t.spec.LinkMbps > 0 {
 			t.pipes.of(from, at).take(now, t.pipeRate(), tokens*t.spec.ActivationBytes)
 		}
 		from = at
--- a/internal/layers/place.go
+++ b/internal/layers/place.go
@@ -55,7 +55,7 @@
 
 // compareReplicas puts fast cards first, so that a set is made of cards of like pace.
 func compareReplicas(spec *Spec, a, b Replica) int {
-	byPace := cmp.Compare(spec.kind(a.Kind).StepPace, spec.kind(b.Kind).StepPace)
+	byPace := cmp.Compare(spec.kind(a.Kind).StepTimeFactor, spec.kind(b.Kind).StepTimeFactor)
 	return cmp.Or(byPace, cmp.Compare(a.Address, b.Address), cmp.Compare(a.ID, b.ID))
 }
 
--- a/internal/layers/replica.go
+++ b/internal/layers/replica.go
@@ -32,9 +32,9 @@
 // Key identifies the replica's incarnation. What is learned of a replica is kept by it.
 func (r Replica) Key() incarnation.Key { return incarnation.Key{ID: r.ID, Born: r.Born} }
 
-// StartedAgain returns the replica after a restart, of which nothing is known but its start:
+// NextIncarnation returns the replica after a restart, of which nothing is known but its start:
 // it holds no layers.
-func (r Replica) StartedAgain(k incarnation.Key) Replica {
+func (r Replica) NextIncarnation(k incarnation.Key) Replica {
 	r.Born, r.Held = k.Born, config.LayerRange{}
 	return r
 }
--- a/internal/layers/reservation.go
+++ b/internal/layers/reservation.go
@@ -8,7 +8,7 @@
 // Reservation is a path with the room that a request holds on it.
 type Reservation struct {
 	table *Table
-	need  Need
+	need  Query
 	sent  time.Time
 
 	// The table's lock guards the fields below.
@@ -62,7 +62,7 @@
 	at     span
 	stages Path
 	// need is what the stages were chosen for.
-	need Need
+	need Query
 }
 
 // eachReplacement finds other holders for each run of stopped stages, in the path's order. No replica
@@ -86,7 +86,7 @@
 
 // detourNeed is what a detour needs: neither the path's replicas nor those that stopped. The table
 // is locked.
-func (r *Reservation) detourNeed(stopped []string, written int) Need {
+func (r *Reservation) detourNeed(stopped []string, written int) Query {
 	avoid := r.path.keys()
 	for k, s := range r.table.replicas {
 		if slices.Contains(stopped, s.Address) {
@@ -99,7 +99,7 @@
 }
 
 // replacement finds other holders of a span's layers. The table is locked.
-func (t *Table) replacement(path Path, at span, need Need, near bool, now time.Time) (Path, error) {
+func (t *Table) replacement(path Path, at span, need Query, near bool, now time.Time) (Path, error) {
 	s := search{
 		table: t, need: need, now: now, from: path[at.from].Layers.From, to: path[at.to-1].Layers.To,
 		fromDC: path[at.from-1].Replica.DataCentre,
@@ -113,9 +113,9 @@
 	return s.run()
 }
 
-// Done releases the room and says whether every stage did its work, which ends the
+// Release releases the room and says whether every stage did its work, which ends the
 // suspicion against them.
-func (r *Reservation) Done(ok bool) {
+func (r *Reservation) Release(ok bool) {
 	t := r.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/layers/restart_test.go
+++ b/internal/layers/restart_test.go
@@ -38,9 +38,9 @@
 		table.Suspect(before[0])
 		table.Update(testSpec(), after)
 		table.Suspect(first) // the stream that was cut off finds out only now
-		table.TurnedAway(first)
-		table.Pace(first, 8)
-		cutOff.Done(false)
+		table.RecordRefusal(first)
+		table.SetPace(first, 8)
+		cutOff.Release(false)
 		fresh := table.replicas[after[0].Key()]
 		if fresh.suspected(time.Now()) || fresh.reserved != 0 || fresh.first != 0 || fresh.pace != 0 {
 			t.Errorf("the new incarnation: %+v", fresh)
--- a/internal/layers/search.go
+++ b/internal/layers/search.go
@@ -12,7 +12,7 @@
 // cut and the data centre of the last stage, as that decides the next crossing.
 type search struct {
 	table *Table
-	need  Need
+	need  Query
 	now   time.Time
 	from  int
 	to    int
@@ -65,7 +65,7 @@
 		return nil, ErrNoPath
 	}
 	if s.entry && s.need.SpareEntries > 0 && s.entries() <= s.need.SpareEntries {
-		return nil, ErrLastEntries
+		return nil, ErrNoSpareEntry
 	}
 	s.walk()
 	path := s.trace()
@@ -95,7 +95,7 @@
 // admits reports whether a replica may serve some of the layers.
 func (s *search) admits(r *state) bool {
 	switch {
-	case r.Draining, s.need.Avoid[r.Key()], !s.doubtful && r.suspected(s.now):
+	case r.Draining, s.need.Exclude[r.Key()], !s.doubtful && r.suspected(s.now):
 		return false
 	case s.onlyDC != "" && r.DataCentre != s.onlyDC:
 		return false
--- a/internal/layers/sharers.go
+++ b/internal/layers/sharers.go
@@ -14,22 +14,22 @@
 // at any time, while all together hardly ever need more than the whole.
 const boost = 2.5
 
-// Sharers says how many VMs send requests to the same replicas. Each sees its own
+// VMCounts says how many VMs send requests to the same replicas. Each sees its own
 // requests only and keeps to its share.
-type Sharers struct {
+type VMCounts struct {
 	// DataCentre is that of this VM.
 	DataCentre string
-	// All counts all VMs, Home those in this VM's data centre, itself included.
-	All  int
-	Home int
+	// Fleet counts all VMs, Home those in this VM's data centre, itself included.
+	Fleet int
+	Local int
 }
 
 // share is the part of a replica's memory and slots that this VM may fill.
-func (s Sharers) share(dataCentre string) float64 {
+func (s VMCounts) share(dataCentre string) float64 {
 	if s.DataCentre == "" || dataCentre == s.DataCentre {
-		return 1 / float64(max(1, s.Home))
+		return 1 / float64(max(1, s.Local))
 	}
-	return awayPart / float64(max(1, s.All-s.Home))
+	return awayPart / float64(max(1, s.Fleet-s.Local))
 }
 
 // allowance is what one VM may fill of a replica.
@@ -42,11 +42,11 @@
 	free float64
 }
 
-func (s Sharers) allowance(dataCentre string) allowance {
+func (s VMCounts) allowance(dataCentre string) allowance {
 	share := s.share(dataCentre)
 	return allowance{share: share, most: min(1, boost*share), free: s.freePart()}
 }
 
 // freePart is the part of the room that a report shows free which this VM may take
 // until the next one. Few VMs go beyond their share at the same time.
-func (s Sharers) freePart() float64 { return min(1, goBeyond/float64(max(1, s.All))) }
+func (s VMCounts) freePart() float64 { return min(1, goBeyond/float64(max(1, s.Fleet))) }
--- a/internal/layers/state.go
+++ b/internal/layers/state.go
@@ -25,7 +25,7 @@
 type state struct {
 	Replica
 	suspicion
-	kind Kind
+	kind Accelerator
 	// reserved is the memory that this VM's requests hold here, in tokens times layers.
 	reserved float64
 	// capacity is the memory for requests, in tokens times layers.
@@ -71,7 +71,7 @@
 // that was missing would be so for a second or two longer. A report without a range, as
 // an earlier version's boards have none, says nothing.
 func (s *state) takeHeld(spec *Spec, load Load) {
-	if load.Held.Len() > 0 && spec.Holds(load.Held) && load.Held != s.Held && load.At.Add(-reportLag).After(s.listedAt) {
+	if load.Held.Len() > 0 && spec.ValidRange(load.Held) && load.Held != s.Held && load.At.Add(-reportLag).After(s.listedAt) {
 		s.hold(spec, load.Held)
 	}
 }
@@ -124,7 +124,7 @@
 	if !s.reported(now) {
 		return own
 	}
-	after := s.load.Entered + s.first - s.firstThen + 1
+	after := s.load.EntryRequests + s.first - s.firstThen + 1
 	if own {
 		return after <= slots
 	}
--- a/internal/layers/table.go
+++ b/internal/layers/table.go
@@ -17,18 +17,18 @@
 	mu       sync.Mutex // guards the fields below
 	spec     *Spec
 	replicas map[incarnation.Key]*state
-	sharers  Sharers
+	sharers  VMCounts
 	pipes    pipes
 	gate     Gate
 }
 
 // NewTable returns a table without replicas.
 func NewTable() *Table {
-	return &Table{spec: &Spec{}, replicas: map[incarnation.Key]*state{}, sharers: Sharers{All: 1, Home: 1}, pipes: pipes{}, gate: openGate{}}
+	return &Table{spec: &Spec{}, replicas: map[incarnation.Key]*state{}, sharers: VMCounts{Fleet: 1, Local: 1}, pipes: pipes{}, gate: openGate{}}
 }
 
-// SetSharers tells how many VMs share the replicas' memory.
-func (t *Table) SetSharers(s Sharers) {
+// SetVMCounts tells how many VMs share the replicas' memory.
+func (t *Table) SetVMCounts(s VMCounts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sharers = s
@@ -91,7 +91,7 @@
 // reservation is released. It returns ErrNoRoom when waiting can help and ErrNoPath
 // when it cannot, and a *pushback.HeldError when all replicas that the path could begin at have asked not
 // to be sent requests now.
-func (t *Table) Reserve(need Need) (*Reservation, error) {
+func (t *Table) Reserve(need Query) (*Reservation, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := search{table: t, need: need, now: time.Now(), to: t.spec.Layers, fromDC: need.DataCentre, entry: true}
@@ -121,18 +121,18 @@
 	t.of(r, func(s *state) { s.suspect(time.Now()) })
 }
 
-// TurnedAway avoids a replica that did not take a request, for longer if it has room.
-func (t *Table) TurnedAway(r Replica) {
+// RecordRefusal avoids a replica that did not take a request, for longer if it has room.
+func (t *Table) RecordRefusal(r Replica) {
 	t.of(r, func(s *state) { s.turnedAway(time.Now()) })
 }
 
-// Pace takes what a replica's report says of its speed.
-func (t *Table) Pace(r Replica, pace float64) {
+// SetPace takes what a replica's report says of its speed.
+func (t *Table) SetPace(r Replica, pace float64) {
 	t.of(r, func(s *state) { s.pace, s.paceAt = pace, time.Now() })
 }
 
-// At returns the replica that is listed at an address. Ok is false if there is none.
-func (t *Table) At(address string) (r Replica, ok bool) {
+// ReplicaAt returns the replica that is listed at an address. Ok is false if there is none.
+func (t *Table) ReplicaAt(address string) (r Replica, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.replicas {
--- a/internal/loads/board.go
+++ b/internal/loads/board.go
@@ -39,8 +39,8 @@
 	Learn(news []byte, age time.Duration)
 }
 
-// Board is this VM's copy of the replicas' loads.
-type Board struct {
+// Cache is this VM's copy of the replicas' loads.
+type Cache struct {
 	onChange func(map[incarnation.Key]layers.Load)
 	logger   *zap.Logger
 	attached Attachment
@@ -53,17 +53,17 @@
 	down     map[incarnation.Key]bool
 }
 
-// NewBoard returns an empty board; each newer one goes to onChange.
-func NewBoard(onChange func(map[incarnation.Key]layers.Load), logger *zap.Logger) *Board {
-	return &Board{onChange: onChange, logger: logger}
+// NewCache returns an empty board; each newer one goes to onChange.
+func NewCache(onChange func(map[incarnation.Key]layers.Load), logger *zap.Logger) *Cache {
+	return &Cache{onChange: onChange, logger: logger}
 }
 
 // Attach sets what goes along with the board. It is called before the board is used.
-func (b *Board) Attach(a Attachment) { b.attached = a }
+func (b *Cache) Attach(a Attachment) { b.attached = a }
 
 // Since returns the board for a peer whose copy has a revision, and the board's age.
 // There is none before the first.
-func (b *Board) Since(after uint64) (platform.TableChange, time.Duration, bool) {
+func (b *Cache) Since(after uint64) (platform.TableChange, time.Duration, bool) {
 	b.mu.Lock()
 	change, age, ok := platform.TableChange{Revision: b.revision}, time.Since(b.at), b.row != nil
 	if b.revision > after {
@@ -79,7 +79,7 @@
 }
 
 // Age is the time since the board was made, or since start before the first one.
-func (b *Board) Age(start time.Time) time.Duration {
+func (b *Cache) Age(start time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.row == nil {
@@ -90,14 +90,14 @@
 
 // Down returns the replicas that did not answer when they were last asked. There are none
 // if many did not: then it is this VM's view that is broken.
-func (b *Board) Down() map[incarnation.Key]bool {
+func (b *Cache) Down() map[incarnation.Key]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.down
 }
 
 // Reported returns what an incarnation of a replica last reported, if it did.
-func (b *Board) Reported(k incarnation.Key) (layers.Load, bool) {
+func (b *Cache) Reported(k incarnation.Key) (layers.Load, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	load, ok := b.loads[k]
@@ -120,17 +120,17 @@
 
 // Tenure is the number of the tenure in which the present board was made, 0 before the
 // first.
-func (b *Board) Tenure() uint64 { return b.Revision() >> tenureShift }
+func (b *Cache) Tenure() uint64 { return b.Revision() >> tenureShift }
 
 // Revision is that of the present board, 0 before the first.
-func (b *Board) Revision() uint64 {
+func (b *Cache) Revision() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.revision
 }
 
 // publish puts up what this VM has learned as the holder of the duty.
-func (b *Board) publish(revision uint64, loads map[incarnation.Key]layers.Load) {
+func (b *Cache) publish(revision uint64, loads map[incarnation.Key]layers.Load) {
 	row, err := json.Marshal(loads)
 	if err != nil {
 		b.logger.Error("loads not encoded", zap.Error(err))
@@ -140,7 +140,7 @@
 }
 
 // Take copies a peer's board, which has the given age, if it is newer.
-func (b *Board) Take(change platform.TableChange, age time.Duration) {
+func (b *Cache) Take(change platform.TableChange, age time.Duration) {
 	if !change.Whole {
 		return
 	}
@@ -155,7 +155,7 @@
 	b.put(change.Revision, change.Written[boardKey], time.Now().Add(-age), loads)
 }
 
-func (b *Board) put(revision uint64, row []byte, at time.Time, loads map[incarnation.Key]layers.Load) {
+func (b *Cache) put(revision uint64, row []byte, at time.Time, loads map[incarnation.Key]layers.Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if revision <= b.revision {
--- a/internal/loads/keeper.go
+++ b/internal/loads/keeper.go
@@ -31,8 +31,8 @@
 	tenureShift = 32
 )
 
-// Replicas asks replicas for their load.
-type Replicas interface {
+// Client asks replicas for their load.
+type Client interface {
 	Load(ctx context.Context, address string) (layers.Load, error)
 }
 
@@ -46,34 +46,36 @@
 
 // Options configure a Keeper.
 type Options struct {
-	Board    *Board
-	Replicas Replicas
-	Peers    Peers
+	Cache  *Cache
+	Client Client
+	Peers  Peers
 	// Tenure returns the number of this VM's tenure of the duty, and whether it has the
 	// duty now.
 	Tenure func() (uint64, bool)
-	// Listed returns the replicas that are to be asked.
-	Listed func() []layers.Replica
+	// ListReplicas returns the replicas that are to be asked.
+	ListReplicas func() []layers.Replica
 	// MayAsk reports whether a replica may be asked now; nil stands for all. One that is not asked is
 	// missing on the board.
 	MayAsk func(incarnation.Key) bool
 	Logger *zap.Logger
 }
 
-// Keeper keeps a board up to date.
-type Keeper struct {
+// Collector keeps a board up to date.
+type Collector struct {
 	Options
 	round uint64
 	// down are the replicas that did not answer in the last round.
 	down map[incarnation.Key]bool
 }
 
-// NewKeeper returns a keeper; Run makes it work.
-func NewKeeper(o Options) *Keeper { return &Keeper{Options: o, down: map[incarnation.Key]bool{}} }
+// NewCollector returns a keeper; Run makes it work.
+func NewCollector(o Options) *Collector {
+	return &Collector{Options: o, down: map[incarnation.Key]bool{}}
+}
 
 // Run asks peers, and the replicas while this VM has the duty, until ctx ends. A holder
 // asks peers too: a board of a later tenure tells it that it is none any more.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Collector) Run(ctx context.Context) {
 	for pause := interval; sleep.For(ctx, pause); {
 		began := time.Now()
 		k.copy(ctx)
@@ -84,18 +86,18 @@
 	}
 }
 
-func (k *Keeper) copy(ctx context.Context) {
+func (k *Collector) copy(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	change, age, ok := k.Peers.FetchOne(ctx, TableName, k.Board.Revision())
+	change, age, ok := k.Peers.FetchOne(ctx, TableName, k.Cache.Revision())
 	if ok {
-		k.Board.Take(change, age)
+		k.Cache.Take(change, age)
 	}
 }
 
 // ask makes a new board of the replicas' own answers.
-func (k *Keeper) ask(ctx context.Context, tenure uint64) {
-	listed := k.Listed()
+func (k *Collector) ask(ctx context.Context, tenure uint64) {
+	listed := k.ListReplicas()
 	var mu sync.Mutex // guards the map below
 	loads := make(map[incarnation.Key]layers.Load, len(listed))
 	var asking errgroup.Group
@@ -129,7 +131,7 @@
 		}
 	}
 	k.round++
-	k.Board.publish(tenure<<tenureShift|k.round, loads)
+	k.Cache.publish(tenure<<tenureShift|k.round, loads)
 	k.offer(ctx)
 }
 
@@ -144,7 +146,7 @@
 }
 
 // load asks a replica, and once more if it does not answer.
-func (k *Keeper) load(ctx context.Context, address string) (layers.Load, error) {
+func (k *Collector) load(ctx context.Context, address string) (layers.Load, error) {
 	load, err := k.loadOnce(ctx, address)
 	if err != nil && sleep.For(ctx, askAgain) {
 		load, err = k.loadOnce(ctx, address)
@@ -152,18 +154,18 @@
 	return load, err
 }
 
-func (k *Keeper) loadOnce(ctx context.Context, address string) (layers.Load, error) {
+func (k *Collector) loadOnce(ctx context.Context, address string) (layers.Load, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	return k.Replicas.Load(ctx, address)
+	return k.Client.Load(ctx, address)
 }
 
 // offer hands the new board on. The others ask a few VMs only, and the holder of the
 // duty need not be among those: without this its boards would reach nobody.
-func (k *Keeper) offer(ctx context.Context) {
+func (k *Collector) offer(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	if change, age, ok := k.Board.Since(0); ok {
+	if change, age, ok := k.Cache.Since(0); ok {
 		k.Peers.Offer(ctx, TableName, change, age)
 	}
 }
--- a/internal/loads/loads_test.go
+++ b/internal/loads/loads_test.go
@@ -34,7 +34,7 @@
 }
 
 // onePeer exchanges boards with one other VM.
-type onePeer struct{ board *Board }
+type onePeer struct{ board *Cache }
 
 func (p onePeer) Offer(_ context.Context, _ string, change platform.TableChange, age time.Duration) {
 	p.board.Take(change, age)
@@ -46,14 +46,14 @@
 
 // kept is a VM's board with the loads that it last handed on.
 type kept struct {
-	board *Board
+	board *Cache
 	mu    sync.Mutex // guards the field below
 	loads map[incarnation.Key]layers.Load
 }
 
 func newKept() *kept {
 	k := &kept{}
-	k.board = NewBoard(func(loads map[incarnation.Key]layers.Load) {
+	k.board = NewCache(func(loads map[incarnation.Key]layers.Load) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		k.loads = loads
@@ -84,11 +84,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() {
-			NewKeeper(Options{Board: holder.board, Replicas: replicas, Peers: onePeer{other.board}, Listed: listed, Logger: zap.NewNop(),
+			NewCollector(Options{Cache: holder.board, Client: replicas, Peers: onePeer{other.board}, ListReplicas: listed, Logger: zap.NewNop(),
 				Tenure: func() (uint64, bool) { return 3, true }}).Run(ctx)
 		})
 		running.Go(func() {
-			NewKeeper(Options{Board: other.board, Replicas: idle, Peers: onePeer{holder.board}, Listed: listed, Logger: zap.NewNop(),
+			NewCollector(Options{Cache: other.board, Client: idle, Peers: onePeer{holder.board}, ListReplicas: listed, Logger: zap.NewNop(),
 				Tenure: func() (uint64, bool) { return 0, false }}).Run(ctx)
 		})
 		time.Sleep(5 * time.Second)
@@ -117,9 +117,9 @@
 		holder, asked, other := newKept(), newKept(), newKept()
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
-		run := func(vm *kept, peer *Board, holds bool) {
+		run := func(vm *kept, peer *Cache, holds bool) {
 			running.Go(func() {
-				NewKeeper(Options{Board: vm.board, Replicas: &fakeReplicas{}, Peers: onePeer{peer}, Listed: listed, Logger: zap.NewNop(),
+				NewCollector(Options{Cache: vm.board, Client: &fakeReplicas{}, Peers: onePeer{peer}, ListReplicas: listed, Logger: zap.NewNop(),
 					Tenure: func() (uint64, bool) { return 3, holds }}).Run(ctx)
 			})
 		}
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -95,8 +95,8 @@
 }
 
 func testSpec() *layers.Spec {
-	return &layers.Spec{Layers: 20, LayerMB: 1000, KVBytes: 1e5, LoadTime: time.Second, UsualPrompt: 100, UsualAnswer: 100,
-		Kinds: map[string]layers.Kind{"card": {MemoryMB: 12000, StepPace: 1, ReadPace: 1}}}
+	return &layers.Spec{Layers: 20, LayerMB: 1000, KVBytes: 1e5, LoadTime: time.Second, MeanPrompt: 100, MeanAnswer: 100,
+		Accelerators: map[string]layers.Accelerator{"card": {MemoryMB: 12000, StepTimeFactor: 1, PrefillTimeFactor: 1}}}
 }
 
 // listing returns the replicas as they report themselves.
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -161,17 +161,17 @@
 // prepare reserves a path for one more send while the present one still stands, and
 // reports whether the present one may be ended. Without that a stream would be cut off
 // that its replica might yet have gone on with. The path is without some replicas and without those
-// that are fuller than maxFull, 0 for any; see layers.Need.
+// that are fuller than maxFull, 0 for any; see layers.Query.
 func (g *generation) prepare(without []incarnation.Key, maxFull float64) bool {
 	verdict := g.h.crashes.judge(g.q)
 	if !g.mayResend() || verdict.Quarantined {
 		return false
 	}
 	need := g.need()
-	need.MaxFull = maxFull
-	need.Avoid = map[incarnation.Key]bool{}
+	need.MaxUsage = maxFull
+	need.Exclude = map[incarnation.Key]bool{}
 	for _, k := range without {
-		need.Avoid[k] = true
+		need.Exclude[k] = true
 	}
 	need.SpareEntries = verdict.Spare
 	reservation, err := g.table.Reserve(need)
@@ -179,13 +179,13 @@
 		return false
 	}
 	if !g.pay() {
-		reservation.Done(false)
+		reservation.Release(false)
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.ended || g.prepared != nil {
-		reservation.Done(false)
+		reservation.Release(false)
 		return false
 	}
 	g.prepared = reservation
@@ -206,11 +206,11 @@
 	g.ended = true
 	g.mu.Unlock()
 	if reservation := g.takePrepared(); reservation != nil {
-		reservation.Done(false)
+		reservation.Release(false)
 	}
 }
 
-func (g *generation) need() layers.Need {
+func (g *generation) need() layers.Query {
 	q := g.q
 	prompt, answer := q.PromptTokens, q.LikelyAnswerTokens
 	if prompt <= 0 {
@@ -225,7 +225,7 @@
 	}
 	// The reservation keeps the need, and the watch of a stalled stream reads it while this
 	// send may already be avoiding one replica more: on a shared map that ends the process.
-	return layers.Need{Prompt: prompt, Answer: answer, DataCentre: g.h.DataCentre, Avoid: maps.Clone(g.avoid)}
+	return layers.Query{Prompt: prompt, Answer: answer, DataCentre: g.h.DataCentre, Exclude: maps.Clone(g.avoid)}
 }
 
 // admit waits for a path with room.
@@ -241,7 +241,7 @@
 		need.SpareEntries = g.h.crashes.judge(g.q).Spare // an end may have been counted while it waited
 		r, err := g.table.Reserve(need)
 		none = nil
-		if errors.Is(err, layers.ErrNoPath) || errors.Is(err, layers.ErrLastEntries) || !g.begun && g.h.heldTooLong(g.q, err) != nil {
+		if errors.Is(err, layers.ErrNoPath) || errors.Is(err, layers.ErrNoSpareEntry) || !g.begun && g.h.heldTooLong(g.q, err) != nil {
 			none = err
 			return true
 		}
@@ -255,7 +255,7 @@
 	if quarantined != nil {
 		return nil, quarantined
 	}
-	if errors.Is(none, layers.ErrLastEntries) {
+	if errors.Is(none, layers.ErrNoSpareEntry) {
 		return nil, g.h.crashes.spared(g.q).WithCause(none)
 	}
 	if held := g.h.heldTooLong(g.q, none); held != nil {
--- a/internal/relay/generate_send.go
+++ b/internal/relay/generate_send.go
@@ -19,7 +19,7 @@
 	started := time.Now()
 	g.answered, g.began = time.Time{}, time.Time{}
 	defer func() {
-		reservation.Done(err == nil)
+		reservation.Release(err == nil)
 		g.h.Admission.Finished(g.q.service, time.Since(started))
 		g.h.Admission.Wake(g.q.service)
 	}()
@@ -88,7 +88,7 @@
 		fault = g.replicaAt(path, x.answer.FaultAddress)
 	}
 	g.avoid[fault.Key()] = true
-	g.table.TurnedAway(fault)
+	g.table.RecordRefusal(fault)
 	g.q.progress.left(fault.Address, "it turned the request away")
 	return &notRunError{Address: path.First().Address, Status: x.resp.StatusCode, Fault: fault.Address}
 }
@@ -96,10 +96,10 @@
 // replicaAt returns the replica that a path has at an address, or else the one that is listed
 // there now: a report may still be of the path before.
 func (g *generation) replicaAt(path layers.Path, address string) layers.Replica {
-	if r, ok := path.At(address); ok {
+	if r, ok := path.ReplicaAt(address); ok {
 		return r
 	}
-	if r, ok := g.table.At(address); ok {
+	if r, ok := g.table.ReplicaAt(address); ok {
 		return r
 	}
 	return layers.Replica{Address: address}
--- a/internal/relay/need_test.go
+++ b/internal/relay/need_test.go
@@ -13,7 +13,7 @@
 	g := &generation{h: &Handler{}, q: &request{}, avoid: map[incarnation.Key]bool{{ID: "first"}: true}}
 	need := g.need()
 	g.avoid[incarnation.Key{ID: "second"}] = true
-	if len(need.Avoid) != 1 || !need.Avoid[incarnation.Key{ID: "first"}] {
-		t.Errorf("avoided: %v", need.Avoid)
+	if len(need.Exclude) != 1 || !need.Exclude[incarnation.Key{ID: "first"}] {
+		t.Errorf("avoided: %v", need.Exclude)
 	}
 }
--- a/internal/relay/pools.go
+++ b/internal/relay/pools.go
@@ -11,7 +11,7 @@
 type Pools struct {
 	mu      sync.RWMutex // guards the fields below
 	tables  map[string]*layers.Table
-	sharers layers.Sharers
+	sharers layers.VMCounts
 	gate    layers.Gate
 }
 
@@ -31,7 +31,7 @@
 	table := p.tables[service]
 	if table == nil {
 		table = layers.NewTable()
-		table.SetSharers(p.sharers)
+		table.SetVMCounts(p.sharers)
 		if p.gate != nil {
 			table.SetGate(p.gate)
 		}
@@ -42,12 +42,12 @@
 }
 
 // SetSharers tells how many VMs share the replicas.
-func (p *Pools) SetSharers(s layers.Sharers) {
+func (p *Pools) SetSharers(s layers.VMCounts) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sharers = s
 	for _, table := range p.tables {
-		table.SetSharers(s)
+		table.SetVMCounts(s)
 	}
 }
 
--- a/internal/relay/stall_look.go
+++ b/internal/relay/stall_look.go
@@ -98,7 +98,7 @@
 		w.elsewhere(p, first, "it has started again")
 		return askAgain
 	}
-	w.g.table.Pace(first, report.Pace)
+	w.g.table.SetPace(first, report.Pace)
 	for _, s := range report.Stalled {
 		if s.RequestID == w.g.q.RequestID {
 			return w.move(p, []string{s.Address})
--- a/internal/relay/stall_move.go
+++ b/internal/relay/stall_move.go
@@ -57,12 +57,12 @@
 	w.mu.Lock()
 	left := gap - time.Since(w.last)
 	w.mu.Unlock()
-	crowd, ok := w.reservation.Crowd(stopped, int(w.g.events.Load()), max(left, gap/leastLeft))
-	if !ok || rand.Float64() < crowd.InTime {
+	crowd, ok := w.reservation.DetourCapacity(stopped, int(w.g.events.Load()), max(left, gap/leastLeft))
+	if !ok || rand.Float64() < crowd.MovableFraction {
 		return nil
 	}
 	w.g.h.Logger.Info("stream leaves the holders nearby to others", zap.String("requestId", w.g.q.RequestID),
-		zap.Float64("inTime", crowd.InTime), zap.Stringers("holders", crowd.Holders))
+		zap.Float64("inTime", crowd.MovableFraction), zap.Stringers("holders", crowd.Holders))
 	return crowd.Holders
 }
 
--- a/internal/relay/stall_watch.go
+++ b/internal/relay/stall_watch.go
@@ -118,7 +118,7 @@
 func (w *stallWatch) passesAny(addresses []string) bool {
 	path := w.reservation.Path()
 	return slices.ContainsFunc(addresses, func(address string) bool {
-		_, on := path.At(address)
+		_, on := path.ReplicaAt(address)
 		return on
 	})
 }
