--- a/internal/admission/fake_test.go
+++ b/internal/admission/fake_test.go
@@ -34,7 +34,7 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		open := f.slots
-		if r.TakeAs() != config.Urgent && open > 1 {
+		if r.EffectiveUrgency() != config.Urgent && open > 1 {
 			open--
 		}
 		if f.used >= open {
--- a/internal/admission/order_test.go
+++ b/internal/admission/order_test.go
@@ -81,11 +81,11 @@
 	})
 }
 
-// Normal work keeps the pool full. Bulk still gets one start in BulkTurn, but not
+// Normal work keeps the pool full. Bulk still gets one start in NormalPerBulk, but not
 // while an urgent request waits.
 func TestBulkGetsATurnBehindNormalWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakeTargets(Settings{BulkTurn: 4}, 0)
+		f := newFakeTargets(Settings{NormalPerBulk: 4}, 0)
 		for i := range 8 {
 			f.queueUp(&Request{ID: fmt.Sprint("normal", i), Workspace: "a", Urgency: config.Normal})
 		}
@@ -139,7 +139,7 @@
 // urgent one's.
 func TestBulksTurnWaitsForUrgent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakeTargets(Settings{BulkTurn: 1}, 0)
+		f := newFakeTargets(Settings{NormalPerBulk: 1}, 0)
 		f.queueUp(&Request{ID: "bulk", Workspace: "b"})
 		f.queueUp(&Request{ID: "normal", Workspace: "a", Urgency: config.Normal})
 		f.setSlots(1)
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -34,11 +34,11 @@
 	turn bool
 }
 
-// TakeAs is the urgency for which try should take capacity: the request's own,
+// EffectiveUrgency is the urgency for which try should take capacity: the request's own,
 // but normal for a bulk request that starts in bulk's turn. Without that, bulk
 // would never find room while normal requests fill all but the slots that only
 // they and urgent ones may take. It may only be called from within try.
-func (r *Request) TakeAs() config.Urgency {
+func (r *Request) EffectiveUrgency() config.Urgency {
 	if r.turn {
 		return config.Normal
 	}
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -10,7 +10,7 @@
 	DefaultMaxQueued             = 1024
 	DefaultMaxQueuedPerWorkspace = 256
 	DefaultMaxWait               = time.Minute
-	DefaultBulkTurn              = 16
+	DefaultNormalPerBulk         = 16
 	DefaultStarvedInterval       = 100 * time.Millisecond
 	DefaultReviewInterval        = 100 * time.Millisecond
 )
@@ -23,9 +23,9 @@
 	MaxQueuedPerWorkspace int
 	// MaxWait bounds the time in a queue.
 	MaxWait time.Duration
-	// BulkTurn is how many normal requests may start before one waiting bulk
+	// NormalPerBulk is how many normal requests may start before one waiting bulk
 	// request gets a turn; it gets none while an urgent request waits.
-	BulkTurn int
+	NormalPerBulk int
 	// StarvedInterval is the time between two calls of the OnStarved function for
 	// an urgent request that still waits.
 	StarvedInterval time.Duration
@@ -40,7 +40,7 @@
 	s.MaxQueued = cmp.Or(max(s.MaxQueued, 0), DefaultMaxQueued)
 	s.MaxQueuedPerWorkspace = cmp.Or(max(s.MaxQueuedPerWorkspace, 0), DefaultMaxQueuedPerWorkspace)
 	s.MaxWait = cmp.Or(max(s.MaxWait, 0), DefaultMaxWait)
-	s.BulkTurn = cmp.Or(max(s.BulkTurn, 0), DefaultBulkTurn)
+	s.NormalPerBulk = cmp.Or(max(s.NormalPerBulk, 0), DefaultNormalPerBulk)
 	s.StarvedInterval = cmp.Or(max(s.StarvedInterval, 0), DefaultStarvedInterval)
 	s.ReviewInterval = cmp.Or(max(s.ReviewInterval, 0), DefaultReviewInterval)
 	return s
--- a/internal/admission/starting.go
+++ b/internal/admission/starting.go
@@ -55,7 +55,7 @@
 // enough. There is no such turn while an urgent request waits, and what starts
 // in it leaves the slots free that are for urgent requests only.
 func (p *pool) bulkTurn() bool {
-	return p.sinceBulk >= p.settings.BulkTurn &&
+	return p.sinceBulk >= p.settings.NormalPerBulk &&
 		p.levels[config.Urgent].length == 0 &&
 		p.levels[config.Bulk].length > 0
 }
--- a/internal/balance/decision_bench_test.go
+++ b/internal/balance/decision_bench_test.go
@@ -49,7 +49,7 @@
 	r := &admission.Request{Workspace: d.workspaces[n%benchWorkspaces], Pool: "svc", Urgency: u, Cost: 355}
 	var slot *Slot
 	err := d.admission.Admit(context.Background(), r, func() bool {
-		slot, _ = d.balancer.Pick(Query{Pool: "svc", Urgency: r.TakeAs(), Prefixes: prefixes})
+		slot, _ = d.balancer.Pick(Query{Pool: "svc", Urgency: r.EffectiveUrgency(), Prefixes: prefixes})
 		return slot != nil
 	})
 	if err != nil {
--- a/internal/balance/gate.go
+++ b/internal/balance/gate.go
@@ -23,8 +23,8 @@
 
 // held returns the error for the targets that q accepts if all of them have asked not to be sent requests
 // now, else nil.
-func (p *pool) held(q *Query, gate Gate, now time.Time) *pushback.HeldError {
-	return pushback.AllHeld(func(yield func(bool, time.Time) bool) {
+func (p *pool) held(q *Query, gate Gate, now time.Time) *pushback.ThrottledError {
+	return pushback.AllThrottled(func(yield func(bool, time.Time) bool) {
 		for _, t := range p.members {
 			if t.blockedAt.Load() == 0 && q.accepts(t) && !yield(gate.Open(t.name, now)) {
 				return
--- a/internal/balance/overload_test.go
+++ b/internal/balance/overload_test.go
@@ -79,7 +79,7 @@
 	}
 	var slot *Slot
 	err := o.admission.Admit(context.Background(), r, func() (ok bool) {
-		slot, _ = o.balancer.Pick(Query{Pool: "svc", Urgency: r.TakeAs()})
+		slot, _ = o.balancer.Pick(Query{Pool: "svc", Urgency: r.EffectiveUrgency()})
 		return slot != nil
 	})
 	if err == nil {
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -18,7 +18,7 @@
 )
 
 // Pick chooses a target of the pool and reserves a slot on it. It returns
-// ErrNoCapacity when waiting can help and ErrNoTarget when it cannot, and a *pushback.HeldError when
+// ErrNoCapacity when waiting can help and ErrNoTarget when it cannot, and a *pushback.ThrottledError when
 // all targets have asked not to be sent requests now.
 func (b *Balancer) Pick(q Query) (*Slot, error) {
 	p := b.view.Load().pools[q.Pool]
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return service.Response{}, d.failed(ctx, target.Name, false, err)
 	}
-	if ctx.Err() != nil || !job.Boundary.Cross() {
+	if ctx.Err() != nil || !job.SendGuard.BeginSend() {
 		conn.Discard()
 		return service.Response{}, d.failed(ctx, target.Name, false, ctx.Err())
 	}
@@ -55,7 +55,7 @@
 		return response, &attemptError{target: target, reason: outcome.ReasonTargetFailed, mayHaveRun: true, cause: errors.New("answer to another request")}
 	}
 	if response.NotRun {
-		job.Boundary.DeclaredNotRun()
+		job.SendGuard.MarkNotRun()
 		return response, &attemptError{target: target, reason: outcome.ReasonTargetFailed, cause: errors.New("the service did not run the call")}
 	}
 	if response.Status >= http.StatusInternalServerError {
--- a/internal/dispatch/boundary.go
+++ b/internal/dispatch/boundary.go
@@ -6,10 +6,10 @@
 	"geraniumcroft/internal/invariant"
 )
 
-// Boundary is the dispatch boundary of one request. A request that is not
+// SendGuard is the dispatch boundary of one request. A request that is not
 // idempotent crosses it at most once, unless the service itself declared that
 // the call before did not run.
-type Boundary struct {
+type SendGuard struct {
 	requestID  string
 	idempotent bool
 	invariants *invariant.Registry
@@ -19,17 +19,17 @@
 	closed  bool
 }
 
-// NewBoundary returns the boundary of a request that has not been sent.
-func NewBoundary(requestID string, idempotent bool, invariants *invariant.Registry) *Boundary {
-	return &Boundary{requestID: requestID, idempotent: idempotent, invariants: invariants}
+// NewSendGuard returns the boundary of a request that has not been sent.
+func NewSendGuard(requestID string, idempotent bool, invariants *invariant.Registry) *SendGuard {
+	return &SendGuard{requestID: requestID, idempotent: idempotent, invariants: invariants}
 }
 
-// Cross records that the call is about to be sent and reports whether it may be.
+// BeginSend records that the call is about to be sent and reports whether it may be.
 //
 // A second crossing of a request that is not idempotent would run it twice; the
 // caller of the service would see two holds for one request. The check and the
 // record are one step under the lock, so of two racing attempts only one passes.
-func (b *Boundary) Cross() bool {
+func (b *SendGuard) BeginSend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
@@ -43,16 +43,16 @@
 	return true
 }
 
-// DeclaredNotRun takes one crossing back: the service answered that it did not
+// MarkNotRun takes one crossing back: the service answered that it did not
 // run the call.
-func (b *Boundary) DeclaredNotRun() {
+func (b *SendGuard) MarkNotRun() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.crossed--
 }
 
 // MayHaveRun reports whether a call was sent and not declared as not run.
-func (b *Boundary) MayHaveRun() bool {
+func (b *SendGuard) MayHaveRun() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.crossed > 0
@@ -61,7 +61,7 @@
 // Close refuses crossings from now on. An attempt that was still connecting
 // finds the boundary closed and gives up, so "not run", said after Close, stays
 // true.
-func (b *Boundary) Close() {
+func (b *SendGuard) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closed = true
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -26,7 +26,7 @@
 // *outcome.Failure. When it returns no attempt can be sent any more; an attempt
 // that lost a hedge may still be ending.
 func (d *Dispatcher) Call(ctx context.Context, job Job) (service.Response, error) {
-	d.budget.Fresh(job.Urgency)
+	d.budget.Credit(job.Urgency)
 	run := newRun(d, ctx, &job)
 	defer run.end()
 	return run.loop()
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -116,10 +116,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	boundary := NewBoundary("r1", idempotent, violations)
+	boundary := NewSendGuard("r1", idempotent, violations)
 	_, err = New(services, s, violations, nil).Call(ctx, Job{
-		Call: service.Call{RequestID: "r1", Idempotent: idempotent}, Urgency: u, Boundary: boundary, First: first,
-		Next: func(exclude []string) (*balance.Slot, error) {
+		Call: service.Call{RequestID: "r1", Idempotent: idempotent}, Urgency: u, SendGuard: boundary, FirstSlot: first,
+		NextSlot: func(exclude []string) (*balance.Slot, error) {
 			return balancer.Pick(balance.Query{Pool: pool, Urgency: u, Exclude: exclude})
 		},
 	})
@@ -212,7 +212,7 @@
 		budget := NewRetryBudget(0.1, 20, 0)
 		taken := 0
 		for range 1000 {
-			budget.Fresh(config.Normal)
+			budget.Credit(config.Normal)
 			if budget.Take(config.Normal) {
 				taken++
 			}
@@ -260,12 +260,12 @@
 func TestSecondCrossingIsStoppedAndReported(t *testing.T) {
 	Convey("Given a boundary that one attempt has crossed", t, func() {
 		violations := invariant.NewRegistry(nil)
-		boundary := NewBoundary("r1", false, violations)
-		So(boundary.Cross(), ShouldBeTrue)
+		boundary := NewSendGuard("r1", false, violations)
+		So(boundary.BeginSend(), ShouldBeTrue)
 		So(violations.Total(), ShouldEqual, 0)
 
 		Convey("a second attempt is stopped and reported", func() {
-			So(boundary.Cross(), ShouldBeFalse)
+			So(boundary.BeginSend(), ShouldBeFalse)
 			So(violations.Report().Counts[invariant.OneDispatch], ShouldEqual, 1)
 		})
 	})
--- a/internal/dispatch/retry_budget.go
+++ b/internal/dispatch/retry_budget.go
@@ -34,8 +34,8 @@
 	return b
 }
 
-// Fresh credits the budget for one request that arrived.
-func (b *RetryBudget) Fresh(u config.Urgency) {
+// Credit credits the budget for one request that arrived.
+func (b *RetryBudget) Credit(u config.Urgency) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens[u] = min(b.burst, b.tokens[u]+b.share)
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -34,7 +34,7 @@
 }
 
 func (r *run) end() {
-	r.job.Boundary.Close()
+	r.job.SendGuard.Close()
 	r.cancel()
 }
 
@@ -49,7 +49,7 @@
 }
 
 func (r *run) loop() (service.Response, error) {
-	r.start(r.job.First)
+	r.start(r.job.FirstSlot)
 	hedge := r.hedgeTimer()
 	for {
 		select {
@@ -85,7 +85,7 @@
 	if r.ctx.Err() != nil {
 		return false
 	}
-	if !r.job.Call.Idempotent && r.job.Boundary.MayHaveRun() {
+	if !r.job.Call.Idempotent && r.job.SendGuard.MayHaveRun() {
 		return false
 	}
 	return r.another("retry")
@@ -98,7 +98,7 @@
 	if !r.dispatcher.budget.Take(r.job.Urgency) {
 		return false
 	}
-	slot, err := r.job.Next(r.tried)
+	slot, err := r.job.NextSlot(r.tried)
 	if err != nil {
 		return false
 	}
@@ -113,9 +113,9 @@
 // closed first: an attempt that is still connecting can then never be sent, so
 // what is said here stays true.
 func (r *run) failure() *outcome.Failure {
-	r.job.Boundary.Close()
+	r.job.SendGuard.Close()
 	reason, cause := r.reason()
-	if r.job.Boundary.MayHaveRun() {
+	if r.job.SendGuard.MayHaveRun() {
 		return outcome.Uncertain(reason, "the call was sent and no whole answer came back; it may have run").WithCause(cause)
 	}
 	return outcome.Refuse(reason, "no target took the call; it did not run").WithCause(cause).WithRetryAfter(time.Second)
--- a/internal/dispatch/window_budget.go
+++ b/internal/dispatch/window_budget.go
@@ -43,8 +43,8 @@
 	b.slack = slack
 }
 
-// Fresh credits the budget for one request that arrived.
-func (b *WindowBudget) Fresh() {
+// Credit credits the budget for one request that arrived.
+func (b *WindowBudget) Credit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fresh[b.turn()]++
--- a/internal/dispatch/window_budget_test.go
+++ b/internal/dispatch/window_budget_test.go
@@ -15,7 +15,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := NewWindowBudget(0.2, 4, 10*time.Second)
 		for range 100 {
-			b.Fresh()
+			b.Credit()
 			time.Sleep(100 * time.Millisecond)
 		}
 		take := func() int {
@@ -54,7 +54,7 @@
 			for i, pause := range pauses {
 				time.Sleep(time.Duration(pause) * time.Millisecond)
 				if requests[i] {
-					b.Fresh()
+					b.Credit()
 					fresh = append(fresh, time.Now())
 				} else if b.Take() {
 					spent = append(spent, time.Now())
--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -69,7 +69,7 @@
 	p.board.Attach(p.pushbackSharing)
 	p.keeper = loads.NewKeeper(loads.Options{
 		Board: p.board, Replicas: p.Wiring.Engines, Peers: p.peers, Tenure: func() (uint64, bool) { return p.tenure.now() }, Listed: p.view.engines, Logger: p.Logger,
-		MayAsk: func(k incarnation.Key) bool { return p.pushback.MayAsk(k, time.Now()) },
+		MayAsk: func(k incarnation.Key) bool { return p.pushback.AllowLoadQuery(k, time.Now()) },
 	})
 	p.leases = lease.NewManager(lease.Options{
 		Table: p.table, VM: s.VM.Name, Duties: []string{placer.Duty}, TTL: leaseTTL,
@@ -78,9 +78,9 @@
 	p.quarantine = quarantine.NewLedger(quarantine.DefaultSettings, time.Now())
 	p.sharing = sharing.New(sharing.Options{
 		Ledger: p.quarantine, Peers: p.peers, Table: p.table, Logger: p.Logger,
-		Reads: func() bool { return p.census.Known() && p.census.Follows() },
+		ShouldLoad: func() bool { return p.census.Known() && p.census.Follows() },
 	})
-	p.peers.OnNews, p.mirror.News = p.sharing.Heard, p.quarantine.Revision
+	p.peers.OnNews, p.mirror.News = p.sharing.ObserveRevision, p.quarantine.Revision
 	p.tenure = &tenure{leases: p.leases, board: p.board, logger: p.Logger}
 }
 
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -41,9 +41,9 @@
 	case loads.TableName:
 		p.board.Take(change, age)
 	case quarantine.TableName:
-		p.sharing.Take(change, age)
+		p.sharing.Apply(change, age)
 	case pushbacksharing.TableName:
-		p.pushbackSharing.Take(change, age)
+		p.pushbackSharing.Apply(change, age)
 	}
 }
 
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -82,10 +82,10 @@
 	peers  *mirror.Client
 	// quarantine knows requests that crash replicas, and sharing exchanges it with other VMs.
 	quarantine *quarantine.Ledger
-	sharing    *sharing.Sharing
+	sharing    *sharing.Syncer
 	// pushback keeps what replicas ask of those who send to them.
 	pushback        *pushback.Ledger
-	pushbackSharing *pushbacksharing.Sharing
+	pushbackSharing *pushbacksharing.Syncer
 
 	listeners struct{ callers, ready, metrics, peers net.Listener }
 	callers   *http.Server
--- a/internal/layers/gate.go
+++ b/internal/layers/gate.go
@@ -37,7 +37,7 @@
 	if !errors.Is(err, ErrNoRoom) {
 		return err
 	}
-	held := pushback.AllHeld(func(yield func(bool, time.Time) bool) {
+	held := pushback.AllThrottled(func(yield func(bool, time.Time) bool) {
 		for _, r := range s.holders {
 			if r.Held.From <= s.from && !yield(s.table.gate.Open(r.Key(), s.now)) {
 				return
--- a/internal/layers/table.go
+++ b/internal/layers/table.go
@@ -89,7 +89,7 @@
 
 // Reserve chooses a path and holds room on each of its stages until the
 // reservation is released. It returns ErrNoRoom when waiting can help and ErrNoPath
-// when it cannot, and a *pushback.HeldError when all replicas that the path could begin at have asked not
+// when it cannot, and a *pushback.ThrottledError when all replicas that the path could begin at have asked not
 // to be sent requests now.
 func (t *Table) Reserve(need Need) (*Reservation, error) {
 	t.mu.Lock()
--- a/internal/pushback/asking.go
+++ b/internal/pushback/asking.go
@@ -15,19 +15,19 @@
 	askEarly = 100 * time.Millisecond
 )
 
-// MayAsk reports whether a replica may be asked for its load now, and notes that it is.
-func (l *Ledger) MayAsk(replica incarnation.Key, now time.Time) bool {
+// AllowLoadQuery reports whether a replica may be asked for its load now, and notes that it is.
+func (l *Ledger) AllowLoadQuery(replica incarnation.Key, now time.Time) bool {
 	may := true
 	l.of(replica, func(s *state) { may = s.mayAsk(now) })
 	return may
 }
 
-// mayAsk is MayAsk of one replica.
+// mayAsk is AllowLoadQuery of one replica.
 func (s *state) mayAsk(now time.Time) bool {
 	switch {
 	case s.backOffLeft(now) > 0:
 		return false
-	case !s.limit.Named:
+	case !s.limit.Set:
 		return true
 	}
 	perSecond := min(askMost, askShare*max(leastRate, s.limit.PerSecond))
--- a/internal/pushback/backoff_test.go
+++ b/internal/pushback/backoff_test.go
@@ -62,10 +62,10 @@
 func TestReplicaThatAskedToBackOffIsAskedNothing(t *testing.T) {
 	l := NewLedger(zap.NewNop())
 	hear(l, Signal{BackOff: 3 * time.Second}, 0, 1)
-	if l.MayAsk(desk, at(2)) || !l.MayAsk(desk, at(4)) {
+	if l.AllowLoadQuery(desk, at(2)) || !l.AllowLoadQuery(desk, at(4)) {
 		t.Error("asked within its rest, or not after it")
 	}
-	if l.Closed(desk, at(2)) == nil || l.Closed(desk, at(4)) != nil {
+	if l.CheckSend(desk, at(2)) == nil || l.CheckSend(desk, at(4)) != nil {
 		t.Error("what was already meant for it is sent")
 	}
 }
--- a/internal/pushback/counts.go
+++ b/internal/pushback/counts.go
@@ -16,7 +16,7 @@
 	defer l.mu.Unlock()
 	var c Counts
 	for _, s := range l.replicas {
-		if s.limit.Named {
+		if s.limit.Set {
 			c.Limited++
 		}
 		if s.leaving {
--- a/internal/pushback/dump.go
+++ b/internal/pushback/dump.go
@@ -47,7 +47,7 @@
 	if left := s.backOffLeft(now); left > 0 {
 		e.BackOffSeconds, e.BackOffSent = left.Seconds(), s.backOffSent
 	}
-	if s.limit.Named {
+	if s.limit.Set {
 		limit := s.limit.PerSecond
 		e.LimitPerSecond = &limit
 	}
--- a/internal/pushback/fleet_test.go
+++ b/internal/pushback/fleet_test.go
@@ -62,7 +62,7 @@
 		fleet := knows(i, vms)
 		fleet.Self = vms[i].Name
 		l.SetFleet(fleet, at(0))
-		l.Heard(Origin{Replica: desk, DataCentre: "dc-0", Sent: at(0)}, Signal{Limit: LimitOf(limit)}, at(0))
+		l.Observe(Origin{Replica: desk, DataCentre: "dc-0", Sent: at(0)}, Signal{Limit: LimitOf(limit)}, at(0))
 		s.ledgers = append(s.ledgers, l)
 		s.weights = append(s.weights, 0.3+s.random.Float64())
 	}
@@ -95,7 +95,7 @@
 		}
 		if !late {
 			s.arrived = append(s.arrived, now)
-			l.Heard(Origin{Replica: desk, Sent: now}, Signal{Limit: l.replicas[desk].limit}, now)
+			l.Observe(Origin{Replica: desk, Sent: now}, Signal{Limit: l.replicas[desk].limit}, now)
 		}
 		s.waiting[i] = s.waiting[i][1:]
 	}
--- a/internal/pushback/gate.go
+++ b/internal/pushback/gate.go
@@ -30,16 +30,16 @@
 	return taken
 }
 
-// Closed returns the error with which a request is not sent that was already meant for a replica, as it
+// CheckSend returns the error with which a request is not sent that was already meant for a replica, as it
 // has asked to back off or said that it leaves meanwhile; nil if it has not.
-func (l *Ledger) Closed(replica incarnation.Key, now time.Time) *HeldError {
-	var held *HeldError
+func (l *Ledger) CheckSend(replica incarnation.Key, now time.Time) *ThrottledError {
+	var held *ThrottledError
 	l.of(replica, func(s *state) {
 		switch {
 		case s.leaving:
-			held = &HeldError{}
+			held = &ThrottledError{}
 		case s.backOffLeft(now) > 0:
-			held = &HeldError{Until: s.backOffUntil}
+			held = &ThrottledError{Until: s.backOffUntil}
 		}
 	})
 	return held
@@ -51,7 +51,7 @@
 		return false, at
 	}
 	switch {
-	case !s.limit.Named:
+	case !s.limit.Set:
 		return true, now
 	case !s.part.sender:
 		return !now.Before(s.trialAt()), time.Time{}
@@ -72,7 +72,7 @@
 // takePart uses up one request of this VM's part of the limit.
 func (s *state) takePart(now time.Time) bool {
 	switch {
-	case !s.limit.Named:
+	case !s.limit.Set:
 		return true
 	case !s.part.sender && now.Before(s.trialAt()):
 		return false
--- a/internal/pushback/held_error.go
+++ b/internal/pushback/held_error.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// HeldError means that each replica that could take a request has asked not to be sent one now. The
+// ThrottledError means that each replica that could take a request has asked not to be sent one now. The
 // request has not been sent, and may be sent later.
-type HeldError struct {
+type ThrottledError struct {
 	// Until is when the first of them may be sent one, zero if only other VMs may send to them.
 	Until time.Time
 }
 
 // Error implements error.
-func (e *HeldError) Error() string {
+func (e *ThrottledError) Error() string {
 	if e.Until.IsZero() {
 		return "held back, as replicas asked, for other VMs"
 	}
 	return fmt.Sprintf("held back, as replicas asked, until %s", e.Until.Format(time.RFC3339Nano))
 }
 
-// AllHeld returns the error for replicas of which none may be sent a request, nil if one may or there are
+// AllThrottled returns the error for replicas of which none may be sent a request, nil if one may or there are
 // none. Each is what Ledger.Open returns of one of them.
-func AllHeld(each iter.Seq2[bool, time.Time]) *HeldError {
-	var held *HeldError
+func AllThrottled(each iter.Seq2[bool, time.Time]) *ThrottledError {
+	var held *ThrottledError
 	for open, at := range each {
 		if open {
 			return nil
 		}
 		if held == nil {
-			held = &HeldError{}
+			held = &ThrottledError{}
 		}
 		if !at.IsZero() && (held.Until.IsZero() || at.Before(held.Until)) {
 			held.Until = at
--- a/internal/pushback/leaving_test.go
+++ b/internal/pushback/leaving_test.go
@@ -16,7 +16,7 @@
 	hear(l, Signal{Leaving: true}, 0, 1)
 	hear(l, Signal{}, 2, 3)
 	hear(l, Signal{Leaving: true}, 4, 5)
-	if !l.Leaving(desk) || l.Closed(desk, at(6)) == nil || told != 1 {
+	if !l.Leaving(desk) || l.CheckSend(desk, at(6)) == nil || told != 1 {
 		t.Errorf("leaving %t, told %d times", l.Leaving(desk), told)
 	}
 	if later := (incarnation.Key{ID: desk.ID, Born: desk.Born + 1}); l.Leaving(later) {
--- a/internal/pushback/ledger.go
+++ b/internal/pushback/ledger.go
@@ -47,8 +47,8 @@
 	l.onChange = f
 }
 
-// Heard takes what an answer says.
-func (l *Ledger) Heard(from Origin, signal Signal, now time.Time) {
+// Observe takes what an answer says.
+func (l *Ledger) Observe(from Origin, signal Signal, now time.Time) {
 	if l.take(from, signal, now) {
 		l.onLeaving(from.Replica)
 	}
@@ -66,8 +66,8 @@
 		s = l.add(from.Replica, from.DataCentre, now)
 	}
 	s.heard = now
-	if signal.Unreadable != nil {
-		l.unreadable(from.Replica, s, signal.Unreadable)
+	if signal.ParseErr != nil {
+		l.unreadable(from.Replica, s, signal.ParseErr)
 	}
 	if signal.BackOff > 0 {
 		l.backOff(from.Replica, s, signal.BackOff, now)
@@ -76,7 +76,7 @@
 	}
 	leaves = signal.Leaving && l.leaves(from.Replica, s, "replica")
 	// The answer to a request that was sent before the limit was heard of may be older than the limit.
-	limitKnown := !signal.LimitUnread && (signal.Limit.Named || !from.Sent.Before(s.since))
+	limitKnown := !signal.LimitInvalid && (signal.Limit.Set || !from.Sent.Before(s.since))
 	changed := leaves
 	if limitKnown {
 		s.told = now
@@ -105,7 +105,7 @@
 func (l *Ledger) count() {
 	active := 0
 	for _, s := range l.replicas {
-		if s.limit.Named || s.leaving || !s.backOffUntil.IsZero() {
+		if s.limit.Set || s.leaving || !s.backOffUntil.IsZero() {
 			active++
 		}
 	}
--- a/internal/pushback/ledger_test.go
+++ b/internal/pushback/ledger_test.go
@@ -22,7 +22,7 @@
 
 // hear takes the answer to a request that was sent and answered at the given seconds.
 func hear(l *Ledger, signal Signal, sent, answered float64) {
-	l.Heard(Origin{Replica: desk, Sent: at(sent)}, signal, at(answered))
+	l.Observe(Origin{Replica: desk, Sent: at(sent)}, signal, at(answered))
 }
 
 func named(l *Ledger) *float64 {
@@ -58,7 +58,7 @@
 func TestUnreadableLimitLeavesTheOneBefore(t *testing.T) {
 	l := NewLedger(zap.NewNop())
 	hear(l, Signal{Limit: LimitOf(5)}, 1, 2)
-	hear(l, Signal{LimitUnread: true, Unreadable: errors.New("a limit of -1")}, 3, 4)
+	hear(l, Signal{LimitInvalid: true, ParseErr: errors.New("a limit of -1")}, 3, 4)
 	if got := named(l); got == nil || *got != 5 {
 		t.Errorf("limit %v", got)
 	}
@@ -68,7 +68,7 @@
 	l := NewLedger(zap.NewNop())
 	hear(l, Signal{Limit: LimitOf(5)}, 1, 2)
 	later := incarnation.Key{ID: desk.ID, Born: desk.Born + 1}
-	l.Heard(Origin{Replica: later, Sent: at(3)}, Signal{}, at(4))
+	l.Observe(Origin{Replica: later, Sent: at(3)}, Signal{}, at(4))
 	if _, known := l.replicas[later]; known {
 		t.Error("the later incarnation has the limit of the one before")
 	}
--- a/internal/pushback/limiting.go
+++ b/internal/pushback/limiting.go
@@ -14,7 +14,7 @@
 	defer l.mu.Unlock()
 	l.fleet = fleet
 	for key, s := range l.replicas {
-		if s.limit.Named {
+		if s.limit.Set {
 			l.divide(key, s, now)
 		}
 	}
@@ -31,11 +31,11 @@
 	if limit == s.limit {
 		return false
 	}
-	if limit.Named && !s.limit.Named {
+	if limit.Set && !s.limit.Set {
 		s.since, s.sent = now, 0
 	}
 	s.limit, s.part, s.tried = limit, part{}, time.Time{}
-	if limit.Named {
+	if limit.Set {
 		l.divide(key, s, now)
 	} else {
 		s.bucket = nil
@@ -45,8 +45,8 @@
 		return false
 	}
 	l.logger.Info("rate limit of a replica", zap.Stringer("replica", key), zap.String("by", by),
-		zap.Bool("limited", limit.Named), zap.Float64("perSecond", limit.PerSecond),
-		zap.Bool("limitedBefore", s.noted.Named), zap.Float64("perSecondBefore", s.noted.PerSecond),
+		zap.Bool("limited", limit.Set), zap.Float64("perSecond", limit.PerSecond),
+		zap.Bool("limitedBefore", s.noted.Set), zap.Float64("perSecondBefore", s.noted.PerSecond),
 		zap.Duration("since", now.Sub(s.since)), zap.Uint64("sent", s.sent), zap.Int("vms", len(l.fleet.VMs)),
 		zap.Bool("sender", s.part.sender), zap.Float64("ownPerSecond", s.part.rate))
 	s.noted = limit
--- a/internal/pushback/notice.go
+++ b/internal/pushback/notice.go
@@ -48,20 +48,20 @@
 }
 
 func (s *state) addNotice(notices []Notice, key incarnation.Key, now time.Time) []Notice {
-	ended := !s.limit.Named && (s.told.IsZero() || now.Sub(s.told) > noticeFor)
+	ended := !s.limit.Set && (s.told.IsZero() || now.Sub(s.told) > noticeFor)
 	if ended && !s.leaving {
 		return notices
 	}
 	n := Notice{Replica: key, DataCentre: s.dataCentre, Leaving: s.leaving, AgeMS: now.Sub(s.told).Milliseconds()}
-	if s.limit.Named {
+	if s.limit.Set {
 		limit := s.limit.PerSecond
 		n.PerSecond = &limit
 	}
 	return append(notices, n)
 }
 
-// Learn takes what another VM tells, of the given age. What the replica has said since stays.
-func (l *Ledger) Learn(notices []Notice, age time.Duration, now time.Time) {
+// Merge takes what another VM tells, of the given age. What the replica has said since stays.
+func (l *Ledger) Merge(notices []Notice, age time.Duration, now time.Time) {
 	for _, n := range notices {
 		if l.learn(n, now.Add(-age-time.Duration(n.AgeMS)*time.Millisecond), now) {
 			l.onLeaving(n.Replica)
@@ -89,13 +89,13 @@
 	return leaves
 }
 
-// Held returns the limited replicas that have answered this VM within a time.
-func (l *Ledger) Held(within time.Duration, now time.Time) []incarnation.Key {
+// RecentlyLimited returns the limited replicas that have answered this VM within a time.
+func (l *Ledger) RecentlyLimited(within time.Duration, now time.Time) []incarnation.Key {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var keys []incarnation.Key
 	for key, s := range l.replicas {
-		if s.limit.Named && now.Sub(s.heard) <= within {
+		if s.limit.Set && now.Sub(s.heard) <= within {
 			keys = append(keys, key)
 		}
 	}
--- a/internal/pushback/notice_test.go
+++ b/internal/pushback/notice_test.go
@@ -9,7 +9,7 @@
 
 // tell passes on what one ledger knows at a moment.
 func tell(from, to *Ledger, seconds float64) {
-	to.Learn(from.Notices(at(seconds)), 0, at(seconds))
+	to.Merge(from.Notices(at(seconds)), 0, at(seconds))
 }
 
 // Guards against a limit that other VMs learn of only by answers of their own.
@@ -58,7 +58,7 @@
 	sent := 0
 	for ms := range 4000 {
 		now := at(float64(ms) / 1000)
-		l.Heard(Origin{Replica: desk, Sent: now}, Signal{Limit: LimitOf(5)}, now)
+		l.Observe(Origin{Replica: desk, Sent: now}, Signal{Limit: LimitOf(5)}, now)
 		if l.Take(desk, now) {
 			sent++
 		}
--- a/internal/pushback/sharing/sharing.go
+++ b/internal/pushback/sharing/sharing.go
@@ -32,8 +32,8 @@
 	OfferAll(ctx context.Context, table string, change platform.TableChange, age time.Duration) int
 }
 
-// Sharing exchanges a ledger with other VMs. It is safe for concurrent use.
-type Sharing struct {
+// Syncer exchanges a ledger with other VMs. It is safe for concurrent use.
+type Syncer struct {
 	ledger  *pushback.Ledger
 	peers   Peers
 	logger  *zap.Logger
@@ -41,13 +41,13 @@
 }
 
 // New returns a sharing; Run makes it work.
-func New(ledger *pushback.Ledger, peers Peers, logger *zap.Logger) *Sharing {
-	s := &Sharing{ledger: ledger, peers: peers, logger: logger, pending: make(chan incarnation.Key, maxPending)}
+func New(ledger *pushback.Ledger, peers Peers, logger *zap.Logger) *Syncer {
+	s := &Syncer{ledger: ledger, peers: peers, logger: logger, pending: make(chan incarnation.Key, maxPending)}
 	ledger.OnChange(s.changed)
 	return s
 }
 
-func (s *Sharing) changed(replica incarnation.Key) {
+func (s *Syncer) changed(replica incarnation.Key) {
 	select {
 	case s.pending <- replica:
 	default:
@@ -56,7 +56,7 @@
 }
 
 // Run offers changes until ctx ends.
-func (s *Sharing) Run(ctx context.Context) {
+func (s *Syncer) Run(ctx context.Context) {
 	again := time.NewTicker(sayAgain)
 	defer again.Stop()
 	for {
@@ -69,13 +69,13 @@
 			}
 			s.offer(ctx, s.collect(first))
 		case <-again.C:
-			s.offer(ctx, s.ledger.Held(sayAgain, time.Now()))
+			s.offer(ctx, s.ledger.RecentlyLimited(sayAgain, time.Now()))
 		}
 	}
 }
 
 // collect returns what waits to be offered.
-func (s *Sharing) collect(first incarnation.Key) []incarnation.Key {
+func (s *Syncer) collect(first incarnation.Key) []incarnation.Key {
 	replicas := []incarnation.Key{first}
 	for {
 		select {
@@ -87,7 +87,7 @@
 	}
 }
 
-func (s *Sharing) offer(ctx context.Context, replicas []incarnation.Key) {
+func (s *Syncer) offer(ctx context.Context, replicas []incarnation.Key) {
 	if len(replicas) == 0 {
 		return
 	}
@@ -101,15 +101,15 @@
 	}
 }
 
-// Take takes what a peer offers, of the given age.
-func (s *Sharing) Take(change platform.TableChange, age time.Duration) {
+// Apply takes what a peer offers, of the given age.
+func (s *Syncer) Apply(change platform.TableChange, age time.Duration) {
 	s.Learn(change.Written[rowKey], age)
 }
 
 // Attachment returns all notices, encoded, nil if there are none.
-func (s *Sharing) Attachment() []byte { return s.encode(s.ledger.Notices(time.Now())) }
+func (s *Syncer) Attachment() []byte { return s.encode(s.ledger.Notices(time.Now())) }
 
-func (s *Sharing) encode(notices []pushback.Notice) []byte {
+func (s *Syncer) encode(notices []pushback.Notice) []byte {
 	if len(notices) == 0 {
 		return nil
 	}
@@ -122,7 +122,7 @@
 }
 
 // Learn takes encoded notices of the given age.
-func (s *Sharing) Learn(row []byte, age time.Duration) {
+func (s *Syncer) Learn(row []byte, age time.Duration) {
 	if len(row) == 0 {
 		return
 	}
@@ -131,5 +131,5 @@
 		s.logger.Warn("peer's notices of replicas not read", zap.Error(err))
 		return
 	}
-	s.ledger.Learn(notices, age, time.Now())
+	s.ledger.Merge(notices, age, time.Now())
 }
--- a/internal/pushback/signal.go
+++ b/internal/pushback/signal.go
@@ -6,12 +6,12 @@
 type Signal struct {
 	// Limit is none in an answer that names none, which ends an earlier one.
 	Limit Limit
-	// LimitUnread says that the limit could not be read and Limit says nothing.
-	LimitUnread bool
+	// LimitInvalid says that the limit could not be read and Limit says nothing.
+	LimitInvalid bool
 	// BackOff is for how long the replica wants no requests from this VM, 0 if it does not say.
 	BackOff time.Duration
 	// Leaving says that the replica is about to end. No later answer of the same incarnation takes it back.
 	Leaving bool
-	// Unreadable is why parts of the answer's head could not be read, nil if all could. They say nothing.
-	Unreadable error
+	// ParseErr is why parts of the answer's head could not be read, nil if all could. They say nothing.
+	ParseErr error
 }
--- a/internal/pushback/state.go
+++ b/internal/pushback/state.go
@@ -41,7 +41,7 @@
 
 // idle reports whether nothing is in force that the replica said.
 func (s *state) idle(now time.Time) bool {
-	return !s.limit.Named && !s.leaving && s.backOffLeft(now) <= 0
+	return !s.limit.Set && !s.leaving && s.backOffLeft(now) <= 0
 }
 
 // backOffLeft is for how long yet the replica wants no requests from this VM, 0 or less if it does.
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -13,8 +13,8 @@
 		c.Body[0], c.Body[1], c.Body[2] = byte(i), byte(i>>8), byte(i>>16)
 		d := DigestOf(c)
 		now := time.Now()
-		l.Judge(d, now)
-		l.Judge(d, now)
-		l.RanWell(d, now)
+		l.Lookup(d, now)
+		l.Lookup(d, now)
+		l.RecordSuccess(d, now)
 	}
 }
--- a/internal/quarantine/counts.go
+++ b/internal/quarantine/counts.go
@@ -4,7 +4,7 @@
 
 // Counts are a ledger's figures for metrics.
 type Counts struct {
-	// Suspected requests have fewer ends than Settings.MaxEnds.
+	// Suspected requests have fewer ends than Settings.CrashThreshold.
 	Suspected   int
 	Quarantined int
 }
@@ -18,7 +18,7 @@
 		switch v := l.verdict(r, now); {
 		case v.Quarantined:
 			c.Quarantined++
-		case v.Ends > 0:
+		case v.Crashes > 0:
 			c.Suspected++
 		}
 	}
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -9,13 +9,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// DigestBytes is the length of a digest.
-const DigestBytes = 16
+// DigestSize is the length of a digest.
+const DigestSize = 16
 
 // Digest identifies what a request asks for, whatever its id: method, host, path and query,
 // workspace and body. It is a truncated SHA-256, so that nobody can construct a request with the
 // digest of another; the workspace is part of it, so that callers can't affect each other.
-type Digest [DigestBytes]byte
+type Digest [DigestSize]byte
 
 // Content is what a digest is made of.
 type Content struct {
@@ -44,8 +44,8 @@
 func ParseDigest(text string) (Digest, error) {
 	var d Digest
 	raw, err := hex.DecodeString(text)
-	if err != nil || len(raw) != DigestBytes {
-		return d, errors.Newf("%q is not a digest of %d hexadecimal digits", text, 2*DigestBytes)
+	if err != nil || len(raw) != DigestSize {
+		return d, errors.Newf("%q is not a digest of %d hexadecimal digits", text, 2*DigestSize)
 	}
 	copy(d[:], raw)
 	return d, nil
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -9,10 +9,10 @@
 
 // Entry is what is known of one request, for the dump.
 type Entry struct {
-	Digest      Digest   `json:"digest"`
-	Quarantined bool     `json:"quarantined"`
-	Ends        int      `json:"ends"`
-	Replicas    []string `json:"replicas"`
+	Digest          Digest   `json:"digest"`
+	Quarantined     bool     `json:"quarantined"`
+	Crashes         int      `json:"ends"`
+	CrashedReplicas []string `json:"replicas"`
 	// Seen is the time since the request was last asked for while it was quarantined, or since
 	// its last end.
 	Seen string `json:"seen"`
@@ -27,17 +27,17 @@
 	entries := []Entry{}
 	for d, r := range l.records {
 		v := l.verdict(r, now)
-		if v.Ends == 0 {
+		if v.Crashes == 0 {
 			continue
 		}
-		e := Entry{Digest: d, Quarantined: v.Quarantined, Ends: v.Ends, Replicas: r.replicas(), Seen: now.Sub(r.seen).String()}
+		e := Entry{Digest: d, Quarantined: v.Quarantined, Crashes: v.Crashes, CrashedReplicas: r.replicas(), Seen: now.Sub(r.seen).String()}
 		if v.Quarantined {
 			e.Left = v.Left.String()
 		}
 		entries = append(entries, e)
 	}
 	slices.SortFunc(entries, func(a, b Entry) int {
-		return cmp.Or(cmp.Compare(b.Ends, a.Ends), strings.Compare(a.Digest.String(), b.Digest.String()))
+		return cmp.Or(cmp.Compare(b.Crashes, a.Crashes), strings.Compare(a.Digest.String(), b.Digest.String()))
 	})
 	return entries
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// seenShare is the part of Settings.HoldFor after which a quarantined request that is still
+	// seenShare is the part of Settings.QuarantineTTL after which a quarantined request that is still
 	// asked for is told to other VMs again.
 	seenShare = 8
 	// lateMargin keeps a request that this VM has just dropped from being taken over from a VM
@@ -37,16 +37,16 @@
 // NewLedger returns an empty ledger of a VM that starts now.
 func NewLedger(s Settings, now time.Time) *Ledger {
 	l := &Ledger{settings: s, records: map[Digest]*record{}, revision: uint64(now.UnixMicro())}
-	l.well, _ = lru.New[Digest, time.Time](max(1, s.MaxWell)) // fails only for a size below 1
+	l.well, _ = lru.New[Digest, time.Time](max(1, s.MaxSuccesses)) // fails only for a size below 1
 	return l
 }
 
-// YoungRun is how long a run must have brought events to clear its request.
-func (l *Ledger) YoungRun() time.Duration { return l.settings.YoungRun }
+// CrashWindow is how long a run must have brought events to clear its request.
+func (l *Ledger) CrashWindow() time.Duration { return l.settings.CrashWindow }
 
-// Ended notes that a replica ended under a young run of the request, and returns whether that is
+// RecordCrash notes that a replica ended under a young run of the request, and returns whether that is
 // news for other VMs.
-func (l *Ledger) Ended(d Digest, replica incarnation.Key, now time.Time) bool {
+func (l *Ledger) RecordCrash(d Digest, replica incarnation.Key, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ranWell(d, now) {
@@ -56,9 +56,9 @@
 	return l.changed(r, r.add(end{replica: replica, at: now}))
 }
 
-// RanWell notes that a run of the request went well, and returns whether that is news for other
+// RecordSuccess notes that a run of the request went well, and returns whether that is news for other
 // VMs.
-func (l *Ledger) RanWell(d Digest, now time.Time) bool {
+func (l *Ledger) RecordSuccess(d Digest, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.well.Add(d, now)
@@ -76,7 +76,7 @@
 // ranWell reports whether a run went well not long ago. l.mu is held.
 func (l *Ledger) ranWell(d Digest, now time.Time) bool {
 	at, ok := l.well.Peek(d)
-	return ok && now.Sub(at) < l.settings.WellFor
+	return ok && now.Sub(at) < l.settings.SuccessTTL
 }
 
 // forgive is Lift; l.mu is held.
@@ -94,23 +94,23 @@
 	return changed
 }
 
-// Judge says what is known of a request.
-func (l *Ledger) Judge(d Digest, now time.Time) Verdict {
+// Lookup says what is known of a request.
+func (l *Ledger) Lookup(d Digest, now time.Time) Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r := l.records[d]; r != nil {
 		return l.verdict(r, now)
 	}
-	return Verdict{}
+	return Status{}
 }
 
-// Refused notes that a quarantined request was asked for. Now and then that is news for other
+// RecordRefusal notes that a quarantined request was asked for. Now and then that is news for other
 // VMs, so that all hold it for as long as it is asked for anywhere.
-func (l *Ledger) Refused(d Digest, now time.Time) bool {
+func (l *Ledger) RecordRefusal(d Digest, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[d]
-	if r == nil || now.Sub(r.seen) < l.settings.HoldFor/seenShare {
+	if r == nil || now.Sub(r.seen) < l.settings.QuarantineTTL/seenShare {
 		return false
 	}
 	r.touch(now)
@@ -118,44 +118,44 @@
 }
 
 // verdict judges a record. l.mu is held.
-func (l *Ledger) verdict(r *record, now time.Time) Verdict {
+func (l *Ledger) verdict(r *record, now time.Time) Status {
 	ends, unseen := r.counted(), now.Sub(r.seen)
-	v, enough := Verdict{Ends: ends}, l.enough(r)
+	v, enough := Status{Crashes: ends}, l.enough(r)
 	switch {
-	case !enough && unseen >= l.settings.SuspectFor:
-		v.Ends = 0
+	case !enough && unseen >= l.settings.SuspectTTL:
+		v.Crashes = 0
 	case !enough:
 		l.spare(&v, unseen)
-	case unseen < l.settings.HoldFor:
-		v.Quarantined, v.Left = true, l.settings.HoldFor-unseen
+	case unseen < l.settings.QuarantineTTL:
+		v.Quarantined, v.Left = true, l.settings.QuarantineTTL-unseen
 	default:
-		v.Ends = min(ends, l.settings.MaxEnds-1) // the next end quarantines it again
+		v.Crashes = min(ends, l.settings.CrashThreshold-1) // the next end quarantines it again
 	}
 	return v
 }
 
 // spare says how a request that is suspected so long after its last end is kept from the last
 // replicas. l.mu is held.
-func (l *Ledger) spare(v *Verdict, after time.Duration) {
-	if v.Ends > 0 && after < l.settings.SuspectWait {
-		v.Spare, v.Left = l.settings.SuspectSpare, l.settings.SuspectWait-after
+func (l *Ledger) spare(v *Status, after time.Duration) {
+	if v.Crashes > 0 && after < l.settings.SuspectSpareFor {
+		v.SpareReplicas, v.Left = l.settings.SuspectSpareReplicas, l.settings.SuspectSpareFor-after
 	}
 }
 
 // enough reports whether the ends held against a request quarantine it. l.mu is held.
 func (l *Ledger) enough(r *record) bool {
 	ends := r.counted()
-	return ends >= l.settings.MaxEnds || ends == l.settings.MaxEnds-1 && r.span() >= l.settings.Apart
+	return ends >= l.settings.CrashThreshold || ends == l.settings.CrashThreshold-1 && r.span() >= l.settings.MinCrashSpacing
 }
 
 // of returns the request's record, a new one if there is none. l.mu is held.
 func (l *Ledger) of(d Digest, now time.Time) *record {
 	r := l.records[d]
 	if r == nil {
-		if len(l.records) >= l.settings.MaxCases {
+		if len(l.records) >= l.settings.MaxRecords {
 			l.expire(now)
 		}
-		if len(l.records) >= l.settings.MaxCases {
+		if len(l.records) >= l.settings.MaxRecords {
 			l.evict()
 		}
 		r = &record{}
@@ -167,9 +167,9 @@
 // kept is how long a record is of use after the request was last seen.
 func (l *Ledger) kept(r *record) time.Duration {
 	if l.enough(r) {
-		return l.settings.HoldFor + l.settings.SuspectFor
+		return l.settings.QuarantineTTL + l.settings.SuspectTTL
 	}
-	return l.settings.SuspectFor
+	return l.settings.SuspectTTL
 }
 
 // expire drops what is of no use any more. l.mu is held.
@@ -213,7 +213,7 @@
 		return false
 	}
 	ours := l.of(d, now)
-	news := theirs.seen.Sub(ours.seen) >= l.settings.HoldFor/seenShare
+	news := theirs.seen.Sub(ours.seen) >= l.settings.QuarantineTTL/seenShare
 	for _, e := range theirs.ends {
 		news = ours.add(e) || news
 	}
@@ -266,8 +266,8 @@
 	return l.revision
 }
 
-// Replicas returns the replicas that ended under a request and are held against it.
-func (l *Ledger) Replicas(d Digest) []string {
+// CrashedReplicas returns the replicas that ended under a request and are held against it.
+func (l *Ledger) CrashedReplicas(d Digest) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r := l.records[d]; r != nil {
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -22,14 +22,14 @@
 	l := NewLedger(DefaultSettings, start)
 	d := digestOf(1)
 	for range 5 {
-		l.Ended(d, replica(1), start)
-		l.Ended(d, incarnation.Key{ID: "replica-1"}, start) // its start is not known there
+		l.RecordCrash(d, replica(1), start)
+		l.RecordCrash(d, incarnation.Key{ID: "replica-1"}, start) // its start is not known there
 	}
-	if v := l.Judge(d, start); v.Ends != 1 {
+	if v := l.Lookup(d, start); v.Crashes != 1 {
 		t.Errorf("%+v", v)
 	}
-	l.Ended(d, incarnation.Key{ID: "replica-1", Born: 2}, start)
-	if v := l.Judge(d, start); v.Ends != 2 {
+	l.RecordCrash(d, incarnation.Key{ID: "replica-1", Born: 2}, start)
+	if v := l.Lookup(d, start); v.Crashes != 2 {
 		t.Errorf("a later incarnation: %+v", v)
 	}
 }
@@ -37,8 +37,8 @@
 // quarantined returns a ledger that holds a request for the last time at start.
 func quarantined(d Digest) *Ledger {
 	l := NewLedger(DefaultSettings, start)
-	for i := range DefaultSettings.MaxEnds {
-		l.Ended(d, replica(i), start)
+	for i := range DefaultSettings.CrashThreshold {
+		l.RecordCrash(d, replica(i), start)
 	}
 	return l
 }
@@ -47,18 +47,18 @@
 	d := digestOf(1)
 	l, now := quarantined(d), start
 	for range 10 {
-		now = now.Add(DefaultSettings.HoldFor / 2)
-		if !l.Judge(d, now).Quarantined {
+		now = now.Add(DefaultSettings.QuarantineTTL / 2)
+		if !l.Lookup(d, now).Quarantined {
 			t.Fatalf("not quarantined after %s", now.Sub(start))
 		}
-		l.Refused(d, now)
+		l.RecordRefusal(d, now)
 	}
-	now = now.Add(DefaultSettings.HoldFor)
-	if v := l.Judge(d, now); v.Quarantined || v.Ends != DefaultSettings.MaxEnds-1 {
+	now = now.Add(DefaultSettings.QuarantineTTL)
+	if v := l.Lookup(d, now); v.Quarantined || v.Crashes != DefaultSettings.CrashThreshold-1 {
 		t.Errorf("after a time without: %+v", v)
 	}
-	l.Ended(d, replica(99), now)
-	if !l.Judge(d, now).Quarantined {
+	l.RecordCrash(d, replica(99), now)
+	if !l.Lookup(d, now).Quarantined {
 		t.Error("not quarantined after one more end")
 	}
 }
@@ -66,42 +66,42 @@
 func TestRunThatWentWellClearsARequest(t *testing.T) {
 	d := digestOf(1)
 	l := quarantined(d)
-	if !l.RanWell(d, start) || l.Judge(d, start).Ends != 0 {
-		t.Errorf("%+v", l.Judge(d, start))
+	if !l.RecordSuccess(d, start) || l.Lookup(d, start).Crashes != 0 {
+		t.Errorf("%+v", l.Lookup(d, start))
 	}
-	l.Ended(d, replica(50), start.Add(time.Second))
-	if v := l.Judge(d, start.Add(time.Second)); v.Ends != 0 {
+	l.RecordCrash(d, replica(50), start.Add(time.Second))
+	if v := l.Lookup(d, start.Add(time.Second)); v.Crashes != 0 {
 		t.Errorf("an end right after: %+v", v)
 	}
-	later := start.Add(2 * DefaultSettings.WellFor)
-	l.Ended(d, replica(51), later)
-	if v := l.Judge(d, later); v.Ends != 1 {
+	later := start.Add(2 * DefaultSettings.SuccessTTL)
+	l.RecordCrash(d, replica(51), later)
+	if v := l.Lookup(d, later); v.Crashes != 1 {
 		t.Errorf("an end later: %+v", v)
 	}
 }
 
 func TestLedgerIsBounded(t *testing.T) {
 	settings := DefaultSettings
-	settings.MaxCases, settings.MaxWell = 10, 10
+	settings.MaxRecords, settings.MaxSuccesses = 10, 10
 	l := NewLedger(settings, start)
 	culprit := digestOf(-1)
-	for i := range settings.MaxEnds {
-		l.Ended(culprit, replica(i), start)
+	for i := range settings.CrashThreshold {
+		l.RecordCrash(culprit, replica(i), start)
 	}
 	for i := range 1000 {
-		l.Ended(digestOf(i), replica(i), start.Add(time.Duration(i)))
-		l.RanWell(digestOf(10_000+i), start)
+		l.RecordCrash(digestOf(i), replica(i), start.Add(time.Duration(i)))
+		l.RecordSuccess(digestOf(10_000+i), start)
 	}
-	if reports, _ := l.Since(0, start); len(reports) > settings.MaxCases {
+	if reports, _ := l.Since(0, start); len(reports) > settings.MaxRecords {
 		t.Errorf("%d requests are kept", len(reports))
 	}
-	if !l.Judge(culprit, start).Quarantined {
+	if !l.Lookup(culprit, start).Quarantined {
 		t.Error("a caller with ever new requests drives out one that is quarantined")
 	}
 	for i := range 100 {
-		l.Ended(culprit, replica(100+i), start)
+		l.RecordCrash(culprit, replica(100+i), start)
 	}
-	if ends := l.Judge(culprit, start).Ends; ends > maxEndsKept {
+	if ends := l.Lookup(culprit, start).Crashes; ends > maxEndsKept {
 		t.Errorf("%d ends are kept", ends)
 	}
 }
@@ -127,11 +127,11 @@
 			vm, d := vms[rapid.IntRange(0, len(vms)-1).Draw(t, "vm")], digestOf(rapid.IntRange(0, 2).Draw(t, "request"))
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				vm.RanWell(d, now)
+				vm.RecordSuccess(d, now)
 				forgiven[d] = true
 			case 1, 2, 3, 4:
 				k := replica(rapid.IntRange(0, 4).Draw(t, "replica"))
-				vm.Ended(d, k, now)
+				vm.RecordCrash(d, k, now)
 				if ends[d] == nil {
 					ends[d] = map[incarnation.Key]time.Time{}
 				}
@@ -150,22 +150,22 @@
 		exchange(vms, now)
 		for i := range 3 {
 			d := digestOf(i)
-			want := vms[0].Judge(d, now)
+			want := vms[0].Lookup(d, now)
 			for _, vm := range vms[1:] {
-				if got := vm.Judge(d, now); got.Ends != want.Ends || got.Quarantined != want.Quarantined {
+				if got := vm.Lookup(d, now); got.Crashes != want.Crashes || got.Quarantined != want.Quarantined {
 					t.Fatalf("request %d: %+v and %+v", i, want, got)
 				}
 			}
-			if !forgiven[d] && want.Ends != len(ends[d]) {
-				t.Fatalf("request %d: %d ends are counted of %d", i, want.Ends, len(ends[d]))
+			if !forgiven[d] && want.Crashes != len(ends[d]) {
+				t.Fatalf("request %d: %d ends are counted of %d", i, want.Crashes, len(ends[d]))
 			}
-			enough := want.Ends >= DefaultSettings.MaxEnds
-			if almost := want.Ends == DefaultSettings.MaxEnds-1; almost && forgiven[d] {
+			enough := want.Crashes >= DefaultSettings.CrashThreshold
+			if almost := want.Crashes == DefaultSettings.CrashThreshold-1; almost && forgiven[d] {
 				enough = want.Quarantined // which ends were forgiven depends on the order
 			} else if almost {
-				enough = spanOf(ends[d]) >= DefaultSettings.Apart
+				enough = spanOf(ends[d]) >= DefaultSettings.MinCrashSpacing
 			}
-			if want.Ends > len(ends[d]) || want.Quarantined != enough {
+			if want.Crashes > len(ends[d]) || want.Quarantined != enough {
 				t.Fatalf("request %d: %+v after ends at %v", i, want, ends[d])
 			}
 		}
@@ -186,14 +186,14 @@
 		quarantined bool
 	}{
 		"together":        {0, false},
-		"almost together": {DefaultSettings.Apart - time.Millisecond, false},
-		"apart":           {DefaultSettings.Apart, true},
+		"almost together": {DefaultSettings.MinCrashSpacing - time.Millisecond, false},
+		"apart":           {DefaultSettings.MinCrashSpacing, true},
 	} {
 		l, d := NewLedger(DefaultSettings, start), digestOf(1)
-		for i := range DefaultSettings.MaxEnds - 1 {
-			l.Ended(d, replica(i), start.Add(time.Duration(i)*c.apart))
+		for i := range DefaultSettings.CrashThreshold - 1 {
+			l.RecordCrash(d, replica(i), start.Add(time.Duration(i)*c.apart))
 		}
-		if v := l.Judge(d, start.Add(c.apart)); v.Quarantined != c.quarantined {
+		if v := l.Lookup(d, start.Add(c.apart)); v.Quarantined != c.quarantined {
 			t.Errorf("%s: %+v", name, v)
 		}
 	}
--- a/internal/quarantine/load_play_test.go
+++ b/internal/quarantine/load_play_test.go
@@ -152,7 +152,7 @@
 // next sends a draft once more, or ends it.
 func (p *loadPlay) next(d *playedDraft) {
 	switch {
-	case d.vm.ledger.Judge(d.digest, p.now).Quarantined:
+	case d.vm.ledger.Lookup(d.digest, p.now).Quarantined:
 		if !d.culprit {
 			p.refusedInnocent++
 		}
@@ -173,7 +173,7 @@
 		p.nobodyUp++
 		return
 	}
-	if len(up) <= d.vm.ledger.Judge(d.digest, p.now).Spare {
+	if len(up) <= d.vm.ledger.Lookup(d.digest, p.now).SpareReplicas {
 		p.kept++
 		return
 	}
@@ -191,15 +191,15 @@
 		}
 		if d.culprit {
 			p.crashesOf[d.digest]++
-			if p.crashesOf[d.digest] == DefaultSettings.MaxEnds {
+			if p.crashesOf[d.digest] == DefaultSettings.CrashThreshold {
 				p.thirdEnd[d.digest] = p.now
 			}
 			p.crash(r)
 			return
 		}
 		d.begun = p.now
-		p.after(DefaultSettings.YoungRun, func() {
-			if d.send == send && d.at != nil && d.vm.ledger.RanWell(d.digest, p.now) {
+		p.after(DefaultSettings.CrashWindow, func() {
+			if d.send == send && d.at != nil && d.vm.ledger.RecordSuccess(d.digest, p.now) {
 				p.tell(d.vm, d.digest)
 			}
 		})
@@ -233,9 +233,9 @@
 	r.runs = map[*playedDraft]bool{}
 	p.after(playedDownTime, func() { r.down, r.life = false, r.life+1 })
 	for _, d := range inOrder(broken) {
-		young := d.begun.IsZero() || p.now.Sub(d.begun) < DefaultSettings.YoungRun
+		young := d.begun.IsZero() || p.now.Sub(d.begun) < DefaultSettings.CrashWindow
 		d.at = nil
-		if young && d.vm.ledger.Ended(d.digest, key, p.now) {
+		if young && d.vm.ledger.RecordCrash(d.digest, key, p.now) {
 			p.tell(d.vm, d.digest)
 		}
 		p.after(time.Millisecond, func() { p.next(d) })
--- a/internal/quarantine/load_test.go
+++ b/internal/quarantine/load_test.go
@@ -50,7 +50,7 @@
 			if refused > refusalSlack+asked/innocentsPerRefusal {
 				t.Errorf("%d of %d innocent requests were refused", refused, asked)
 			}
-			if lateWorst > lateSendsAllowed || worst > DefaultSettings.MaxEnds+lateSendsAllowed {
+			if lateWorst > lateSendsAllowed || worst > DefaultSettings.CrashThreshold+lateSendsAllowed {
 				t.Errorf("%d replicas crashed under one culprit, which was sent %d times later than %s after the third", worst, lateWorst, playedStability)
 			}
 		})
@@ -72,7 +72,7 @@
 		if p.kept > p.asked/leastShare {
 			t.Errorf("seed %d: %d of %d requests were kept waiting", seed, p.kept, p.asked)
 		}
-		if crashes := p.crashesOf[DigestOf(Content{Body: []byte("culprit")})]; crashes >= DefaultSettings.MaxEnds {
+		if crashes := p.crashesOf[DigestOf(Content{Body: []byte("culprit")})]; crashes >= DefaultSettings.CrashThreshold {
 			t.Errorf("seed %d: %d replicas crashed", seed, crashes)
 		}
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -135,7 +135,7 @@
 func (r *record) report(d Digest, epoch time.Time) Report {
 	report := Report{Digest: d, SeenMS: r.seen.Sub(epoch).Milliseconds()}
 	for _, e := range r.ends {
-		report.Ends = append(report.Ends, End{Replica: e.replica, AtMS: e.at.Sub(epoch).Milliseconds(), Forgiven: e.forgiven})
+		report.Crashes = append(report.Crashes, Crash{Replica: e.replica, AtMS: e.at.Sub(epoch).Milliseconds(), Cleared: e.forgiven})
 	}
 	return report
 }
@@ -149,8 +149,8 @@
 		return now
 	}
 	r := &record{}
-	for _, e := range report.Ends {
-		r.add(end{replica: e.Replica, at: at(e.AtMS), forgiven: e.Forgiven})
+	for _, e := range report.Crashes {
+		r.add(end{replica: e.Replica, at: at(e.AtMS), forgiven: e.Cleared})
 	}
 	r.touch(at(report.SeenMS))
 	return r
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -6,18 +6,18 @@
 // platform's table. Its times are milliseconds since an epoch of which the age is sent beside it,
 // as VMs' clocks differ.
 type Report struct {
-	Digest Digest `json:"digest"`
-	Ends   []End  `json:"ends"`
+	Digest  Digest  `json:"digest"`
+	Crashes []Crash `json:"ends"`
 	// SeenMS is when the request was last asked for while it was quarantined, or its last end.
 	SeenMS int64 `json:"seenMs"`
 }
 
-// End is one replica that ended under a request.
-type End struct {
+// Crash is one replica that ended under a request.
+type Crash struct {
 	Replica incarnation.Key `json:"replica"`
 	AtMS    int64           `json:"atMs"`
-	// Forgiven ends are held against the request no more.
-	Forgiven bool `json:"forgiven,omitempty"`
+	// Cleared ends are held against the request no more.
+	Cleared bool `json:"forgiven,omitempty"`
 }
 
 // TableName names the ledgers' reports among what peers tell each other.
--- a/internal/quarantine/sharing/fleet_test.go
+++ b/internal/quarantine/sharing/fleet_test.go
@@ -49,7 +49,7 @@
 }
 
 type fleetVM struct {
-	*Sharing
+	*Syncer
 	fleet  *fleet
 	name   string
 	silent map[string]bool
@@ -78,9 +78,9 @@
 
 func (f *fleet) start(ctx context.Context, name string) *fleetVM {
 	vm := &fleetVM{fleet: f, name: name, silent: map[string]bool{}}
-	vm.Sharing = New(Options{
+	vm.Syncer = New(Options{
 		Ledger: quarantine.NewLedger(quarantine.DefaultSettings, time.Now()), Peers: vm, Table: f.table, Logger: zap.NewNop(),
-		Reads: func() bool { return f.follows(name) },
+		ShouldLoad: func() bool { return f.follows(name) },
 	})
 	f.mu.Lock()
 	f.vms[name] = vm
@@ -141,7 +141,7 @@
 		return false
 	}
 	if revision := other.Ledger.Revision(); revision > 0 {
-		vm.Heard(name, revision)
+		vm.ObserveRevision(name, revision)
 	}
 	return true
 }
@@ -162,7 +162,7 @@
 	for _, name := range to {
 		offering.Go(func() {
 			if other := vm.fleet.at(ctx, name); other != nil && other != vm && !lost {
-				other.Take(change, age)
+				other.Apply(change, age)
 				taken.Add(1)
 			}
 		})
@@ -182,7 +182,7 @@
 
 // see makes a VM see a replica end under a request.
 func (vm *fleetVM) see(d quarantine.Digest, replica string) {
-	if vm.Ledger.Ended(d, incarnation.Key{ID: replica, Born: 1}, time.Now()) {
+	if vm.Ledger.RecordCrash(d, incarnation.Key{ID: replica, Born: 1}, time.Now()) {
 		vm.Tell(d)
 	}
 }
@@ -193,7 +193,7 @@
 	defer f.mu.Unlock()
 	n := 0
 	for name, vm := range f.vms {
-		if !f.dead[name] && !vm.Ledger.Judge(d, time.Now()).Quarantined {
+		if !f.dead[name] && !vm.Ledger.Lookup(d, time.Now()).Quarantined {
 			n++
 		}
 	}
@@ -272,7 +272,7 @@
 		if n := f2.unaware(crashing); n > 0 {
 			t.Errorf("%d VMs don't know the request any more", n)
 		}
-		if left := f2.vms["vm-0"].Ledger.Judge(crashing, time.Now()).Left; left >= quarantine.DefaultSettings.HoldFor-time.Minute {
+		if left := f2.vms["vm-0"].Ledger.Lookup(crashing, time.Now()).Left; left >= quarantine.DefaultSettings.QuarantineTTL-time.Minute {
 			t.Errorf("the time without VMs does not count: %s left", left)
 		}
 		if !f2.vms["vm-3"].Lift(crashing) {
--- a/internal/quarantine/sharing/options.go
+++ b/internal/quarantine/sharing/options.go
@@ -19,13 +19,13 @@
 	FetchFrom(ctx context.Context, address, table string, after uint64) (platform.TableChange, time.Duration, bool)
 }
 
-// Options configure a Sharing.
+// Options configure a Syncer.
 type Options struct {
 	Ledger *quarantine.Ledger
 	Peers  Peers
 	// Table keeps quarantined requests.
 	Table platform.Table
-	// Reads says that this VM is one of those that read them after their start.
-	Reads  func() bool
-	Logger *zap.Logger
+	// ShouldLoad says that this VM is one of those that read them after their start.
+	ShouldLoad func() bool
+	Logger     *zap.Logger
 }
--- a/internal/quarantine/sharing/rows.go
+++ b/internal/quarantine/sharing/rows.go
@@ -104,9 +104,9 @@
 	age := max(0, readAt.Milliseconds()-r.WrittenMS)
 	report := r.Report
 	report.SeenMS -= age
-	report.Ends = append([]quarantine.End(nil), report.Ends...)
-	for i := range report.Ends {
-		report.Ends[i].AtMS -= age
+	report.Crashes = append([]quarantine.Crash(nil), report.Crashes...)
+	for i := range report.Crashes {
+		report.Crashes[i].AtMS -= age
 	}
 	return report
 }
@@ -148,7 +148,7 @@
 	write := platform.Write{Key: key, Delete: true}
 	now := time.Now()
 	reports := ledger.Reports(now, d)
-	switch quarantined := len(reports) == 1 && ledger.Judge(d, now).Quarantined; {
+	switch quarantined := len(reports) == 1 && ledger.Lookup(d, now).Quarantined; {
 	case quarantined && youngRow(found[0]), !quarantined && found[0].Revision == 0:
 		return nil
 	case quarantined:
--- a/internal/quarantine/sharing/sharing.go
+++ b/internal/quarantine/sharing/sharing.go
@@ -28,8 +28,8 @@
 	storeInterval = time.Second
 )
 
-// Sharing exchanges a ledger with other VMs. It is safe for concurrent use.
-type Sharing struct {
+// Syncer exchanges a ledger with other VMs. It is safe for concurrent use.
+type Syncer struct {
 	Options
 	// epoch is what the times of this VM's reports count from.
 	epoch   time.Time
@@ -46,15 +46,15 @@
 }
 
 // New returns a sharing; Run makes it work.
-func New(o Options) *Sharing {
-	return &Sharing{
+func New(o Options) *Syncer {
+	return &Syncer{
 		Options: o, epoch: time.Now(), pending: make(chan quarantine.Digest, maxPending), rows: newRows(o.Table, o.Logger),
 		cursors: map[string]uint64{}, fetching: map[string]bool{}, heard: make(chan string, maxPending),
 	}
 }
 
 // Tell tells other VMs of a change of what this VM knows of a request. It does not block.
-func (s *Sharing) Tell(d quarantine.Digest) {
+func (s *Syncer) Tell(d quarantine.Digest) {
 	select {
 	case s.pending <- d:
 	default:
@@ -62,8 +62,8 @@
 	}
 }
 
-// Heard takes the revision of a peer's ledger. It does not block.
-func (s *Sharing) Heard(address string, revision uint64) {
+// ObserveRevision takes the revision of a peer's ledger. It does not block.
+func (s *Syncer) ObserveRevision(address string, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cursors[address] == revision || s.fetching[address] {
@@ -80,12 +80,12 @@
 }
 
 // Since returns what a peer lacks that knows this VM's reports up to a revision.
-func (s *Sharing) Since(after uint64) (platform.TableChange, time.Duration, bool) {
+func (s *Syncer) Since(after uint64) (platform.TableChange, time.Duration, bool) {
 	reports, revision := s.Ledger.Since(after, s.epoch)
 	return s.change(reports, revision), time.Since(s.epoch), true
 }
 
-func (s *Sharing) change(reports []quarantine.Report, revision uint64) platform.TableChange {
+func (s *Syncer) change(reports []quarantine.Report, revision uint64) platform.TableChange {
 	change := platform.TableChange{Revision: revision, Written: make(map[string][]byte, len(reports))}
 	for _, report := range reports {
 		row, err := json.Marshal(report)
@@ -98,8 +98,8 @@
 	return change
 }
 
-// Take takes over a peer's reports, whose times count from an epoch of the given age.
-func (s *Sharing) Take(change platform.TableChange, age time.Duration) {
+// Apply takes over a peer's reports, whose times count from an epoch of the given age.
+func (s *Syncer) Apply(change platform.TableChange, age time.Duration) {
 	reports := make([]quarantine.Report, 0, len(change.Written))
 	for key, row := range change.Written {
 		var report quarantine.Report
@@ -114,17 +114,17 @@
 }
 
 // learned logs what others' reports changed and keeps what is quarantined by them.
-func (s *Sharing) learned(changed []quarantine.Digest, from string) {
+func (s *Syncer) learned(changed []quarantine.Digest, from string) {
 	for _, d := range changed {
-		verdict := s.Ledger.Judge(d, time.Now())
+		verdict := s.Ledger.Lookup(d, time.Now())
 		s.Logger.Info("report of a request that may crash replicas", zap.Stringer("digest", d), zap.String("from", from),
-			zap.Int("ends", verdict.Ends), zap.Bool("quarantined", verdict.Quarantined), zap.Strings("replicas", s.Ledger.Replicas(d)))
+			zap.Int("ends", verdict.Crashes), zap.Bool("quarantined", verdict.Quarantined), zap.Strings("replicas", s.Ledger.CrashedReplicas(d)))
 		s.rows.judged(d, verdict.Quarantined)
 	}
 }
 
 // Run exchanges reports until ctx ends.
-func (s *Sharing) Run(ctx context.Context) {
+func (s *Syncer) Run(ctx context.Context) {
 	var work sync.WaitGroup
 	work.Go(func() { s.tell(ctx, &work) })
 	work.Go(func() { s.ask(ctx, &work) })
@@ -133,7 +133,7 @@
 }
 
 // tell offers changes to peers.
-func (s *Sharing) tell(ctx context.Context, work *sync.WaitGroup) {
+func (s *Syncer) tell(ctx context.Context, work *sync.WaitGroup) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -147,7 +147,7 @@
 }
 
 // collect returns what waits to be told, each request once.
-func (s *Sharing) collect(first quarantine.Digest) []quarantine.Digest {
+func (s *Syncer) collect(first quarantine.Digest) []quarantine.Digest {
 	digests, is := []quarantine.Digest{first}, map[quarantine.Digest]bool{first: true}
 	for {
 		select {
@@ -161,9 +161,9 @@
 	}
 }
 
-func (s *Sharing) offer(ctx context.Context, digests []quarantine.Digest) {
+func (s *Syncer) offer(ctx context.Context, digests []quarantine.Digest) {
 	for _, d := range digests {
-		s.rows.changed(d, s.Ledger.Judge(d, time.Now()).Quarantined)
+		s.rows.changed(d, s.Ledger.Lookup(d, time.Now()).Quarantined)
 	}
 	change := s.change(s.Ledger.Reports(s.epoch, digests...), s.Ledger.Revision())
 	for range offerMost {
@@ -175,7 +175,7 @@
 }
 
 // ask fetches the reports of peers that have news.
-func (s *Sharing) ask(ctx context.Context, work *sync.WaitGroup) {
+func (s *Syncer) ask(ctx context.Context, work *sync.WaitGroup) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -186,13 +186,13 @@
 	}
 }
 
-func (s *Sharing) fetch(ctx context.Context, address string) {
+func (s *Syncer) fetch(ctx context.Context, address string) {
 	s.mu.Lock()
 	after := s.cursors[address]
 	s.mu.Unlock()
 	change, age, ok := s.Peers.FetchFrom(ctx, address, quarantine.TableName, after)
 	if ok {
-		s.Take(change, age)
+		s.Apply(change, age)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,7 +204,7 @@
 
 // Lift drops all that is held against a request, by an operator's word, and reports whether there
 // was anything.
-func (s *Sharing) Lift(d quarantine.Digest) bool {
+func (s *Syncer) Lift(d quarantine.Digest) bool {
 	lifted := s.Ledger.Lift(d)
 	if lifted {
 		s.Logger.Info("request lifted from quarantine by an operator", zap.Stringer("digest", d))
@@ -215,20 +215,20 @@
 }
 
 // dropStale has the rows removed that quarantine nothing any more.
-func (s *Sharing) dropStale(reports []quarantine.Report) {
+func (s *Syncer) dropStale(reports []quarantine.Report) {
 	for _, report := range reports {
-		if !s.Ledger.Judge(report.Digest, time.Now()).Quarantined {
+		if !s.Ledger.Lookup(report.Digest, time.Now()).Quarantined {
 			s.rows.check(report.Digest)
 		}
 	}
 }
 
 // keep reads the table after the start, and writes to it what is quarantined.
-func (s *Sharing) keep(ctx context.Context) {
+func (s *Syncer) keep(ctx context.Context) {
 	ctx = platform.WithPurpose(ctx, platform.PurposeQuarantine)
 	read := false
 	for sleep.For(ctx, storeInterval) {
-		if !read && s.Reads() {
+		if !read && s.ShouldLoad() {
 			reports, err := s.rows.read(ctx)
 			if err != nil {
 				s.Logger.Info("quarantined requests not read", zap.Error(err))
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -243,7 +243,7 @@
 // verdict says what an attempt tells about the replica.
 func verdict(ctx context.Context, result *callResult, err error) balance.Result {
 	var busy *notRunError
-	var held *pushback.HeldError
+	var held *pushback.ThrottledError
 	switch {
 	case errors.As(err, &held):
 		return balance.ResultNeutral
--- a/internal/relay/crash_guard.go
+++ b/internal/relay/crash_guard.go
@@ -58,8 +58,8 @@
 }
 
 // judge says what is known of a request.
-func (c *crashGuard) judge(q *request) quarantine.Verdict {
-	return c.ledger.Judge(q.digest, time.Now())
+func (c *crashGuard) judge(q *request) quarantine.Status {
+	return c.ledger.Lookup(q.digest, time.Now())
 }
 
 // refusal returns why a quarantined request is not sent, nil if it may be. One that was sent
@@ -69,11 +69,11 @@
 	if !verdict.Quarantined {
 		return nil
 	}
-	if c.ledger.Refused(q.digest, time.Now()) {
+	if c.ledger.RecordRefusal(q.digest, time.Now()) {
 		c.news.Tell(q.digest)
 	}
-	q.story.add("request is quarantined", zap.Stringer("digest", q.digest), zap.Int("ends", verdict.Ends),
-		zap.Strings("replicas", c.ledger.Replicas(q.digest)), zap.Duration("left", verdict.Left))
+	q.story.add("request is quarantined", zap.Stringer("digest", q.digest), zap.Int("ends", verdict.Crashes),
+		zap.Strings("replicas", c.ledger.CrashedReplicas(q.digest)), zap.Duration("left", verdict.Left))
 	if q.boundary.MayHaveRun() {
 		return outcome.Uncertain(outcome.ReasonTargetFailed, "the replicas that ran the request crashed")
 	}
@@ -84,7 +84,7 @@
 // begin at. One that was sent before is not told to have not run.
 func (c *crashGuard) spared(q *request) *outcome.Failure {
 	verdict := c.judge(q)
-	q.story.add("request kept from the last replicas", zap.Stringer("digest", q.digest), zap.Int("ends", verdict.Ends), zap.Duration("left", verdict.Left))
+	q.story.add("request kept from the last replicas", zap.Stringer("digest", q.digest), zap.Int("ends", verdict.Crashes), zap.Duration("left", verdict.Left))
 	if q.boundary.MayHaveRun() {
 		return outcome.Uncertain(outcome.ReasonTargetFailed, "the replica that ran the request crashed")
 	}
@@ -92,11 +92,11 @@
 }
 
 // youngRun is how long a run must have brought events to clear its request.
-func (c *crashGuard) youngRun() time.Duration { return c.ledger.YoungRun() }
+func (c *crashGuard) youngRun() time.Duration { return c.ledger.CrashWindow() }
 
 // ranWell notes that a replica has run a request without crashing.
 func (c *crashGuard) ranWell(q *request) {
-	if c.ledger.RanWell(q.digest, time.Now()) {
+	if c.ledger.RecordSuccess(q.digest, time.Now()) {
 		c.logger.Info("request no longer suspected of crashing replicas", zap.Stringer("digest", q.digest), zap.String("requestId", q.RequestID))
 		c.news.Tell(q.digest)
 	}
@@ -162,12 +162,12 @@
 
 // ended notes that a replica ended under a young run.
 func (c *crashGuard) ended(requestID string, d quarantine.Digest, replica incarnation.Key) {
-	if !c.ledger.Ended(d, replica, time.Now()) {
+	if !c.ledger.RecordCrash(d, replica, time.Now()) {
 		return
 	}
-	verdict := c.ledger.Judge(d, time.Now())
+	verdict := c.ledger.Lookup(d, time.Now())
 	c.logger.Warn("replica ended under a young run", zap.String("requestId", requestID), zap.Stringer("digest", d),
-		zap.Stringer("replica", replica), zap.Int("ends", verdict.Ends), zap.Bool("quarantined", verdict.Quarantined))
+		zap.Stringer("replica", replica), zap.Int("ends", verdict.Crashes), zap.Bool("quarantined", verdict.Quarantined))
 	c.news.Tell(d)
 }
 
--- a/internal/relay/crash_guard_test.go
+++ b/internal/relay/crash_guard_test.go
@@ -35,7 +35,7 @@
 }
 
 func newTestRequest() *request {
-	return &request{digest: quarantine.Digest{1}, boundary: dispatch.NewBoundary("r", true, invariant.NewRegistry(func(invariant.Violation) {}))}
+	return &request{digest: quarantine.Digest{1}, boundary: dispatch.NewSendGuard("r", true, invariant.NewRegistry(func(invariant.Violation) {}))}
 }
 
 func refusedDial() error {
@@ -63,7 +63,7 @@
 				asked++
 				return probeOf(c.answers[asked-1])
 			})
-			if got := guard.judge(q).Ends == 1; got != c.ended || (len(news.digests) == 1) != c.ended {
+			if got := guard.judge(q).Crashes == 1; got != c.ended || (len(news.digests) == 1) != c.ended {
 				t.Errorf("counted: %t, others told: %d times", got, len(news.digests))
 			}
 			if asked != len(c.answers) {
@@ -86,7 +86,7 @@
 	if failure := guard.refusal(fresh); failure == nil || failure.Outcome != outcome.NotRun || failure.Reason != outcome.ReasonQuarantined || failure.RetryAfter <= 0 {
 		t.Errorf("a new attempt: %+v", failure)
 	}
-	sent.boundary.Cross()
+	sent.boundary.BeginSend()
 	if failure := guard.refusal(sent); failure == nil || failure.Outcome != outcome.Unknown {
 		t.Errorf("an attempt that was sent: %+v", failure)
 	}
@@ -121,7 +121,7 @@
 		guard.incarnations = &restartAfter{nth: c.nth}
 		q := newTestRequest()
 		guard.brokeAt(q, incarnation.Key{ID: "a", Born: 1}, func(context.Context) endedProbe { return endedNo })
-		if got := guard.judge(q).Ends == 1; got != c.ended {
+		if got := guard.judge(q).Crashes == 1; got != c.ended {
 			t.Errorf("%s: counted: %t", name, got)
 		}
 	}
@@ -136,7 +136,7 @@
 	if failure := guard.spared(fresh); failure.Outcome != outcome.NotRun || failure.RetryAfter <= soon {
 		t.Errorf("a new attempt: %+v", failure)
 	}
-	sent.boundary.Cross()
+	sent.boundary.BeginSend()
 	if failure := guard.spared(sent); failure.Outcome != outcome.Unknown {
 		t.Errorf("an attempt that was sent: %+v", failure)
 	}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -46,11 +46,11 @@
 	if err != nil {
 		return nil, &sendError{Address: to.address, Cause: err}
 	}
-	if held := h.Pushback.Closed(to.incarnation, time.Now()); held != nil {
+	if held := h.Pushback.CheckSend(to.incarnation, time.Now()); held != nil {
 		conn.Close()
 		return nil, &sendError{Address: to.address, Cause: held}
 	}
-	if ctx.Err() != nil || !q.boundary.Cross() {
+	if ctx.Err() != nil || !q.boundary.BeginSend() {
 		conn.Close()
 		return nil, &sendError{Address: to.address, Cause: errors.New("the request ended before it was sent")}
 	}
@@ -62,7 +62,7 @@
 	if sent, err := conn.Send(out); err != nil {
 		x.close()
 		if !sent {
-			q.boundary.DeclaredNotRun()
+			q.boundary.MarkNotRun()
 		}
 		return nil, &sendError{Address: to.address, Sent: sent, Cause: err}
 	}
@@ -71,7 +71,7 @@
 		return nil, &sendError{Address: to.address, Sent: true, Cause: err}
 	}
 	if x.answer.NotRun {
-		q.boundary.DeclaredNotRun()
+		q.boundary.MarkNotRun()
 	}
 	h.heard(to, x, sentAt)
 	return x, nil
@@ -84,7 +84,7 @@
 		return
 	}
 	from := pushback.Origin{Replica: to.incarnation, DataCentre: to.dataCentre, Sent: sent}
-	h.Pushback.Heard(from, x.answer.Pushback, time.Now())
+	h.Pushback.Observe(from, x.answer.Pushback, time.Now())
 }
 
 func (h *Handler) connect(ctx context.Context, address string) (*transport.Conn, error) {
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -173,7 +173,7 @@
 	for _, k := range without {
 		need.Avoid[k] = true
 	}
-	need.SpareEntries = verdict.Spare
+	need.SpareEntries = verdict.SpareReplicas
 	reservation, err := g.table.Reserve(need)
 	if err != nil {
 		return false
@@ -238,7 +238,7 @@
 		if quarantined = g.h.crashes.refusal(g.q); quarantined != nil {
 			return true
 		}
-		need.SpareEntries = g.h.crashes.judge(g.q).Spare // an end may have been counted while it waited
+		need.SpareEntries = g.h.crashes.judge(g.q).SpareReplicas // an end may have been counted while it waited
 		r, err := g.table.Reserve(need)
 		none = nil
 		if errors.Is(err, layers.ErrNoPath) || errors.Is(err, layers.ErrLastEntries) || !g.begun && g.h.heldTooLong(g.q, err) != nil {
--- a/internal/relay/generate_send.go
+++ b/internal/relay/generate_send.go
@@ -61,7 +61,7 @@
 func (g *generation) blame(ctx context.Context, first layers.Replica, err error) error {
 	cause := context.Cause(ctx)
 	var stalled *stallError
-	var held *pushback.HeldError
+	var held *pushback.ThrottledError
 	switch {
 	case errors.As(err, &held):
 		return err // another path, or this one later; nothing is wrong with the replica
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -163,9 +163,9 @@
 	}
 	q.digest = q.contentDigest()
 	q.deadline = q.arrival.Add(h.patience(q) - answerMargin)
-	q.boundary = dispatch.NewBoundary(q.RequestID, q.profile.Repeatable(), h.Invariants)
+	q.boundary = dispatch.NewSendGuard(q.RequestID, q.profile.Repeatable(), h.Invariants)
 	q.service = q.profile.service(q.hash())
-	h.Budgets.of(q.service).Fresh()
+	h.Budgets.of(q.service).Credit()
 	return h.crashes.refusal(q)
 }
 
--- a/internal/relay/held.go
+++ b/internal/relay/held.go
@@ -16,8 +16,8 @@
 
 // heldTooLong returns the error if all replicas have asked not to be sent requests for longer than
 // the request may wait for its turn, or only other VMs may send to them, else nil.
-func (h *Handler) heldTooLong(q *request, err error) *pushback.HeldError {
-	var held *pushback.HeldError
+func (h *Handler) heldTooLong(q *request, err error) *pushback.ThrottledError {
+	var held *pushback.ThrottledError
 	if !errors.As(err, &held) {
 		return nil
 	}
@@ -28,7 +28,7 @@
 }
 
 // refuseHeld refuses a request that no replica takes until later.
-func refuseHeld(held *pushback.HeldError) *outcome.Failure {
+func refuseHeld(held *pushback.ThrottledError) *outcome.Failure {
 	left := soon // another VM may send to the replicas
 	if !held.Until.IsZero() {
 		left = max(soon, time.Until(held.Until))
--- a/internal/relay/held_test.go
+++ b/internal/relay/held_test.go
@@ -15,11 +15,11 @@
 func TestRequestIsRefusedAtOnceWhenReplicasAreHeldForLongerThanItMayWait(t *testing.T) {
 	h, now := &Handler{}, time.Now()
 	q := &request{arrival: now, profile: &Profile{Objective: 100 * time.Millisecond}}
-	soonOpen, late := &pushback.HeldError{Until: now.Add(200 * time.Millisecond)}, &pushback.HeldError{Until: now.Add(3 * time.Second)}
+	soonOpen, late := &pushback.ThrottledError{Until: now.Add(200 * time.Millisecond)}, &pushback.ThrottledError{Until: now.Add(3 * time.Second)}
 	if h.heldTooLong(q, soonOpen) != nil || h.heldTooLong(q, balance.ErrNoCapacity) != nil {
 		t.Error("refused though it may wait")
 	}
-	if h.heldTooLong(q, &pushback.HeldError{}) == nil {
+	if h.heldTooLong(q, &pushback.ThrottledError{}) == nil {
 		t.Error("waits though only other VMs may send")
 	}
 	held := h.heldTooLong(q, errors.Wrap(late, "no slot"))
--- a/internal/relay/limited_load_test.go
+++ b/internal/relay/limited_load_test.go
@@ -48,7 +48,7 @@
 	replica := incarnation.Key{ID: "desk-0", Born: 1}
 	ledger := pushback.NewLedger(zap.NewNop())
 	ledger.SetFleet(pushback.Fleet{Self: "vm", Known: true, VMs: []pushback.VM{{Name: "vm"}}}, time.Now())
-	ledger.Heard(pushback.Origin{Replica: replica, Sent: time.Now()}, pushback.Signal{Limit: pushback.LimitOf(limitedTo)}, time.Now())
+	ledger.Observe(pushback.Origin{Replica: replica, Sent: time.Now()}, pushback.Signal{Limit: pushback.LimitOf(limitedTo)}, time.Now())
 	l := &limitedLoad{admission: admission.New(admission.Settings{}, invariant.Strict()), served: map[config.Urgency]int{}, asked: map[config.Urgency]int{}}
 	gate := TargetGate{NewReplicaGate(ledger, l.admission.WakeAll)}
 	l.balancer = balance.New(balance.Settings{Gate: gate}, invariant.Strict())
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -31,7 +31,7 @@
 	service   string
 	// digest identifies the content once the body was read.
 	digest   quarantine.Digest
-	boundary *dispatch.Boundary
+	boundary *dispatch.SendGuard
 	story    story
 	// progress of a generation, for the log.
 	progress progress
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -68,10 +68,10 @@
 			RequestID: e.id.RequestID, Path: e.profile.Path, Body: request.Body, ContentType: request.ContentType,
 			Idempotent: e.profile.Idempotent, IdempotencyKey: e.id.IdempotencyKey,
 		},
-		Urgency:  e.profile.Urgency,
-		Boundary: e.boundary,
-		First:    slot,
-		Next: func(exclude []string) (*balance.Slot, error) {
+		Urgency:   e.profile.Urgency,
+		SendGuard: e.boundary,
+		FirstSlot: slot,
+		NextSlot: func(exclude []string) (*balance.Slot, error) {
 			return r.Balancer.Pick(r.query(e, exclude))
 		},
 	}
@@ -116,7 +116,7 @@
 	request := r.admissionRequest(e, cost)
 	err := r.Admission.Admit(ctx, request, func() bool {
 		// A request that waited while the VM was paused waits until it has caught up.
-		return !r.Gate.Stale() && try(request.TakeAs())
+		return !r.Gate.Stale() && try(request.EffectiveUrgency())
 	})
 	r.Observer.Queued(e.profile.Urgency, time.Since(queued))
 	return err
--- a/internal/router/entry.go
+++ b/internal/router/entry.go
@@ -19,7 +19,7 @@
 	// model is what serves a generation.
 	model    config.ModelRef
 	deadline time.Time
-	boundary *dispatch.Boundary
+	boundary *dispatch.SendGuard
 	// preempt takes a signal to give the engines back; it is nil for requests that
 	// are never preempted.
 	preempt chan struct{}
--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -101,12 +101,12 @@
 func (r *Router) execute(ctx context.Context, e *entry, job generation.Job, sink generation.Sink) (GenerateResult, *outcome.Failure) {
 	e.enter(StageRunning)
 	started := time.Now()
-	e.boundary.Cross()
+	e.boundary.BeginSend()
 	done, err := r.Runner.Run(ctx, job, sink)
 	result := GenerateResult{Tokens: done.Tokens, Finish: done.Finish, Epochs: done.Epochs}
 	if failure := asFailure(err); failure != nil {
 		if failure.Outcome == outcome.NotRun {
-			e.boundary.DeclaredNotRun()
+			e.boundary.MarkNotRun()
 		}
 		return result, failure
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -103,7 +103,7 @@
 		profile:  profile,
 		pool:     profile.Service,
 		deadline: id.Arrival.Add(deadline),
-		boundary: dispatch.NewBoundary(id.RequestID, profile.Idempotent, r.Invariants),
+		boundary: dispatch.NewSendGuard(id.RequestID, profile.Idempotent, r.Invariants),
 		stage:    StageArrived,
 		since:    id.Arrival,
 	}
