--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -60,7 +60,7 @@
 		leaving: p.pushback.Leaving,
 	}
 	p.pushback.OnLeaving(p.view.onLeaving)
-	p.tries = follow.NewTries()
+	p.tries = follow.NewRetryGroup()
 	p.view.operator = p.follower(p.Wiring.OperatorTable, p.view.onConfig)
 	p.view.replicas = p.follower(p.Wiring.ReplicaTable, p.view.onReplicas)
 	own := census.VM{Name: s.VM.Name, Address: p.PeersAddress(), DataCentre: s.VM.DataCentre, Cores: s.VM.Cores}
--- a/internal/entry/listing.go
+++ b/internal/entry/listing.go
@@ -64,7 +64,7 @@
 // successor, which is listed as it was before, or as its reports have it.
 func (l *listing) list(r relay.Replica, before map[string]relay.Replica, now time.Time) {
 	heard := l.hear(r.Key(), "entry", now)
-	if !heard.Earlier {
+	if !heard.Superseded {
 		r.Born = heard.Key.Born
 		l.listed[r.ID] = r
 		return
@@ -79,14 +79,14 @@
 }
 
 // hear tells the tracker of a word and logs what follows from it.
-func (l *listing) hear(k incarnation.Key, from string, now time.Time) incarnation.Heard {
-	heard := l.incarnations.Hear(k, now)
-	if heard.FirstTime {
+func (l *listing) hear(k incarnation.Key, from string, now time.Time) incarnation.Observation {
+	heard := l.incarnations.Observe(k, now)
+	if heard.FirstReport {
 		l.logger.Warn("start of a replica not as it should be", zap.Stringer("replica", k), zap.String("from", from),
 			zap.String("fault", string(heard.Fault)), zap.Stringer("takenFor", heard.Key))
 	}
 	if heard.Restarted {
-		l.logger.Info("replica has started again", zap.Stringer("replica", heard.Key), zap.Stringer("before", heard.Before), zap.String("from", from))
+		l.logger.Info("replica has started again", zap.Stringer("replica", heard.Key), zap.Stringer("before", heard.Previous), zap.String("from", from))
 	}
 	return heard
 }
@@ -94,7 +94,7 @@
 // heardOf takes a replica's own word, which may be seconds ahead of its entry. It returns
 // which incarnation the word counts for, whether it is a late one, and whether the listing
 // has changed.
-func (l *listing) heardOf(k incarnation.Key, now time.Time) (heard incarnation.Heard, changed bool) {
+func (l *listing) heardOf(k incarnation.Key, now time.Time) (heard incarnation.Observation, changed bool) {
 	heard = l.hear(k, "report", now)
 	for _, replicas := range []map[string]relay.Replica{l.listed, l.vanished} {
 		r, is := replicas[k.ID]
@@ -126,7 +126,7 @@
 		clear(l.vanished)
 	}
 	for id, r := range l.late {
-		if heard := l.hear(r.Key(), "entry", now); !heard.Earlier {
+		if heard := l.hear(r.Key(), "entry", now); !heard.Superseded {
 			r.Born = heard.Key.Born
 			l.listed[id] = r
 			delete(l.late, id)
--- a/internal/entry/listing_test.go
+++ b/internal/entry/listing_test.go
@@ -113,12 +113,12 @@
 	p.write(bornAt(0), 10, "ready")
 	p.pass(3 * time.Second)
 	heard, changed := p.heardOf(incarnation.Key{ID: "r", Born: bornAt(2)}, p.now)
-	if !changed || heard.Earlier {
+	if !changed || heard.Superseded {
 		t.Errorf("%+v, changed %t", heard, changed)
 	}
 	p.wants(t, bornAt(2), 0, false)
 	p.pass(time.Second)
-	if heard, changed := p.heardOf(incarnation.Key{ID: "r", Born: bornAt(0)}, p.now); changed || !heard.Earlier {
+	if heard, changed := p.heardOf(incarnation.Key{ID: "r", Born: bornAt(0)}, p.now); changed || !heard.Superseded {
 		t.Errorf("an old report after a new one: %+v, changed %t", heard, changed)
 	}
 	p.wants(t, bornAt(2), 0, false)
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -15,7 +15,7 @@
 )
 
 func (p *Process) follower(table string, onChange func(platform.TableView)) *follow.Follower {
-	return follow.New(follow.Options{Table: table, Feed: p.store, Peers: p.peers, Logger: p.Logger, Follows: p.followsFeed, VMs: func() int { return len(p.census.VMs()) }, Tries: p.tries, OnChange: onChange})
+	return follow.New(follow.Options{Table: table, Feed: p.store, Peers: p.peers, Logger: p.Logger, FollowsFeed: p.followsFeed, VMs: func() int { return len(p.census.VMs()) }, RetryGroup: p.tries, OnChange: onChange})
 }
 
 // followsFeed reports whether this VM is one of those that follow the store's feed.
@@ -57,13 +57,13 @@
 
 // peersAmong says whom of the VMs this one asks.
 func (p *Process) peersAmong(vms []census.VM) mirror.Peers {
-	peers := mirror.Peers{Others: append(addressesOf(vms), p.Settings.Peers.Seeds...)}
+	peers := mirror.Peers{Fallback: append(addressesOf(vms), p.Settings.Peers.Seeds...)}
 	for dataCentre, followers := range p.census.Followers() {
 		if dataCentre == p.Settings.VM.DataCentre {
-			peers.Near = addressesOf(followers)
+			peers.LocalFollowers = addressesOf(followers)
 			continue
 		}
-		peers.Far = append(peers.Far, addressesOf(followers))
+		peers.RemoteFollowers = append(peers.RemoteFollowers, addressesOf(followers))
 	}
 	return peers
 }
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -73,7 +73,7 @@
 	admission *admission.Controller
 	census    *census.Census
 	// tries are shared by the copies of the operator's tables.
-	tries  *follow.Tries
+	tries  *follow.RetryGroup
 	leases *lease.Manager
 	tenure *tenure
 	board  *loads.Board
--- a/internal/entry/tenure.go
+++ b/internal/entry/tenure.go
@@ -38,7 +38,7 @@
 	if ok {
 		t.last = held.Fencing
 	}
-	acting := !ok && t.last > 0 && t.leases.TableAway() && t.board.Tenure() <= t.last
+	acting := !ok && t.last > 0 && t.leases.TableUnavailable() && t.board.Tenure() <= t.last
 	if acting != t.acting {
 		t.acting = acting
 		t.logger.Info("placement without a lease", zap.Bool("acting", acting), zap.Uint64("tenure", t.last),
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -105,7 +105,7 @@
 		}
 		heard, restarted := v.listing.heardOf(k, time.Now())
 		changed = changed || restarted
-		if !heard.Earlier {
+		if !heard.Superseded {
 			current[heard.Key] = load
 		}
 	}
--- a/internal/follow/confirm.go
+++ b/internal/follow/confirm.go
@@ -53,7 +53,7 @@
 
 // leavesToFollowers reports whether a VM that follows the feed is heard, so that this one asks the
 // store in its turn only.
-func (f *Follower) leavesToFollowers() bool { return !f.Follows() && f.hearsFollowers() }
+func (f *Follower) leavesToFollowers() bool { return !f.FollowsFeed() && f.hearsFollowers() }
 
 func confirmLimit() time.Duration {
 	return confirmLeast + rand.N(confirmMost-confirmLeast)
--- a/internal/follow/fake_peers_test.go
+++ b/internal/follow/fake_peers_test.go
@@ -58,8 +58,8 @@
 // optionsOf are those of a VM that follows the feed and counts itself alone.
 func optionsOf(feed platform.Feed, peers Peers) Options {
 	return Options{
-		Table: "t", Feed: feed, Peers: peers, Logger: zap.NewNop(), Follows: func() bool { return true },
-		VMs: func() int { return 1 }, Tries: NewTries(), OnChange: func(platform.TableView) {},
+		Table: "t", Feed: feed, Peers: peers, Logger: zap.NewNop(), FollowsFeed: func() bool { return true },
+		VMs: func() int { return 1 }, RetryGroup: NewRetryGroup(), OnChange: func(platform.TableView) {},
 	}
 }
 
@@ -81,7 +81,7 @@
 // learnByPeers runs a follower of a VM that does not follow the feed, until stop is called.
 func learnByPeers(t *testing.T, feed *fakeFeed, peers *fakePeers) (f *Follower, stop func()) {
 	o := optionsOf(feed, peers)
-	o.Follows = func() bool { return false }
+	o.FollowsFeed = func() bool { return false }
 	f = New(o)
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -66,13 +66,13 @@
 	Feed   platform.Feed
 	Peers  Peers
 	Logger *zap.Logger
-	// Follows says whether this VM follows the store's feed. In a large fleet a few do,
+	// FollowsFeed says whether this VM follows the store's feed. In a large fleet a few do,
 	// and the others copy from them: each change would otherwise cost a call of every VM.
-	Follows func() bool
+	FollowsFeed func() bool
 	// VMs returns how many VMs there are, at least 1.
 	VMs func() int
-	// Tries are shared by the tables of this VM.
-	Tries *Tries
+	// RetryGroup are shared by the tables of this VM.
+	RetryGroup *RetryGroup
 	// OnChange is called with each new view, one at a time.
 	OnChange func(platform.TableView)
 }
@@ -171,8 +171,8 @@
 	case f.askSoon <- struct{}{}:
 	default: // they are to be asked already
 	}
-	if f.View() != nil && !f.Follows() {
-		f.Tries.leave(f)
+	if f.View() != nil && !f.FollowsFeed() {
+		f.RetryGroup.leave(f)
 		f.waitCalmly(ctx, f.turnPause())
 		return
 	}
@@ -183,7 +183,7 @@
 
 // learnsByPeers reports whether this VM may leave the store alone for now.
 func (f *Follower) learnsByPeers() bool {
-	return f.View() != nil && !f.Follows() && f.Age() < peersStale
+	return f.View() != nil && !f.FollowsFeed() && f.Age() < peersStale
 }
 
 // applyTo publishes a change of the copy of a revision, unless the copy has moved on. It
@@ -210,7 +210,7 @@
 	change.UnchangedUpTo = f.position(view.Revision)
 	change.SettlingLeft = f.tellsSettling()
 	change.Settling = change.SettlingLeft > 0
-	change.ByFeed = f.Follows()
+	change.ByFeed = f.FollowsFeed()
 	return change, f.Age(), true
 }
 
--- a/internal/follow/settling.go
+++ b/internal/follow/settling.go
@@ -24,7 +24,7 @@
 	}
 	f.storeDown = down
 	if !down {
-		f.Tries.leave(f)
+		f.RetryGroup.leave(f)
 	}
 }
 
@@ -44,7 +44,7 @@
 		f.Logger.Info("table followed by peers", zap.String("table", f.Table))
 	}
 	f.storeDown, f.regained = false, time.Time{}
-	f.Tries.leave(f)
+	f.RetryGroup.leave(f)
 }
 
 // peersSettle notes a peer's word that rows may come back for so long after it was asked. One that
@@ -81,7 +81,7 @@
 // peersSettlingLeft is for how long a peer goes on settling; below 0 it has ended. The caller
 // holds f.mu.
 func (f *Follower) peersSettlingLeft() time.Duration {
-	if f.Follows() || f.peersSettled.IsZero() {
+	if f.FollowsFeed() || f.peersSettled.IsZero() {
 		return -peersSettleRoom
 	}
 	return time.Until(f.peersSettled)
--- a/internal/follow/tries.go
+++ b/internal/follow/tries.go
@@ -11,22 +11,22 @@
 // without sharing.
 const sharedTryMost = readTimeout + 2*retryPause
 
-// Tries lets the tables of one VM share the tries at a store that is away: one table's follower
+// RetryGroup lets the tables of one VM share the tries at a store that is away: one table's follower
 // asks, and the others go on as soon as it was answered. Each asking by itself doubled the
 // calls of an outage: by their own counters 195 VMs made 2,036 in 8 s. It is safe for concurrent use.
-type Tries struct {
+type RetryGroup struct {
 	mu     sync.Mutex // guards the fields below
 	asking *Follower
 	// answered is closed when the follower that asks has an answer, or leaves off.
 	answered chan struct{}
 }
 
-// NewTries returns the tries of one VM.
-func NewTries() *Tries { return &Tries{} }
+// NewRetryGroup returns the tries of one VM.
+func NewRetryGroup() *RetryGroup { return &RetryGroup{} }
 
 // join says whether a follower whose call failed is the one that asks. If not, the channel
 // tells when to go on.
-func (t *Tries) join(f *Follower) (first bool, answered <-chan struct{}) {
+func (t *RetryGroup) join(f *Follower) (first bool, answered <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.asking == nil {
@@ -36,7 +36,7 @@
 }
 
 // leave ends a follower's turn, if it is the one that asks.
-func (t *Tries) leave(f *Follower) {
+func (t *RetryGroup) leave(f *Follower) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.asking == f {
@@ -48,7 +48,7 @@
 // waitForOther waits while another table's follower tries the store, and reports whether there
 // is one.
 func (f *Follower) waitForOther(ctx context.Context) bool {
-	first, answered := f.Tries.join(f)
+	first, answered := f.RetryGroup.join(f)
 	if first {
 		return false
 	}
--- a/internal/follow/tries_test.go
+++ b/internal/follow/tries_test.go
@@ -50,13 +50,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		const outage = 8 * time.Second
 		feeds := []*fakeFeed{newFakeFeed(), newFakeFeed()}
-		tries := NewTries()
+		tries := NewRetryGroup()
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		var followers []*Follower
 		for _, feed := range feeds {
 			o := optionsOf(feed, &fakePeers{})
-			o.Tries = tries
+			o.RetryGroup = tries
 			f := New(o)
 			followers = append(followers, f)
 			running.Go(func() { f.Run(ctx) })
@@ -93,12 +93,12 @@
 func TestTableDoesNotWaitForOneThatLeftOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bad, good := newFakeFeed(), newFakeFeed()
-		tries := NewTries()
+		tries := NewRetryGroup()
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		run := func(feed *fakeFeed) *Follower {
 			o := optionsOf(feed, &fakePeers{})
-			o.Tries = tries
+			o.RetryGroup = tries
 			f := New(o)
 			running.Go(func() { f.Run(ctx) })
 			return f
@@ -135,7 +135,7 @@
 		var running sync.WaitGroup
 		for range vms {
 			o := optionsOf(feed, peers)
-			o.Follows, o.VMs = func() bool { return false }, func() int { return fleet }
+			o.FollowsFeed, o.VMs = func() bool { return false }, func() int { return fleet }
 			f := New(o)
 			running.Go(func() { f.Run(ctx) })
 		}
--- a/internal/follow/turns.go
+++ b/internal/follow/turns.go
@@ -64,7 +64,7 @@
 		if !sleep.For(ctx, retryPause) || f.learnsByPeers() {
 			return false
 		}
-		if f.Follows() || heard && !f.hearsFollowers() {
+		if f.FollowsFeed() || heard && !f.hearsFollowers() {
 			return true
 		}
 	}
--- a/internal/incarnation/tracker.go
+++ b/internal/incarnation/tracker.go
@@ -43,26 +43,26 @@
 // NewTracker returns a tracker that knows nobody.
 func NewTracker() *Tracker { return &Tracker{lives: map[string]*life{}} }
 
-// Heard is what a word of a replica means.
-type Heard struct {
+// Observation is what a word of a replica means.
+type Observation struct {
 	// Key is the incarnation that the word counts for; see Earlier.
 	Key Key
-	// Before is the incarnation that was the newest until now, if Restarted is set.
-	Before    Key
+	// Previous is the incarnation that was the newest until now, if Restarted is set.
+	Previous  Key
 	Restarted bool
-	// Earlier says that the word is of an incarnation that has been succeeded: it is late
+	// Superseded says that the word is of an incarnation that has been succeeded: it is late
 	// and says nothing about the present one, which is Key.
-	Earlier bool
+	Superseded bool
 	// Fault says what is wrong with the start, FaultNone if nothing is.
 	Fault Fault
-	// FirstTime says that this fault was not told of before, of this replica; a missing start
+	// FirstReport says that this fault was not told of before, of this replica; a missing start
 	// is told of once for all.
-	FirstTime bool
+	FirstReport bool
 }
 
-// Hear takes a word of the incarnation at that time. A start that is not usable counts for
+// Observe takes a word of the incarnation at that time. A start that is not usable counts for
 // the incarnation that is known.
-func (t *Tracker) Hear(k Key, now time.Time) Heard {
+func (t *Tracker) Observe(k Key, now time.Time) Observation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l := t.lives[k.ID]
@@ -70,23 +70,23 @@
 		l = &life{reported: map[Fault]bool{}}
 		t.lives[k.ID] = l
 	}
-	h := Heard{Key: k, Fault: faultOf(k, now)}
+	h := Observation{Key: k, Fault: faultOf(k, now)}
 	switch {
 	case h.Fault != FaultNone:
 		l.heard = now
 	case k.Born > l.born:
-		h.Before, h.Restarted = Key{ID: k.ID, Born: l.born}, l.born > 0
+		h.Previous, h.Restarted = Key{ID: k.ID, Born: l.born}, l.born > 0
 		l.begin(k.Born, now)
 	case k.Born < l.born:
-		h.Before = Key{ID: k.ID, Born: l.born}
+		h.Previous = Key{ID: k.ID, Born: l.born}
 		h.Fault = FaultEarlier
 		h.Restarted = l.believes(k.Born, now)
-		h.Earlier = !h.Restarted
+		h.Superseded = !h.Restarted
 	default:
 		l.heard, l.earlier = now, 0
 	}
 	h.Key.Born = l.born
-	h.FirstTime = t.firstTime(l, h.Fault)
+	h.FirstReport = t.firstTime(l, h.Fault)
 	return h
 }
 
--- a/internal/incarnation/tracker_test.go
+++ b/internal/incarnation/tracker_test.go
@@ -71,8 +71,8 @@
 		t.Run(name, func(t *testing.T) {
 			tracker := NewTracker()
 			for i, w := range words {
-				h := tracker.Hear(w.key, at(w.arrives))
-				if h.Key != w.want || h.Restarted != w.restarted || h.Earlier != w.earlier || h.Fault != w.fault {
+				h := tracker.Observe(w.key, at(w.arrives))
+				if h.Key != w.want || h.Restarted != w.restarted || h.Superseded != w.earlier || h.Fault != w.fault {
 					t.Errorf("word %d: %+v", i, h)
 				}
 				if newest := tracker.Newest(w.key.ID); newest != w.want {
@@ -87,7 +87,7 @@
 func TestFaultIsToldOnce(t *testing.T) {
 	tracker := NewTracker()
 	for i := range 3 {
-		if h := tracker.Hear(Key{ID: "r"}, at(float64(i))); h.FirstTime != (i == 0) {
+		if h := tracker.Observe(Key{ID: "r"}, at(float64(i))); h.FirstReport != (i == 0) {
 			t.Errorf("word %d: %+v", i, h)
 		}
 	}
@@ -95,8 +95,8 @@
 
 func TestReplicasThatAreGoneAreForgotten(t *testing.T) {
 	tracker := NewTracker()
-	tracker.Hear(born("listed", 0), at(0))
-	tracker.Hear(born("gone", 0), at(0))
+	tracker.Observe(born("listed", 0), at(0))
+	tracker.Observe(born("gone", 0), at(0))
 	tracker.Forget(func(id string) bool { return id == "listed" }, at(0).Add(kept+time.Second))
 	if tracker.Newest("listed").Born == 0 || tracker.Newest("gone").Born != 0 {
 		t.Errorf("listed %v, gone %v", tracker.Newest("listed"), tracker.Newest("gone"))
--- a/internal/lease/held.go
+++ b/internal/lease/held.go
@@ -56,9 +56,9 @@
 	return read(l.manager.options.Clock).certainSince(l.Acquired)
 }
 
-// TableAway reports whether the table left this VM's last question without an answer, so
+// TableUnavailable reports whether the table left this VM's last question without an answer, so
 // that nobody it knows of can hold a lease for longer.
-func (m *Manager) TableAway() bool {
+func (m *Manager) TableUnavailable() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.readErr != nil
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -83,7 +83,7 @@
 		h := c.byName(helper.Name)
 		if c.exchange(vm, h) && c.exchange(h, c.byName(m.Name)) {
 			answer := c.byName(m.Name).table
-			vm.table.Heard(answer.Self(), c.now)
+			vm.table.RecordMessage(answer.Self(), c.now)
 			return
 		}
 	}
@@ -109,7 +109,7 @@
 		return false
 	}
 	updates := from.table.Gossip(name(to.index), 24)
-	if to.table.Heard(from.table.Self(), c.now) {
+	if to.table.RecordMessage(from.table.Self(), c.now) {
 		to.table.Merge(updates, c.now)
 	}
 	return true
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -18,9 +18,9 @@
 	return max(digest, 1)
 }
 
-// Quiet reports whether this VM has passed on nearly all that it learned. A digest
+// Quiescent reports whether this VM has passed on nearly all that it learned. A digest
 // that still differs then shows that rumours were lost.
-func (t *Table) Quiet() bool {
+func (t *Table) Quiescent() bool {
 	const nearlyAll = 4
 	return len(t.rumours) <= nearlyAll
 }
--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Heard records a message from a VM itself. It reports false for a message that
+// RecordMessage records a message from a VM itself. It reports false for a message that
 // must be dropped: one of an earlier life of the VM, or of this VM's own name.
-func (t *Table) Heard(id Identity, now time.Time) bool {
+func (t *Table) RecordMessage(id Identity, now time.Time) bool {
 	if id.Name == "" || id.Name == t.self.Name {
 		return false
 	}
@@ -13,10 +13,10 @@
 		t.add(id, now)
 		return true
 	}
-	if id.Incarnation.Life() < m.Incarnation.Life() {
+	if id.Incarnation.ProcessStart() < m.Incarnation.ProcessStart() {
 		return false
 	}
-	m.Heard = now
+	m.LastMessage = now
 	t.raise(m, id, now)
 	t.raiseVersion(m, id.Incarnation, id.Version)
 	return true
@@ -31,7 +31,7 @@
 		Leaving:     id.Leaving,
 		Version:     id.Version,
 		Since:       now,
-		Heard:       now,
+		LastMessage: now,
 	}
 	t.spread(id.Name, true)
 }
@@ -41,7 +41,7 @@
 	if id.Incarnation <= m.Incarnation {
 		return
 	}
-	if id.Incarnation.Life() > m.Incarnation.Life() {
+	if id.Incarnation.ProcessStart() > m.Incarnation.ProcessStart() {
 		m.Version = 0
 	}
 	m.Incarnation = id.Incarnation
@@ -54,7 +54,7 @@
 // raiseVersion never lets a version fall within one life. What an earlier life
 // had in force says nothing: the VM came back empty.
 func (t *Table) raiseVersion(m *Member, incarnation Incarnation, version uint64) {
-	if incarnation.Life() != m.Incarnation.Life() || version <= m.Version {
+	if incarnation.ProcessStart() != m.Incarnation.ProcessStart() || version <= m.Version {
 		return
 	}
 	m.Version = version
@@ -75,7 +75,7 @@
 // Tick turns suspicions that have lasted the timeout into deaths and forgets
 // members that were dead or gone for the retention.
 func (t *Table) Tick(now time.Time) {
-	timeout := t.settings.suspicion(t.Fleet())
+	timeout := t.settings.suspicion(t.FleetSize())
 	for name, m := range t.members {
 		if m.State == Suspected && t.silentFor(m, now) >= timeout {
 			t.setState(m, Dead, now)
@@ -90,8 +90,8 @@
 // silentFor is the time since the suspicion or, when later, the last message. A
 // VM that others cannot reach but that still talks to this one stays suspected.
 func (t *Table) silentFor(m *Member, now time.Time) time.Duration {
-	if m.Heard.After(m.Since) {
-		return now.Sub(m.Heard)
+	if m.LastMessage.After(m.Since) {
+		return now.Sub(m.LastMessage)
 	}
 	return now.Sub(m.Since)
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -31,17 +31,17 @@
 	if m := t.members[to]; m != nil && m.State != Alive {
 		updates = append(updates, t.update(m, true))
 	}
-	transmits := t.settings.transmits(t.Fleet())
+	transmits := t.settings.transmits(t.FleetSize())
 	for _, r := range t.pending(limit) {
 		updates = append(updates, t.pass(r, transmits))
 	}
 	return t.rotate(updates)
 }
 
-// Everyone returns all members that may serve, for a VM that has just joined.
-func (t *Table) Everyone() []Update {
+// FullState returns all members that may serve, for a VM that has just joined.
+func (t *Table) FullState() []Update {
 	updates := []Update{t.update(&t.self, true)}
-	for _, m := range t.Reachable() {
+	for _, m := range t.ServingMembers() {
 		updates = append(updates, t.update(&m, true))
 	}
 	return updates
--- a/internal/membership/incarnation.go
+++ b/internal/membership/incarnation.go
@@ -16,10 +16,10 @@
 	return Incarnation(start.UnixMilli()) << refutationBits
 }
 
-// Life returns the part that one process keeps. Messages of an older life are
+// ProcessStart returns the part that one process keeps. Messages of an older life are
 // from a process that has ended.
-func (i Incarnation) Life() uint64 { return uint64(i) >> refutationBits }
+func (i Incarnation) ProcessStart() uint64 { return uint64(i) >> refutationBits }
 
 func (i Incarnation) nextLife() Incarnation {
-	return Incarnation(i.Life()+1) << refutationBits
+	return Incarnation(i.ProcessStart()+1) << refutationBits
 }
--- a/internal/membership/listing.go
+++ b/internal/membership/listing.go
@@ -30,7 +30,7 @@
 		t.members[vm.Name] = m
 	}
 	m.Listed, m.ListedLeaving = true, vm.Leaving
-	if m.Heard.IsZero() || !m.MayServe() {
+	if m.LastMessage.IsZero() || !m.MayServe() {
 		m.Address, m.DataCentre = vm.PeerAddress, vm.DataCentre
 	}
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -16,8 +16,8 @@
 	Version uint64 `json:"version"`
 	// Since is when the present state began.
 	Since time.Time `json:"since"`
-	// Heard is when a message of the VM itself last came; zero for never.
-	Heard time.Time `json:"heard"`
+	// LastMessage is when a message of the VM itself last came; zero for never.
+	LastMessage time.Time `json:"heard"`
 	// Listed says that the platform's list shows the VM.
 	Listed bool `json:"listed"`
 	// ListedLeaving says that the platform's list shows the VM as leaving.
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -34,7 +34,7 @@
 	if u.Incarnation == t.self.Incarnation && u.State == Alive {
 		return
 	}
-	if u.Incarnation.Life() > t.self.Incarnation.Life() {
+	if u.Incarnation.ProcessStart() > t.self.Incarnation.ProcessStart() {
 		t.self.Incarnation = u.Incarnation.nextLife()
 	} else {
 		t.self.Incarnation = u.Incarnation + 1
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -72,7 +72,7 @@
 
 // Sample returns up to count random members that may serve and are wanted.
 func (t *Table) Sample(count int, wanted func(*Member) bool) []Member {
-	all := t.Reachable()
+	all := t.ServingMembers()
 	all = slices.DeleteFunc(all, func(m Member) bool { return !wanted(&m) })
 	t.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(count, len(all))]
--- a/internal/membership/random_test.go
+++ b/internal/membership/random_test.go
@@ -113,7 +113,7 @@
 			if m.Incarnation < before.Incarnation {
 				rt.Fatalf("%s's incarnation fell on %s", m.Name, name(i))
 			}
-			if m.Incarnation.Life() == before.Incarnation.Life() && m.Version < before.Version {
+			if m.Incarnation.ProcessStart() == before.Incarnation.ProcessStart() && m.Version < before.Version {
 				rt.Fatalf("%s's version fell on %s", m.Name, name(i))
 			}
 			w.highest[i][j] = m
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -74,8 +74,8 @@
 	return Member{}, false
 }
 
-// Fleet returns how many VMs may serve, this one included.
-func (t *Table) Fleet() int {
+// FleetSize returns how many VMs may serve, this one included.
+func (t *Table) FleetSize() int {
 	count := 1
 	for _, m := range t.members {
 		if m.MayServe() {
@@ -85,8 +85,8 @@
 	return count
 }
 
-// Reachable returns the other VMs that may serve, in order of name.
-func (t *Table) Reachable() []Member {
+// ServingMembers returns the other VMs that may serve, in order of name.
+func (t *Table) ServingMembers() []Member {
 	var serving []Member
 	for _, m := range t.members {
 		if m.MayServe() && m.Address != "" {
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -31,11 +31,11 @@
 	now := time.Unix(1000, 0)
 	table := newTestTable(now)
 	id := peerIdentity(now)
-	table.Heard(id, now)
+	table.RecordMessage(id, now)
 	table.ProbeFailed("peer", id.Incarnation, now)
 	mustState(t, table, Suspected)
 	half := now.Add(DefaultSuspicionTimeout / 2)
-	table.Heard(id, half)
+	table.RecordMessage(id, half)
 	table.Tick(now.Add(DefaultSuspicionTimeout))
 	mustState(t, table, Suspected)
 	table.Tick(half.Add(DefaultSuspicionTimeout))
@@ -49,7 +49,7 @@
 	now := time.Unix(1000, 0)
 	table := newTestTable(now)
 	id := peerIdentity(now)
-	table.Heard(id, now)
+	table.RecordMessage(id, now)
 	table.Merge([]Update{{Name: "peer", Incarnation: id.Incarnation, State: Dead}}, now)
 	mustState(t, table, Suspected)
 	table.Merge([]Update{{Name: "peer", Address: "peer", Incarnation: id.Incarnation + 1, State: Alive}}, now)
@@ -63,9 +63,9 @@
 	table := newTestTable(now)
 	old, young := peerIdentity(now), peerIdentity(now.Add(time.Minute))
 	young.Version = 3
-	table.Heard(old, now)
-	table.Heard(young, now.Add(time.Minute))
-	if table.Heard(old, now.Add(2*time.Minute)) {
+	table.RecordMessage(old, now)
+	table.RecordMessage(young, now.Add(time.Minute))
+	if table.RecordMessage(old, now.Add(2*time.Minute)) {
 		t.Fatal("a message of the earlier life was taken")
 	}
 	table.Merge([]Update{{Name: "peer", Incarnation: old.Incarnation, Version: 7, VersionOnly: true}}, now)
@@ -80,9 +80,9 @@
 	now := time.Unix(1000, 0)
 	table := newTestTable(now)
 	id := peerIdentity(now)
-	table.Heard(id, now)
+	table.RecordMessage(id, now)
 	table.Merge([]Update{{Name: "peer", Incarnation: id.Incarnation + 1, State: Left}}, now)
-	table.Heard(id, now.Add(time.Second))
+	table.RecordMessage(id, now.Add(time.Second))
 	table.Merge([]Update{{Name: "peer", Incarnation: id.Incarnation + 1, State: Alive}}, now)
 	mustState(t, table, Left)
 }
@@ -95,7 +95,7 @@
 	table := newTestTable(now)
 	former := NewIncarnation(now.Add(time.Hour))
 	table.Merge([]Update{{Name: "self", Incarnation: former, State: Alive}}, now)
-	if own := table.Self().Incarnation; own.Life() <= former.Life() {
+	if own := table.Self().Incarnation; own.ProcessStart() <= former.ProcessStart() {
 		t.Fatalf("own incarnation %d is not of a later life than %d", own, former)
 	}
 }
@@ -106,7 +106,7 @@
 	now := time.Unix(1000, 0)
 	table := newTestTable(now)
 	id := peerIdentity(now)
-	table.Heard(id, now)
+	table.RecordMessage(id, now)
 	table.UpdateListed(nil, now)
 	mustState(t, table, Alive)
 	table.ProbeFailed("peer", id.Incarnation, now)
@@ -122,7 +122,7 @@
 	now := time.Unix(1000, 0)
 	table := newTestTable(now)
 	id := peerIdentity(now)
-	table.Heard(id, now)
+	table.RecordMessage(id, now)
 	table.ProbeFailed("peer", id.Incarnation, now)
 	table.Tick(now.Add(DefaultSuspicionTimeout))
 	for table.Rumours() > 0 {
--- a/internal/mirror/client.go
+++ b/internal/mirror/client.go
@@ -36,7 +36,7 @@
 func NewClient(own string, seeds []string, logger *zap.Logger) *Client {
 	c := &Client{own: own, logger: logger, silent: map[string]time.Time{}, conns: map[string]*grpc.ClientConn{}}
 	c.asker = c.askPeer
-	c.SetPeers(Peers{Others: seeds})
+	c.SetPeers(Peers{Fallback: seeds})
 	return c
 }
 
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -61,13 +61,13 @@
 
 	maker := NewClient("", nil, zap.NewNop())
 	defer maker.Close()
-	maker.SetPeers(Peers{Near: []string{keptAt}})
+	maker.SetPeers(Peers{LocalFollowers: []string{keptAt}})
 	offered := platform.TableChange{Revision: 7, Whole: true, Written: map[string][]byte{"all": []byte("loads")}}
 	offer(t, maker, kept, offered)
 
 	asking := NewClient("", nil, zap.NewNop())
 	defer asking.Close()
-	asking.SetPeers(Peers{Near: []string{emptyAt}, Others: []string{keptAt}})
+	asking.SetPeers(Peers{LocalFollowers: []string{emptyAt}, Fallback: []string{keptAt}})
 	change, age, ok := fetch(t, asking)
 	if !ok || change.Revision != 7 || string(change.Written["all"]) != "loads" || age != time.Second {
 		t.Errorf("%+v, %s, %v", change, age, ok)
@@ -105,7 +105,7 @@
 	asked := map[string]int{}
 	c := NewClient("", nil, zap.NewNop())
 	defer c.Close()
-	c.SetPeers(Peers{Near: []string{"dead"}, Others: []string{keptAt}})
+	c.SetPeers(Peers{LocalFollowers: []string{"dead"}, Fallback: []string{keptAt}})
 	askPeer := c.asker
 	c.asker = func(ctx context.Context, address string, q question) *answer {
 		asked[address]++
@@ -133,8 +133,8 @@
 	served := &shelf{change: platform.TableChange{Revision: 5, Whole: true}, age: time.Second / 2}
 	turnedAwayAt, servedAt := serve(t, turnedAway), serve(t, served)
 	for name, peers := range map[string]Peers{
-		"the near one is turned away": {Near: []string{turnedAwayAt}, Far: [][]string{{servedAt}}},
-		"the far one is turned away":  {Near: []string{servedAt}, Far: [][]string{{turnedAwayAt}}},
+		"the near one is turned away": {LocalFollowers: []string{turnedAwayAt}, RemoteFollowers: [][]string{{servedAt}}},
+		"the far one is turned away":  {LocalFollowers: []string{servedAt}, RemoteFollowers: [][]string{{turnedAwayAt}}},
 	} {
 		for after, what := range map[uint64]string{4: "news", 5: "no news"} {
 			c := NewClient("", nil, zap.NewNop())
@@ -161,7 +161,7 @@
 	keptAt := serve(t, kept)
 	c := NewClient("", nil, zap.NewNop())
 	defer c.Close()
-	c.SetPeers(Peers{Near: []string{keptAt}, Far: [][]string{{"dead"}}})
+	c.SetPeers(Peers{LocalFollowers: []string{keptAt}, RemoteFollowers: [][]string{{"dead"}}})
 	askPeer := c.asker
 	c.asker = func(context.Context, string, question) *answer { return nil }
 	for range 3 {
@@ -186,7 +186,7 @@
 func TestPeerThatStopsBetweenTwoQuestions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClient("", nil, zap.NewNop())
-		c.SetPeers(Peers{Near: []string{"stops"}, Far: [][]string{{"lives"}}})
+		c.SetPeers(Peers{LocalFollowers: []string{"stops"}, RemoteFollowers: [][]string{{"lives"}}})
 		c.asker = func(ctx context.Context, address string, q question) *answer {
 			if !q.Brief && address == "stops" {
 				<-ctx.Done()
@@ -214,7 +214,7 @@
 func TestPeerThatWasNotWaitedForIsNotSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClient("", nil, zap.NewNop())
-		c.SetPeers(Peers{Near: []string{"slow"}, Far: [][]string{{"other"}}})
+		c.SetPeers(Peers{LocalFollowers: []string{"slow"}, RemoteFollowers: [][]string{{"other"}}})
 		c.asker = func(ctx context.Context, _ string, _ question) *answer {
 			<-ctx.Done()
 			return nil
@@ -240,10 +240,10 @@
 	near, far, maker := &shelf{}, &shelf{}, NewClient("", nil, zap.NewNop())
 	defer maker.Close()
 	nearAt, farAt := serve(t, near), serve(t, far)
-	maker.SetPeers(Peers{Near: []string{nearAt}, Far: [][]string{{farAt}}, Others: []string{serve(t, &shelf{}), "127.0.0.1:1"}})
+	maker.SetPeers(Peers{LocalFollowers: []string{nearAt}, RemoteFollowers: [][]string{{farAt}}, Fallback: []string{serve(t, &shelf{}), "127.0.0.1:1"}})
 	asking := NewClient("", nil, zap.NewNop())
 	defer asking.Close()
-	asking.SetPeers(Peers{Near: []string{nearAt}, Others: []string{serve(t, &shelf{}), serve(t, &shelf{}), "127.0.0.1:1"}})
+	asking.SetPeers(Peers{LocalFollowers: []string{nearAt}, Fallback: []string{serve(t, &shelf{}), serve(t, &shelf{}), "127.0.0.1:1"}})
 	for _, c := range []*Client{maker, asking} {
 		if _, _, ok := c.FetchOne(t.Context(), "loads", 0); ok {
 			t.Fatal("there is a copy before anybody made one")
--- a/internal/mirror/peers.go
+++ b/internal/mirror/peers.go
@@ -8,20 +8,20 @@
 
 // Peers are the addresses, IP:port, that a VM may ask.
 type Peers struct {
-	// Near are the VMs of its own data centre that follow the store. They are asked first:
+	// LocalFollowers are the VMs of its own data centre that follow the store. They are asked first:
 	// links between data centres are few and shared.
-	Near []string
-	// Far are those of each other data centre.
-	Far [][]string
-	// Others are asked where none of those answers.
-	Others []string
+	LocalFollowers []string
+	// RemoteFollowers are those of each other data centre.
+	RemoteFollowers [][]string
+	// Fallback are asked where none of those answers.
+	Fallback []string
 }
 
 // withoutAny returns the peers but those at some addresses.
 func (p Peers) withoutAny(addresses map[string]time.Time) Peers {
-	rest := Peers{Near: withoutThese(p.Near, addresses), Others: withoutThese(p.Others, addresses)}
-	for _, far := range p.Far {
-		rest.Far = append(rest.Far, withoutThese(far, addresses))
+	rest := Peers{LocalFollowers: withoutThese(p.LocalFollowers, addresses), Fallback: withoutThese(p.Fallback, addresses)}
+	for _, far := range p.RemoteFollowers {
+		rest.RemoteFollowers = append(rest.RemoteFollowers, withoutThese(far, addresses))
 	}
 	return rest
 }
@@ -37,7 +37,7 @@
 // once.
 func (p Peers) order() []string {
 	var order []string
-	for _, some := range [][]string{shuffled(p.Near), shuffled(slices.Concat(p.Far...)), shuffled(p.Others)} {
+	for _, some := range [][]string{shuffled(p.LocalFollowers), shuffled(slices.Concat(p.RemoteFollowers...)), shuffled(p.Fallback)} {
 		for _, address := range some {
 			if !slices.Contains(order, address) {
 				order = append(order, address)
@@ -50,7 +50,7 @@
 // second returns one more peer beside the first, of another data centre if there is one,
 // "" if there is none.
 func (p Peers) second(first string) string {
-	for _, some := range [][]string{shuffled(slices.Concat(p.Far...)), shuffled(p.Near), shuffled(p.Others)} {
+	for _, some := range [][]string{shuffled(slices.Concat(p.RemoteFollowers...)), shuffled(p.LocalFollowers), shuffled(p.Fallback)} {
 		if rest := withoutThese(some, map[string]time.Time{first: {}}); len(rest) > 0 {
 			return rest[0]
 		}
@@ -61,7 +61,7 @@
 // onePerDataCentre returns one follower of each data centre.
 func (p Peers) onePerDataCentre() []string {
 	var some []string
-	for _, group := range append([][]string{p.Near}, p.Far...) {
+	for _, group := range append([][]string{p.LocalFollowers}, p.RemoteFollowers...) {
 		if len(group) > 0 {
 			some = append(some, group[rand.IntN(len(group))])
 		}
@@ -79,7 +79,7 @@
 	if len(all) <= fewPeers {
 		return all
 	}
-	return slices.Concat(append([][]string{p.Near}, p.Far...)...)
+	return slices.Concat(append([][]string{p.LocalFollowers}, p.RemoteFollowers...)...)
 }
 
 func shuffled(addresses []string) []string {
--- a/internal/mirror/server.go
+++ b/internal/mirror/server.go
@@ -15,18 +15,18 @@
 	"geraniumcroft/internal/platform"
 )
 
-// Since returns what a copy of a table at a revision lacks of this VM's, with the time
+// ChangeSource returns what a copy of a table at a revision lacks of this VM's, with the time
 // since this VM's was confirmed to be the newest. Ok is false if this VM has none.
-type Since func(table string, after uint64) (change platform.TableChange, age time.Duration, ok bool)
+type ChangeSource func(table string, after uint64) (change platform.TableChange, age time.Duration, ok bool)
 
-// Take is given what a peer offers of a table, with the time since the peer's copy was
+// OfferHandler is given what a peer offers of a table, with the time since the peer's copy was
 // confirmed to be the newest. What is older than this VM's copy is to be passed over.
-type Take func(table string, change platform.TableChange, age time.Duration)
+type OfferHandler func(table string, change platform.TableChange, age time.Duration)
 
 // Server gives this VM's copies to peers and takes what they offer.
 type Server struct {
-	since  Since
-	take   Take
+	since  ChangeSource
+	take   OfferHandler
 	packed *packedChanges
 	logger *zap.Logger
 	grpc   *grpc.Server
@@ -36,7 +36,7 @@
 }
 
 // NewServer returns a server; Serve makes it answer.
-func NewServer(since Since, take Take, logger *zap.Logger) *Server {
+func NewServer(since ChangeSource, take OfferHandler, logger *zap.Logger) *Server {
 	s := &Server{since: since, take: take, packed: newPackedChanges(), logger: logger, grpc: grpc.NewServer()}
 	s.grpc.RegisterService(&serviceDesc, s)
 	return s
--- a/internal/mirror/spread_test.go
+++ b/internal/mirror/spread_test.go
@@ -255,10 +255,10 @@
 		vm.follows = follows
 		vm.follower = follow.New(follow.Options{
 			Table: spreadTable, Feed: spreadFeed{f, vm}, Peers: vm.client, Logger: zap.NewNop(),
-			Follows:  func() bool { return follows },
-			VMs:      func() int { return vms },
-			Tries:    follow.NewTries(),
-			OnChange: func(view platform.TableView) { f.noteInForce(vm, view.Revision) },
+			FollowsFeed: func() bool { return follows },
+			VMs:         func() int { return vms },
+			RetryGroup:  follow.NewRetryGroup(),
+			OnChange:    func(view platform.TableView) { f.noteInForce(vm, view.Revision) },
 		})
 		vm.server = NewServer(func(_ string, after uint64) (platform.TableChange, time.Duration, bool) {
 			return vm.follower.Since(after)
@@ -275,13 +275,13 @@
 			addresses = append(addresses, vm.Address)
 		}
 		if dataCentre == own.DataCentre {
-			peers.Near = addresses
+			peers.LocalFollowers = addresses
 		} else {
-			peers.Far = append(peers.Far, addresses)
+			peers.RemoteFollowers = append(peers.RemoteFollowers, addresses)
 		}
 	}
 	for _, vm := range all {
-		peers.Others = append(peers.Others, vm.Address)
+		peers.Fallback = append(peers.Fallback, vm.Address)
 	}
 	return peers
 }
--- a/internal/peer/envelope.go
+++ b/internal/peer/envelope.go
@@ -27,7 +27,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.table.SetVersion(n.options.Store.InForceVersion())
-	return envelopeOf(n.table.Self(), n.table.Everyone())
+	return envelopeOf(n.table.Self(), n.table.FullState())
 }
 
 // open takes in an envelope. It reports false for a message that must be dropped.
@@ -38,7 +38,7 @@
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.table.Heard(identityOf(e), now) {
+	if !n.table.RecordMessage(identityOf(e), now) {
 		n.counters.Dropped++
 		return false
 	}
--- a/internal/peer/load.go
+++ b/internal/peer/load.go
@@ -153,7 +153,7 @@
 }
 
 func (l *loadExchange) peerOf(from *peerpb.Envelope) *peerLoad {
-	life := membership.Incarnation(from.GetIncarnation()).Life()
+	life := membership.Incarnation(from.GetIncarnation()).ProcessStart()
 	p := l.peers[from.GetVm()]
 	if p == nil || p.life != life {
 		p = &peerLoad{life: life, inFlight: map[uint32]int{}}
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -106,7 +106,7 @@
 func (n *Node) PeerCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.table.Fleet() - 1
+	return n.table.FleetSize() - 1
 }
 
 // HasPeers reports whether there is, or may be, another VM that has not left. It
--- a/internal/peer/push.go
+++ b/internal/peer/push.go
@@ -46,7 +46,7 @@
 }
 
 func (n *Node) wholeFleetInView() bool {
-	return n.table.Fleet()-1 <= n.settings.ViewSize
+	return n.table.FleetSize()-1 <= n.settings.ViewSize
 }
 
 func (n *Node) startPush(m membership.Member) {
@@ -97,7 +97,7 @@
 
 // bringUp pushes until the peer has what is in force here.
 func (n *Node) bringUp(ctx context.Context, m membership.Member) {
-	if m.Heard.IsZero() && m.Incarnation == 0 {
+	if m.LastMessage.IsZero() && m.Incarnation == 0 {
 		// Known from the list alone: its version is not known, so compare first.
 		n.syncMember(ctx, m)
 		return
--- a/internal/peer/sync.go
+++ b/internal/peer/sync.go
@@ -50,8 +50,8 @@
 // unknownSeed returns the next seed that is not the address of a live member.
 func (n *Node) unknownSeed() string {
 	known := map[string]bool{n.options.Address: true}
-	for _, m := range n.table.Reachable() {
-		known[m.Address] = !m.Heard.IsZero()
+	for _, m := range n.table.ServingMembers() {
+		known[m.Address] = !m.LastMessage.IsZero()
 	}
 	for range n.options.Seeds {
 		seed := n.options.Seeds[n.nextSeed%len(n.options.Seeds)]
@@ -121,7 +121,7 @@
 func (n *Node) digestToCompare() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if time.Since(n.repaired) < n.settings.RepairPeriod || !n.table.Quiet() {
+	if time.Since(n.repaired) < n.settings.RepairPeriod || !n.table.Quiescent() {
 		return 0
 	}
 	n.repaired = time.Now()
