--- a/cmd/geraniumcroft/relay.go
+++ b/cmd/geraniumcroft/relay.go
@@ -122,7 +122,7 @@
 	}))
 	return entry.Options{
 		Settings: s, Pool: pool, Logger: logger, LogDropped: dropped,
-		Wiring: entry.Wiring{
+		Adapter: entry.Adapter{
 			Codec: platform.Codec{}, Engines: platform.NewEngines(pool), Table: store, Feed: store,
 			OperatorTable: platform.OperatorTable, ReplicaTable: platform.ReplicaTable,
 			DecodeConfig: platform.DecodeConfig, DecodeReplica: platform.DecodeReplica,
--- a/internal/entry/wiring.go
+++ b/internal/entry/adapter.go
@@ -7,23 +7,25 @@
 	"geraniumcroft/internal/relay"
 )
 
-// Wiring is what the platform's adapter gives to the process.
-type Wiring struct {
+// Adapter holds the parts of a Process that depend on the outside platform.
+type Adapter struct {
 	Codec   relay.Codec
 	Engines Engines
-	// Table holds the product's own rows.
+	// Table stores the rows that the VMs write themselves.
 	Table platform.Table
-	// Feed gives the operator's tables, which have the names below.
+	// Feed reads OperatorTable and ReplicaTable and reports their changes.
 	Feed          platform.Feed
 	OperatorTable string
 	ReplicaTable  string
-	// DecodeConfig decodes the rows of OperatorTable; nil stands for no configuration yet.
+	// DecodeConfig decodes the rows of OperatorTable. It returns nil if there is no
+	// configuration yet.
 	DecodeConfig func(rows map[string][]byte) (*relay.Config, error)
 	// DecodeReplica decodes one row of ReplicaTable.
 	DecodeReplica func(id string, row []byte) (relay.Replica, error)
 }
 
-// Engines are asked and ordered by the request path and by the placement.
+// Engines is the control interface of replicas that hold layers, as the request path, the
+// placement and the load reports use it.
 type Engines interface {
 	relay.Engines
 	placer.Engines
--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -25,9 +25,9 @@
 	ConfigAge     string           `json:"configAge"`
 	VMs           []census.VM      `json:"vms"`
 	// Counted says that the other VMs count this one.
-	Counted   bool                     `json:"counted"`
-	HoldsDuty bool                     `json:"holdsPlacement"`
-	Pools     map[string][]layers.Dump `json:"pools"`
+	Counted        bool                     `json:"counted"`
+	HoldsPlacement bool                     `json:"holdsPlacement"`
+	Pools          map[string][]layers.Dump `json:"pools"`
 	// Unusable are entries of discovery that name no replica to use, some of them by id,
 	// with the reason; TurnedUnusable counts them since the start.
 	Unusable       map[string]string `json:"unusableEntries"`
@@ -97,7 +97,7 @@
 func (p *Process) serveDump(w http.ResponseWriter, _ *http.Request) {
 	dump := Dump{
 		VM: p.Settings.VM.Name, Gate: p.gate.State(), InHand: p.handler.InHand(), ConfigVersion: p.view.configVersion(), ConfigAge: p.view.ConfigAge().String(),
-		VMs: p.census.VMs(), Counted: p.census.Counted(time.Now()), HoldsDuty: p.Holds(), Pools: p.pools.Dump(), Targets: p.balancer.Dump(),
+		VMs: p.census.VMs(), Counted: p.census.Counted(time.Now()), HoldsPlacement: p.Holds(), Pools: p.pools.Dump(), Targets: p.balancer.Dump(),
 		Queues: p.admission.Dump(), Leases: p.leases.Dump(), Store: p.table.Dump(), StoreCalls: p.store.Counts(), Invariants: p.invariants.Report(),
 		LogDropped: p.LogDropped(), Quarantine: p.quarantine.Dump(time.Now()), Pushback: p.pushback.Dump(time.Now()),
 	}
--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -38,7 +38,7 @@
 
 func (p *Process) buildControl() {
 	s := p.Settings
-	p.store = accounted.New(p.Wiring.Table, p.Wiring.Feed, p.metrics.Scope)
+	p.store = accounted.New(p.Adapter.Table, p.Adapter.Feed, p.metrics.Scope)
 	p.table = resilient.New(p.store, nil, nil, resilient.Settings{
 		VMs: usualVMs, WritesPerSecond: s.Platform.WritesPerSecond, ReadsPerSecond: s.Platform.ReadsPerSecond,
 	})
@@ -54,21 +54,21 @@
 	p.budgets = relay.NewBudgets(relay.BudgetSettings{Share: s.Relay.RetryShare, Slack: s.Relay.RetrySlack, Window: s.Relay.RetryWindow})
 	p.pools.SetSharers(layers.Sharers{DataCentre: s.VM.DataCentre, All: usualVMs, Home: usualVMs / usualDataCentres})
 	p.view = &view{
-		wiring: p.Wiring, pools: p.pools, balancer: p.balancer, invariants: p.invariants, logger: p.Logger,
-		listing: newListing(p.Wiring.DecodeReplica, p.Logger, p.onRestart),
+		adapter: p.Adapter, pools: p.pools, balancer: p.balancer, invariants: p.invariants, logger: p.Logger,
+		listing: newListing(p.Adapter.DecodeReplica, p.Logger, p.onRestart),
 		unfit:   newUnusableEntries(p.Logger),
 		leaving: p.pushback.Leaving,
 	}
 	p.pushback.OnLeaving(p.view.onLeaving)
 	p.tries = follow.NewTries()
-	p.view.operator = p.follower(p.Wiring.OperatorTable, p.view.onConfig)
-	p.view.replicas = p.follower(p.Wiring.ReplicaTable, p.view.onReplicas)
+	p.view.operator = p.follower(p.Adapter.OperatorTable, p.view.onConfig)
+	p.view.replicas = p.follower(p.Adapter.ReplicaTable, p.view.onReplicas)
 	own := census.VM{Name: s.VM.Name, Address: p.PeersAddress(), DataCentre: s.VM.DataCentre, Cores: s.VM.Cores}
 	p.census = census.New(p.table, own, p.onVMs, p.Logger)
 	p.board = loads.NewBoard(p.view.onLoads, p.Logger)
 	p.board.Attach(p.pushbackSharing)
 	p.keeper = loads.NewKeeper(loads.Options{
-		Board: p.board, Replicas: p.Wiring.Engines, Peers: p.peers, Tenure: func() (uint64, bool) { return p.tenure.now() }, Listed: p.view.engines, Logger: p.Logger,
+		Board: p.board, Replicas: p.Adapter.Engines, Peers: p.peers, Tenure: func() (uint64, bool) { return p.tenure.now() }, Listed: p.view.engines, Logger: p.Logger,
 		MayAsk: func(k incarnation.Key) bool { return p.pushback.MayAsk(k, time.Now()) },
 	})
 	p.leases = lease.NewManager(lease.Options{
@@ -90,9 +90,9 @@
 
 func (p *Process) buildRequestPath() {
 	p.handler = relay.New(relay.Options{
-		DataCentre: p.Settings.VM.DataCentre, Source: p.view, Codec: p.Wiring.Codec, Gate: p.gate,
+		DataCentre: p.Settings.VM.DataCentre, Source: p.view, Codec: p.Adapter.Codec, Gate: p.gate,
 		Admission: p.admission, Balancer: p.balancer, Pools: p.pools, Budgets: p.budgets,
-		Engines: p.Wiring.Engines, Pool: p.Pool, Observer: p.recorder, Invariants: p.invariants, Logger: p.Logger,
+		Engines: p.Adapter.Engines, Pool: p.Pool, Observer: p.recorder, Invariants: p.invariants, Logger: p.Logger,
 		Quarantine: p.quarantine, News: p.sharing, Pushback: p.pushback, Incarnations: p.view.listing.incarnations,
 	})
 }
--- a/internal/entry/decoding.go
+++ b/internal/entry/decoding.go
@@ -10,7 +10,7 @@
 
 // withoutPanics returns the wiring with decoders that fail where they would panic. All VMs read the
 // same rows and read them again after a restart: a row that ends one process ends all of them.
-func withoutPanics(w Wiring) Wiring {
+func withoutPanics(w Adapter) Adapter {
 	decodeConfig, decodeReplica := w.DecodeConfig, w.DecodeReplica
 	w.DecodeConfig = func(rows map[string][]byte) (*relay.Config, error) {
 		return recovered(func() (*relay.Config, error) { return decodeConfig(rows) })
--- a/internal/entry/decoding_test.go
+++ b/internal/entry/decoding_test.go
@@ -8,7 +8,7 @@
 
 // Guards against a row of the operator's tables that ends each VM which reads it.
 func TestDecoderThatPanicsFails(t *testing.T) {
-	w := withoutPanics(Wiring{
+	w := withoutPanics(Adapter{
 		DecodeConfig:  func(rows map[string][]byte) (*relay.Config, error) { return nil, nilMap(rows) },
 		DecodeReplica: func(string, []byte) (relay.Replica, error) { panic("a row") },
 	})
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -28,7 +28,7 @@
 		return p.board.Since(after)
 	case quarantine.TableName:
 		return p.sharing.Since(after)
-	case p.Wiring.ReplicaTable:
+	case p.Adapter.ReplicaTable:
 		return p.view.replicas.Since(after)
 	}
 	return p.view.operator.Since(after)
--- a/internal/entry/placement.go
+++ b/internal/entry/placement.go
@@ -15,7 +15,7 @@
 // calls to the store would be that.
 func (p *Process) contend() {
 	for p.ctx.Err() == nil {
-		if p.Contends() {
+		if p.IsCandidate() {
 			p.contendForNow()
 		}
 		sleep.For(p.ctx, settleInterval)
@@ -25,7 +25,7 @@
 // Contends reports whether this VM competes for the placement now. A holder goes on, whoever is
 // counted. A VM that has not read the list of VMs holds itself for the only one: of 195 that
 // start together all would read the lease, where the few first ones are enough.
-func (p *Process) Contends() bool {
+func (p *Process) IsCandidate() bool {
 	first := p.census.Known() && p.census.Among(contenders)
 	return p.Holds() || first || p.board.Age(p.started) > holderSilence
 }
@@ -34,7 +34,7 @@
 	ctx, cancel := context.WithCancel(p.ctx)
 	var competing sync.WaitGroup
 	competing.Go(func() { p.leases.Run(ctx) })
-	for p.Contends() && sleep.For(ctx, settleInterval) {
+	for p.IsCandidate() && sleep.For(ctx, settleInterval) {
 	}
 	cancel()
 	competing.Wait()
@@ -43,7 +43,7 @@
 // place gives the replicas of a model's service their layers.
 func (p *Process) place(service string) {
 	placer.New(placer.Options{
-		Engines: p.Wiring.Engines, Holder: p, Logger: p.Logger,
+		Engines: p.Adapter.Engines, Holder: p, Logger: p.Logger,
 		Model: func() (*layers.Spec, []layers.Replica) { return p.living(service) },
 		Heard: p.view.heardOf, Reported: p.board.Reported,
 	}).Run(p.ctx)
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -48,7 +48,7 @@
 // Options are what a Process is made from.
 type Options struct {
 	Settings *settings.Settings
-	Wiring   Wiring
+	Adapter  Adapter
 	Pool     *transport.Pool
 	Logger   *zap.Logger
 	// LogDropped returns how many lines of the log were lost.
@@ -104,7 +104,7 @@
 // New puts a process together and opens its listeners, so that their addresses are
 // known. Nothing runs until Start.
 func New(o Options) (*Process, error) {
-	o.Wiring = withoutPanics(o.Wiring)
+	o.Adapter = withoutPanics(o.Adapter)
 	p := &Process{Options: o, gate: &router.Gate{}, started: time.Now(), placed: map[string]bool{}}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	if err := p.listen(); err != nil {
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -22,7 +22,7 @@
 // view is what this VM believes of the configuration and the replicas. It turns the
 // copies of the operator's tables into what the request path and the placement use.
 type view struct {
-	wiring     Wiring
+	adapter    Adapter
 	pools      *relay.Pools
 	balancer   *balance.Balancer
 	invariants *invariant.Registry
@@ -62,7 +62,7 @@
 
 // onConfig puts a configuration in force.
 func (v *view) onConfig(table platform.TableView) {
-	next, err := v.wiring.DecodeConfig(table.Rows)
+	next, err := v.adapter.DecodeConfig(table.Rows)
 	if err != nil {
 		v.logger.Error("configuration not read; the one before stays in force", zap.Uint64("revision", table.Revision), zap.Error(err))
 		return
