--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -89,9 +89,9 @@
 	// The connection has the same deadline as the context and may time out first.
 	late := errors.Is(ctx.Err(), context.DeadlineExceeded) || !time.Now().Before(q.deadline)
 	switch {
-	case !q.boundary.MayHaveRun() && (late || ctx.Err() != nil):
+	case !q.sendGuard.MayHaveRun() && (late || ctx.Err() != nil):
 		return outcome.Refuse(outcome.ReasonDeadline, "the request could not start in time").WithRetryAfter(defaultRetryAfter).WithCause(err)
-	case !q.boundary.MayHaveRun():
+	case !q.sendGuard.MayHaveRun():
 		return outcome.Refuse(outcome.ReasonNoTarget, "no replica took the request").WithRetryAfter(defaultRetryAfter).WithCause(err)
 	case late:
 		return outcome.Uncertain(outcome.ReasonTargetSilent, "no answer came in time; the request may have run").WithCause(err)
@@ -107,7 +107,7 @@
 	failure := h.admit(ctx, q, 1, false, func() bool {
 		picked, err := h.Balancer.Pick(h.query(q, nil))
 		pickErr = nil
-		if errors.Is(err, balance.ErrNoTarget) || h.heldTooLong(q, err) != nil {
+		if errors.Is(err, balance.ErrNoTarget) || h.throttledTooLong(q, err) != nil {
 			pickErr = err
 			return true
 		}
@@ -123,8 +123,8 @@
 			return nil, failure
 		}
 	}
-	if held := h.heldTooLong(q, pickErr); held != nil {
-		return nil, refuseHeld(held)
+	if throttled := h.throttledTooLong(q, pickErr); throttled != nil {
+		return nil, refuseThrottled(throttled)
 	}
 	if pickErr != nil {
 		return nil, outcome.Refuse(outcome.ReasonNoTarget, "no replica of the service can take work now").WithRetryAfter(defaultRetryAfter).WithCause(pickErr)
@@ -173,8 +173,8 @@
 // nextSlot returns a slot for another attempt, or nil if there is none. The attempt is charged to
 // the retry budget if the previous one may have reached its replica.
 func (h *Handler) nextSlot(ctx context.Context, q *request, attempts *callAttempts) *balance.Slot {
-	mayRepeat := q.profile.Repeatable() || !q.boundary.MayHaveRun()
-	if ctx.Err() != nil || !mayRepeat || h.crashes.assess(q).Quarantined || attempts.exhausted(q.profile.MaxAttempts) {
+	mayRepeat := q.profile.Repeatable() || !q.sendGuard.MayHaveRun()
+	if ctx.Err() != nil || !mayRepeat || h.crashes.lookup(q).Quarantined || attempts.exhausted(q.profile.MaxAttempts) {
 		return nil
 	}
 	slot, err := h.Balancer.Pick(h.query(q, attempts.targets))
@@ -221,7 +221,7 @@
 	}
 	defer x.close()
 	if x.head.NotRun {
-		// The load is not recorded: a report with slots would end the hold on the replica.
+		// The load is not recorded: a report with free slots would end the hold on the busy replica.
 		return nil, &notRunError{Address: to.address, Status: x.resp.StatusCode}
 	}
 	h.recordLoad(to.incarnation.String(), x.head)
@@ -242,9 +242,9 @@
 // attemptResult returns what an attempt shows about the replica.
 func attemptResult(ctx context.Context, result *callResult, err error) balance.Result {
 	var busy *notRunError
-	var held *pushback.HeldError
+	var throttled *pushback.ThrottledError
 	switch {
-	case errors.As(err, &held):
+	case errors.As(err, &throttled):
 		return balance.ResultNeutral
 	case errors.As(err, &busy):
 		return balance.ResultBusy
--- a/internal/relay/crash_guard.go
+++ b/internal/relay/crash_guard.go
@@ -58,53 +58,53 @@
 	}
 }
 
-// assess returns what is known about a request.
-func (c *crashGuard) assess(q *request) quarantine.Verdict {
-	return c.ledger.Judge(q.digest, time.Now())
+// lookup returns what is known about a request.
+func (c *crashGuard) lookup(q *request) quarantine.Status {
+	return c.ledger.Lookup(q.digest, time.Now())
 }
 
 // refusal returns why a quarantined request is not sent, nil if it may be sent. A request that was
 // sent before is not reported as not run.
 func (c *crashGuard) refusal(q *request) *outcome.Failure {
-	verdict := c.assess(q)
-	if !verdict.Quarantined {
+	status := c.lookup(q)
+	if !status.Quarantined {
 		return nil
 	}
-	if c.ledger.Refused(q.digest, time.Now()) {
+	if c.ledger.RecordRefusal(q.digest, time.Now()) {
 		c.notifier.Publish(q.digest)
 	}
-	q.decisionLog.add("request is quarantined", zap.Stringer("digest", q.digest), zap.Int("ends", verdict.Ends),
-		zap.Strings("replicas", c.ledger.Replicas(q.digest)), zap.Duration("left", verdict.Left))
-	if q.boundary.MayHaveRun() {
+	q.decisionLog.add("request is quarantined", zap.Stringer("digest", q.digest), zap.Int("ends", status.Crashes),
+		zap.Strings("replicas", c.ledger.CrashedReplicas(q.digest)), zap.Duration("left", status.Left))
+	if q.sendGuard.MayHaveRun() {
 		return outcome.Uncertain(outcome.ReasonTargetFailed, "the replicas that ran the request crashed")
 	}
-	return outcome.Refuse(outcome.ReasonQuarantined, "replicas crashed each time that they ran this request").WithRetryAfter(verdict.Left)
+	return outcome.Refuse(outcome.ReasonQuarantined, "replicas crashed each time that they ran this request").WithRetryAfter(status.Left)
 }
 
 // lastEntryRefusal returns why a request that may crash replicas is not sent to one of the last
 // replicas at which paths can begin. A request that was sent before is not reported as not run.
 func (c *crashGuard) lastEntryRefusal(q *request) *outcome.Failure {
-	verdict := c.assess(q)
-	q.decisionLog.add("request kept from the last replicas", zap.Stringer("digest", q.digest), zap.Int("ends", verdict.Ends), zap.Duration("left", verdict.Left))
-	if q.boundary.MayHaveRun() {
+	status := c.lookup(q)
+	q.decisionLog.add("request kept from the last replicas", zap.Stringer("digest", q.digest), zap.Int("ends", status.Crashes), zap.Duration("left", status.Left))
+	if q.sendGuard.MayHaveRun() {
 		return outcome.Uncertain(outcome.ReasonTargetFailed, "the replica that ran the request crashed")
 	}
-	return outcome.Refuse(outcome.ReasonSuspected, "a replica crashed under this request and too few others are left").WithRetryAfter(max(defaultRetryAfter, verdict.Left))
+	return outcome.Refuse(outcome.ReasonSuspected, "a replica crashed under this request and too few others are left").WithRetryAfter(max(defaultRetryAfter, status.Left))
 }
 
-// youngRun returns how long a run must have produced events to clear its request.
-func (c *crashGuard) youngRun() time.Duration { return c.ledger.YoungRun() }
+// crashWindow returns how long a run must have produced events to clear its request.
+func (c *crashGuard) crashWindow() time.Duration { return c.ledger.CrashWindow() }
 
 // runSucceeded records that a replica has run a request without crashing.
 func (c *crashGuard) runSucceeded(q *request) {
-	if c.ledger.RanWell(q.digest, time.Now()) {
+	if c.ledger.RecordSuccess(q.digest, time.Now()) {
 		c.logger.Info("request no longer suspected of crashing replicas", zap.Stringer("digest", q.digest), zap.String("requestId", q.RequestID))
 		c.notifier.Publish(q.digest)
 	}
 }
 
-// recordBrokenRun records that the connection broke during a young run, if the replica has ended.
-// The request waits for the first query of the replica only.
+// recordBrokenRun records that the connection broke within the crash window of a run, if the
+// replica has ended. The request waits for the first query of the replica only.
 func (c *crashGuard) recordBrokenRun(q *request, replica incarnation.Key, ended func(context.Context) endedResult) {
 	switch probeEnded(ended) {
 	case endedYes:
@@ -163,14 +163,14 @@
 	return ended(ctx)
 }
 
-// ended records that a replica ended during a young run.
+// ended records that a replica ended within the crash window of a run.
 func (c *crashGuard) ended(requestID string, d quarantine.Digest, replica incarnation.Key) {
-	if !c.ledger.Ended(d, replica, time.Now()) {
+	if !c.ledger.RecordCrash(d, replica, time.Now()) {
 		return
 	}
-	verdict := c.ledger.Judge(d, time.Now())
+	status := c.ledger.Lookup(d, time.Now())
 	c.logger.Warn("replica ended under a young run", zap.String("requestId", requestID), zap.Stringer("digest", d),
-		zap.Stringer("replica", replica), zap.Int("ends", verdict.Ends), zap.Bool("quarantined", verdict.Quarantined))
+		zap.Stringer("replica", replica), zap.Int("ends", status.Crashes), zap.Bool("quarantined", status.Quarantined))
 	c.notifier.Publish(d)
 }
 
--- a/internal/relay/crash_guard_test.go
+++ b/internal/relay/crash_guard_test.go
@@ -35,7 +35,7 @@
 }
 
 func newTestRequest() *request {
-	return &request{digest: quarantine.Digest{1}, boundary: dispatch.NewBoundary("r", true, invariant.NewRegistry(func(invariant.Violation) {}))}
+	return &request{digest: quarantine.Digest{1}, sendGuard: dispatch.NewSendGuard("r", true, invariant.NewRegistry(func(invariant.Violation) {}))}
 }
 
 func refusedDial() error {
@@ -63,7 +63,7 @@
 				asked++
 				return endedResultOf(c.results[asked-1])
 			})
-			if got := guard.assess(q).Ends == 1; got != c.ended || (len(notifier.digests) == 1) != c.ended {
+			if got := guard.lookup(q).Crashes == 1; got != c.ended || (len(notifier.digests) == 1) != c.ended {
 				t.Errorf("counted: %t, published: %d times", got, len(notifier.digests))
 			}
 			if asked != len(c.results) {
@@ -87,7 +87,7 @@
 	if failure := guard.refusal(fresh); failure == nil || failure.Outcome != outcome.NotRun || failure.Reason != outcome.ReasonQuarantined || failure.RetryAfter <= 0 {
 		t.Errorf("request not sent before: %+v", failure)
 	}
-	sent.boundary.Cross()
+	sent.sendGuard.BeginSend()
 	if failure := guard.refusal(sent); failure == nil || failure.Outcome != outcome.Unknown {
 		t.Errorf("request sent before: %+v", failure)
 	}
@@ -122,7 +122,7 @@
 		guard.incarnations = &restartAfter{nth: c.nth}
 		q := newTestRequest()
 		guard.recordBrokenCall(q, incarnation.Key{ID: "a", Born: 1}, func(context.Context) endedResult { return endedNo })
-		if got := guard.assess(q).Ends == 1; got != c.ended {
+		if got := guard.lookup(q).Crashes == 1; got != c.ended {
 			t.Errorf("%s: counted: %t", name, got)
 		}
 	}
@@ -137,7 +137,7 @@
 	if failure := guard.lastEntryRefusal(fresh); failure.Outcome != outcome.NotRun || failure.RetryAfter <= defaultRetryAfter {
 		t.Errorf("request not sent before: %+v", failure)
 	}
-	sent.boundary.Cross()
+	sent.sendGuard.BeginSend()
 	if failure := guard.lastEntryRefusal(sent); failure.Outcome != outcome.Unknown {
 		t.Errorf("request sent before: %+v", failure)
 	}
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -1,6 +1,6 @@
 // Package relay serves requests whose bytes are forwarded unchanged. The caller receives the
 // replica's own response and proof. Package router, in contrast, serves prompts and assembles the
-// tokens itself. Both use the same gate, admission, choice of targets, dispatch boundary, retry
+// tokens itself. Both use the same gate, admission, choice of targets, send guard, retry
 // budget, connections and outcomes.
 //
 // A request is matched to its profile, admitted, and sent to one replica or, for a model that no
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -46,11 +46,11 @@
 	if err != nil {
 		return nil, &sendError{Address: to.address, Cause: err}
 	}
-	if held := h.Pushback.Closed(to.incarnation, time.Now()); held != nil {
+	if throttled := h.Pushback.CheckSend(to.incarnation, time.Now()); throttled != nil {
 		conn.Close()
-		return nil, &sendError{Address: to.address, Cause: held}
+		return nil, &sendError{Address: to.address, Cause: throttled}
 	}
-	if ctx.Err() != nil || !q.boundary.Cross() {
+	if ctx.Err() != nil || !q.sendGuard.BeginSend() {
 		conn.Close()
 		return nil, &sendError{Address: to.address, Cause: errors.New("request ended before it was sent")}
 	}
@@ -62,7 +62,7 @@
 	if sent, err := conn.Send(out); err != nil {
 		x.close()
 		if !sent {
-			q.boundary.DeclaredNotRun()
+			q.sendGuard.MarkNotRun()
 		}
 		return nil, &sendError{Address: to.address, Sent: sent, Cause: err}
 	}
@@ -71,7 +71,7 @@
 		return nil, &sendError{Address: to.address, Sent: true, Cause: err}
 	}
 	if x.head.NotRun {
-		q.boundary.DeclaredNotRun()
+		q.sendGuard.MarkNotRun()
 	}
 	h.applyPushback(to, x, sentAt)
 	return x, nil
@@ -84,7 +84,7 @@
 		return
 	}
 	from := pushback.Origin{Replica: to.incarnation, DataCentre: to.dataCentre, Sent: sent}
-	h.Pushback.Heard(from, x.head.Pushback, time.Now())
+	h.Pushback.Observe(from, x.head.Pushback, time.Now())
 }
 
 func (h *Handler) connect(ctx context.Context, address string) (*transport.Conn, error) {
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -23,9 +23,9 @@
 	if failure != nil {
 		ended, reason = failure.Outcome, failure.Reason
 	}
-	if q.boundary != nil {
-		q.boundary.Close()
-		truthful := ended != outcome.NotRun || !q.boundary.MayHaveRun()
+	if q.sendGuard != nil {
+		q.sendGuard.Close()
+		truthful := ended != outcome.NotRun || !q.sendGuard.MayHaveRun()
 		h.Invariants.Check(truthful, invariant.NoDispatchAfterEnd, "request %s was sent but is reported as not run", q.RequestID)
 	}
 	took := time.Since(q.arrival)
@@ -46,7 +46,7 @@
 		fields = append(fields, zap.String("profile", q.profile.Name), zap.String("workspace", q.workspace),
 			zap.Duration("objective", q.profile.Objective), zap.Duration("gap", q.profile.Gap))
 	}
-	if q.boundary != nil {
+	if q.sendGuard != nil {
 		fields = append(fields, zap.Stringer("digest", q.digest))
 	}
 	fields = append(fields, q.progress.fields()...)
--- a/internal/relay/generation.go
+++ b/internal/relay/generation.go
@@ -41,8 +41,8 @@
 	q     *request
 	w     http.ResponseWriter
 	table *layers.Table
-	// avoid holds the replicas that the next path must not contain.
-	avoid map[incarnation.Key]bool
+	// excluded holds the replicas that the next path must not contain.
+	excluded map[incarnation.Key]bool
 
 	// events is the number of events that the caller has received, sends the number of times the
 	// request was sent.
@@ -72,7 +72,7 @@
 
 // serveGeneration serves a request along a path of replicas.
 func (h *Handler) serveGeneration(ctx context.Context, w http.ResponseWriter, q *request) {
-	g := &generation{h: h, q: q, w: w, table: h.Pools.of(q.service), avoid: map[incarnation.Key]bool{}, lastEvent: q.LastEventID}
+	g := &generation{h: h, q: q, w: w, table: h.Pools.of(q.service), excluded: map[incarnation.Key]bool{}, lastEvent: q.LastEventID}
 	failure := g.run(ctx)
 	g.close()
 	h.finish(q, failure)
@@ -126,7 +126,7 @@
 		return nil, failureOf(ctx, g.q, err)
 	}
 	reservation, failure := g.admit(ctx)
-	if failure != nil && g.q.boundary.MayHaveRun() {
+	if failure != nil && g.q.sendGuard.MayHaveRun() {
 		failure = outcome.Uncertain(outcome.ReasonTargetFailed, "the replica failed and no other one had room").WithCause(err)
 	}
 	return reservation, failure
@@ -134,7 +134,7 @@
 
 // mayResend reports whether the generation may be sent again.
 func (g *generation) mayResend() bool {
-	mayRepeat := g.q.profile.Repeatable() || !g.q.boundary.MayHaveRun()
+	mayRepeat := g.q.profile.Repeatable() || !g.q.sendGuard.MayHaveRun()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	resumable := g.events.Load() == 0 || g.q.profile.Resumable && g.lastEvent != ""
@@ -163,32 +163,32 @@
 
 // prepareResend reserves a path for another send while the current send continues, and reports
 // whether the current one may be ended. Without a reservation, a stream that its replica might
-// still continue would be cut off. The path excludes the given replicas and those that are fuller
-// than maxFull, 0 for no limit; see layers.Need.
-func (g *generation) prepareResend(without []incarnation.Key, maxFull float64) bool {
-	verdict := g.h.crashes.assess(g.q)
-	if !g.mayResend() || verdict.Quarantined {
+// still continue would be cut off. The path contains none of the excluded replicas and none that is
+// fuller than maxUsage, 0 for no limit; see layers.Query.
+func (g *generation) prepareResend(exclude []incarnation.Key, maxUsage float64) bool {
+	status := g.h.crashes.lookup(g.q)
+	if !g.mayResend() || status.Quarantined {
 		return false
 	}
-	need := g.need()
-	need.MaxFull = maxFull
-	need.Avoid = map[incarnation.Key]bool{}
-	for _, k := range without {
-		need.Avoid[k] = true
+	query := g.query()
+	query.MaxUsage = maxUsage
+	query.Exclude = map[incarnation.Key]bool{}
+	for _, k := range exclude {
+		query.Exclude[k] = true
 	}
-	need.SpareEntries = verdict.Spare
-	reservation, err := g.table.Reserve(need)
+	query.SpareEntries = status.SpareReplicas
+	reservation, err := g.table.Reserve(query)
 	if err != nil {
 		return false
 	}
 	if !g.takeRetry() {
-		reservation.Done(false)
+		reservation.Release(false)
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed || g.prepared != nil {
-		reservation.Done(false)
+		reservation.Release(false)
 		return false
 	}
 	g.prepared = reservation
@@ -209,11 +209,11 @@
 	g.closed = true
 	g.mu.Unlock()
 	if reservation := g.takePrepared(); reservation != nil {
-		reservation.Done(false)
+		reservation.Release(false)
 	}
 }
 
-func (g *generation) need() layers.Need {
+func (g *generation) query() layers.Query {
 	q := g.q
 	prompt, answer := q.PromptTokens, q.LikelyAnswerTokens
 	if prompt <= 0 {
@@ -226,25 +226,25 @@
 	if q.MaxAnswerTokens > 0 {
 		answer = min(answer, q.MaxAnswerTokens)
 	}
-	// The reservation keeps the need, and the stall watch reads it while this send may already be
-	// adding a replica to avoid. On a shared map that ends the process.
-	return layers.Need{Prompt: prompt, Answer: answer, DataCentre: g.h.DataCentre, Avoid: maps.Clone(g.avoid)}
+	// The reservation keeps the query, and the stall watch reads it while this send may already be
+	// excluding another replica. On a shared map that ends the process.
+	return layers.Query{Prompt: prompt, Answer: answer, DataCentre: g.h.DataCentre, Exclude: maps.Clone(g.excluded)}
 }
 
 // admit waits for a path with capacity.
 func (g *generation) admit(ctx context.Context) (*layers.Reservation, *outcome.Failure) {
 	var reservation *layers.Reservation
 	var pathErr error
-	need := g.need()
+	query := g.query()
 	var quarantined *outcome.Failure
-	failure := g.h.admit(ctx, g.q, need.Prompt+need.Answer, g.headSent, func() bool {
+	failure := g.h.admit(ctx, g.q, query.Prompt+query.Answer, g.headSent, func() bool {
 		if quarantined = g.h.crashes.refusal(g.q); quarantined != nil {
 			return true
 		}
-		need.SpareEntries = g.h.crashes.assess(g.q).Spare // a crash may have been recorded during the wait
-		r, err := g.table.Reserve(need)
+		query.SpareEntries = g.h.crashes.lookup(g.q).SpareReplicas // a crash may have been recorded during the wait
+		r, err := g.table.Reserve(query)
 		pathErr = nil
-		if errors.Is(err, layers.ErrNoPath) || errors.Is(err, layers.ErrLastEntries) || !g.headSent && g.h.heldTooLong(g.q, err) != nil {
+		if errors.Is(err, layers.ErrNoPath) || errors.Is(err, layers.ErrNoSpareEntry) || !g.headSent && g.h.throttledTooLong(g.q, err) != nil {
 			pathErr = err
 			return true
 		}
@@ -252,20 +252,20 @@
 		return err == nil
 	})
 	if failure != nil {
-		g.q.decisionLog.add("no path with capacity", zap.String("why", g.table.Bottleneck(need)))
+		g.q.decisionLog.add("no path with capacity", zap.String("why", g.table.Bottleneck(query)))
 		return nil, failure
 	}
 	if quarantined != nil {
 		return nil, quarantined
 	}
-	if errors.Is(pathErr, layers.ErrLastEntries) {
+	if errors.Is(pathErr, layers.ErrNoSpareEntry) {
 		return nil, g.h.crashes.lastEntryRefusal(g.q).WithCause(pathErr)
 	}
-	if held := g.h.heldTooLong(g.q, pathErr); held != nil {
-		return nil, refuseHeld(held)
+	if throttled := g.h.throttledTooLong(g.q, pathErr); throttled != nil {
+		return nil, refuseThrottled(throttled)
 	}
-	if pathErr != nil && len(g.avoid) > 0 {
-		g.avoid = map[incarnation.Key]bool{}
+	if pathErr != nil && len(g.excluded) > 0 {
+		g.excluded = map[incarnation.Key]bool{}
 		return g.admit(ctx)
 	}
 	if pathErr != nil {
--- a/internal/relay/generation_age.go
+++ b/internal/relay/generation_age.go
@@ -8,7 +8,7 @@
 	if g.firstEventAt.IsZero() {
 		g.firstEventAt = now
 	}
-	if now.Sub(g.firstEventAt) >= g.h.crashes.youngRun() {
+	if now.Sub(g.firstEventAt) >= g.h.crashes.crashWindow() {
 		g.runSucceeded()
 	}
 }
@@ -21,8 +21,8 @@
 	}
 }
 
-// isYoung reports whether the current run is so short that the request may have crashed the
+// inCrashWindow reports whether the current run is so short that the request may have crashed the
 // replica, if the replica has ended.
-func (g *generation) isYoung() bool {
-	return g.firstEventAt.IsZero() || time.Since(g.firstEventAt) < g.h.crashes.youngRun()
+func (g *generation) inCrashWindow() bool {
+	return g.firstEventAt.IsZero() || time.Since(g.firstEventAt) < g.h.crashes.crashWindow()
 }
--- a/internal/relay/generation_send.go
+++ b/internal/relay/generation_send.go
@@ -19,7 +19,7 @@
 	started := time.Now()
 	g.responseAt, g.firstEventAt = time.Time{}, time.Time{}
 	defer func() {
-		reservation.Done(err == nil)
+		reservation.Release(err == nil)
 		g.h.Admission.Finished(g.q.service, time.Since(started))
 		g.h.Admission.Wake(g.q.service)
 	}()
@@ -56,41 +56,41 @@
 	return nil
 }
 
-// handleSendError marks the replica at fault to be avoided, which is the first one unless the
-// stream stalled at another. It marks none if the caller has left or the deadline has passed. It
-// returns the error that ended the send.
+// handleSendError excludes the replica at fault from the next path: the first one, unless the
+// stream stalled at another. It excludes none if the caller has left, the deadline has passed or
+// the replica is throttled. It returns the error that ended the send.
 func (g *generation) handleSendError(ctx context.Context, first layers.Replica, err error) error {
 	cause := context.Cause(ctx)
 	var stalled *stallError
-	var held *pushback.HeldError
+	var throttled *pushback.ThrottledError
 	switch {
-	case errors.As(err, &held):
+	case errors.As(err, &throttled):
 		return err // another path, or this one later; the replica is healthy
 	case errors.As(cause, &stalled):
-		g.avoid[stalled.Replica.Key()] = true
+		g.excluded[stalled.Replica.Key()] = true
 		g.q.progress.replicaLeft(stalled.Replica.Address, stalled.Why)
 		return cause
 	case ctx.Err() != nil:
 		return err
 	}
-	g.avoid[first.Key()] = true
+	g.excluded[first.Key()] = true
 	g.table.Suspect(first)
 	g.q.progress.replicaLeft(first.Address, "its connection broke")
-	if mayHaveArrived(err) && g.isYoung() {
+	if mayHaveArrived(err) && g.inCrashWindow() {
 		g.h.crashes.recordBrokenRun(g.q, first.Key(), g.h.engineEnded(first.Address, first.Key()))
 	}
 	return err
 }
 
-// handleRejection marks the replica at fault to be avoided after the first replica declared that it
-// did not run the request.
+// handleRejection excludes the replica at fault from the next path after the first replica declared
+// that it did not run the request.
 func (g *generation) handleRejection(x *exchange, path layers.Path) error {
 	fault := path.First()
 	if x.head.FaultAddress != "" {
 		fault = g.replicaAt(path, x.head.FaultAddress)
 	}
-	g.avoid[fault.Key()] = true
-	g.table.TurnedAway(fault)
+	g.excluded[fault.Key()] = true
+	g.table.RecordRefusal(fault)
 	g.q.progress.replicaLeft(fault.Address, "it turned the request away")
 	return &notRunError{Address: path.First().Address, Status: x.resp.StatusCode, Fault: fault.Address}
 }
@@ -98,10 +98,10 @@
 // replicaAt returns the replica at an address on the path, or else the one that is listed at the
 // address now: a report may still refer to the previous path.
 func (g *generation) replicaAt(path layers.Path, address string) layers.Replica {
-	if r, ok := path.At(address); ok {
+	if r, ok := path.ReplicaAt(address); ok {
 		return r
 	}
-	if r, ok := g.table.At(address); ok {
+	if r, ok := g.table.ReplicaAt(address); ok {
 		return r
 	}
 	return layers.Replica{Address: address}
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -165,9 +165,9 @@
 	}
 	q.digest = q.contentDigest()
 	q.deadline = q.arrival.Add(h.timeout(q) - responseMargin)
-	q.boundary = dispatch.NewBoundary(q.RequestID, q.profile.Repeatable(), h.Invariants)
+	q.sendGuard = dispatch.NewSendGuard(q.RequestID, q.profile.Repeatable(), h.Invariants)
 	q.service = q.profile.service(q.hash())
-	h.RetryBudgets.of(q.service).Fresh()
+	h.RetryBudgets.of(q.service).Credit()
 	return h.crashes.refusal(q)
 }
 
--- a/internal/relay/pools.go
+++ b/internal/relay/pools.go
@@ -9,10 +9,10 @@
 
 // Pools holds the table of replicas of each model's service. It is safe for concurrent use.
 type Pools struct {
-	mu      sync.RWMutex // guards the fields below
-	tables  map[string]*layers.Table
-	sharers layers.Sharers
-	gate    layers.Gate
+	mu       sync.RWMutex // guards the fields below
+	tables   map[string]*layers.Table
+	vmCounts layers.VMCounts
+	gate     layers.Gate
 }
 
 // NewPools returns an empty set of pools.
@@ -31,7 +31,7 @@
 	table := p.tables[service]
 	if table == nil {
 		table = layers.NewTable()
-		table.SetSharers(p.sharers)
+		table.SetVMCounts(p.vmCounts)
 		if p.gate != nil {
 			table.SetGate(p.gate)
 		}
@@ -42,12 +42,12 @@
 }
 
 // SetSharers sets how many VMs share the replicas.
-func (p *Pools) SetSharers(s layers.Sharers) {
+func (p *Pools) SetSharers(s layers.VMCounts) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sharers = s
+	p.vmCounts = s
 	for _, table := range p.tables {
-		table.SetSharers(s)
+		table.SetVMCounts(s)
 	}
 }
 
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -31,7 +31,7 @@
 	service   string
 	// digest identifies the content. It is set once the body has been read.
 	digest      quarantine.Digest
-	boundary    *dispatch.Boundary
+	sendGuard   *dispatch.SendGuard
 	decisionLog decisionLog
 	// progress is that of a generation, for the log.
 	progress progress
--- a/internal/relay/stall_check.go
+++ b/internal/relay/stall_check.go
@@ -101,7 +101,7 @@
 		w.resendElsewhere(c, first, "it has started again")
 		return recheckInterval
 	}
-	w.g.table.Pace(first, report.Pace)
+	w.g.table.SetPace(first, report.Pace)
 	for _, s := range report.Stalled {
 		if s.RequestID == w.g.q.RequestID {
 			return w.moveStream(c, []string{s.Address})
--- a/internal/relay/stall_move.go
+++ b/internal/relay/stall_move.go
@@ -61,13 +61,13 @@
 	w.mu.Lock()
 	remaining := gap - time.Since(w.lastEvent)
 	w.mu.Unlock()
-	crowd, ok := w.reservation.Crowd(stopped, int(w.g.events.Load()), max(remaining, gap/minReadDivisor))
-	if !ok || rand.Float64() < crowd.InTime {
+	capacity, ok := w.reservation.DetourCapacity(stopped, int(w.g.events.Load()), max(remaining, gap/minReadDivisor))
+	if !ok || rand.Float64() < capacity.MovableFraction {
 		return nil
 	}
 	w.g.h.Logger.Info("stream leaves the holders nearby to others", zap.String("requestId", w.g.q.RequestID),
-		zap.Float64("inTime", crowd.InTime), zap.Stringers("holders", crowd.Holders))
-	return crowd.Holders
+		zap.Float64("inTime", capacity.MovableFraction), zap.Stringers("holders", capacity.Holders))
+	return capacity.Holders
 }
 
 // reroute moves the stream without sending it again, and reports whether it did. An order that is
@@ -110,11 +110,11 @@
 	return w.resendAvoiding(c, stopped, why, nil, 0)
 }
 
-// resendAvoiding is resendElsewhere along a path that excludes the given replicas and those that
-// are fuller than maxFull, 0 for no limit.
-func (w *stallWatch) resendAvoiding(c stallCheck, stopped layers.Replica, why string, without []incarnation.Key, maxFull float64) bool {
+// resendAvoiding is resendElsewhere along a path that contains none of the excluded replicas and
+// none that is fuller than maxUsage, 0 for no limit.
+func (w *stallWatch) resendAvoiding(c stallCheck, stopped layers.Replica, why string, exclude []incarnation.Key, maxUsage float64) bool {
 	w.g.table.Suspect(stopped)
-	if !w.stillStalled(c) || !w.g.prepareResend(append(without, stopped.Key()), maxFull) {
+	if !w.stillStalled(c) || !w.g.prepareResend(append(exclude, stopped.Key()), maxUsage) {
 		return false
 	}
 	w.g.h.Logger.Info("stream sent elsewhere", zap.String("requestId", w.g.q.RequestID), zap.String("from", stopped.Address), zap.String("why", why))
