--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -50,6 +50,7 @@
 	body   []byte
 }
 
+// runCall sends a call until an attempt brings a response or no further attempt is allowed.
 func (h *Handler) runCall(ctx context.Context, q *request) (*callResult, *outcome.Failure) {
 	slot, failure := h.admitCall(ctx, q)
 	if failure != nil {
@@ -101,6 +102,7 @@
 	return outcome.Uncertain(outcome.ReasonTargetFailed, "the replica failed; the request may have run").WithCause(err)
 }
 
+// admitCall waits for a slot of a replica for the first attempt.
 func (h *Handler) admitCall(ctx context.Context, q *request) (*balance.Slot, *outcome.Failure) {
 	var slot *balance.Slot
 	var pickErr error
@@ -162,10 +164,12 @@
 // a stream that has not begun after four objectives; after three, the response could only be late.
 const queueWaitFactor = 2.5
 
+// queueWait returns how long a request may wait in the queue.
 func (h *Handler) queueWait(q *request) time.Duration {
 	return time.Duration(queueWaitFactor * float64(q.profile.Objective))
 }
 
+// query returns the balancer query for a request, without the excluded targets.
 func (h *Handler) query(q *request, exclude []string) balance.Query {
 	return balance.Query{Pool: q.service, Urgency: q.urgency(), Exclude: exclude, DataCentre: h.DataCentre}
 }
@@ -214,6 +218,7 @@
 	return result, err
 }
 
+// roundTrip sends the call to a replica and reads the complete response.
 func (h *Handler) roundTrip(ctx context.Context, q *request, to target) (*callResult, error) {
 	x, err := h.open(ctx, q, to, "")
 	if err != nil {
@@ -233,6 +238,7 @@
 	return &callResult{status: x.resp.StatusCode, header: x.resp.Header, body: body}, nil
 }
 
+// recordLoad passes a replica's load on to the balancer, if the response states it.
 func (h *Handler) recordLoad(replica string, r Response) {
 	if r.HasLoad {
 		h.Balancer.Report(replica, engine.LoadReport{At: time.Now(), Active: r.Running, Queued: r.Waiting, Slots: r.Slots})
--- a/internal/relay/decision_log.go
+++ b/internal/relay/decision_log.go
@@ -19,12 +19,14 @@
 	omitted   int
 }
 
+// decision is one log line that is written if the request fails.
 type decision struct {
 	at     time.Time
 	event  string
 	fields []zapcore.Field
 }
 
+// add records a decision, or counts it if there are maxDecisions already.
 func (l *decisionLog) add(event string, fields ...zapcore.Field) {
 	if len(l.decisions) == maxDecisions {
 		l.omitted++
@@ -33,6 +35,7 @@
 	l.decisions = append(l.decisions, decision{at: time.Now(), event: event, fields: fields})
 }
 
+// write logs all decisions at level warn.
 func (l *decisionLog) write(logger *zap.Logger) {
 	for _, d := range l.decisions {
 		fields := append([]zapcore.Field{zap.String("requestId", l.id), zap.Time("at", d.at)}, d.fields...)
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -87,12 +87,14 @@
 	h.Pushback.Observe(from, x.head.Pushback, time.Now())
 }
 
+// connect opens a new connection to a replica.
 func (h *Handler) connect(ctx context.Context, address string) (*transport.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	return h.Pool.Connect(ctx, address, time.Hour)
 }
 
+// outgoingRequest returns the request as it is sent to a replica.
 func (h *Handler) outgoingRequest(q *request, to target, lastEvent string) *http.Request {
 	header := withoutHopHeaders(q.header)
 	if _, given := header["User-Agent"]; !given {
@@ -135,6 +137,7 @@
 // body reads the whole body.
 func (x *exchange) body() ([]byte, error) { return io.ReadAll(x.resp.Body) }
 
+// close releases the connection, whose remaining bytes are not read.
 func (x *exchange) close() {
 	x.stop()
 	x.conn.Close()
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -37,6 +37,7 @@
 	h.log(q, failure, took)
 }
 
+// log writes the request's log line and, if it failed, the decisions on it.
 func (h *Handler) log(q *request, failure *outcome.Failure, took time.Duration) {
 	fields := []zap.Field{zap.String("requestId", q.RequestID), zap.Duration("took", took), zap.Int("runs", q.runs)}
 	if q.config != nil {
--- a/internal/relay/generation.go
+++ b/internal/relay/generation.go
@@ -87,6 +87,7 @@
 	}
 }
 
+// run sends the generation until its stream has ended or no further send is allowed.
 func (g *generation) run(ctx context.Context) *outcome.Failure {
 	reservation, failure := g.admit(ctx)
 	if failure != nil {
@@ -195,6 +196,7 @@
 	return true
 }
 
+// takePrepared returns the path that was prepared for the next send, nil if there is none.
 func (g *generation) takePrepared() *layers.Reservation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -213,6 +215,7 @@
 	}
 }
 
+// query returns the query for a path, with default sizes where the caller states none.
 func (g *generation) query() layers.Query {
 	q := g.q
 	prompt, answer := q.PromptTokens, q.LikelyAnswerTokens
--- a/internal/relay/generation_send.go
+++ b/internal/relay/generation_send.go
@@ -161,6 +161,7 @@
 	return nil
 }
 
+// startResponse copies the headers of the replica's response to the caller's.
 func (g *generation) startResponse(x *exchange) {
 	g.headSent = true
 	header := g.w.Header()
@@ -170,6 +171,7 @@
 	header.Del("Content-Length")
 }
 
+// writeEvent sends an event to the caller and records its id.
 func (g *generation) writeEvent(control *http.ResponseController, e event) error {
 	if _, err := g.w.Write(e.Raw); err != nil {
 		return err
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -201,6 +201,7 @@
 	return outcome.Refuse(reason, detail)
 }
 
+// timeout returns the profile's timeout or else the default, but no more than the caller's.
 func (h *Handler) timeout(q *request) time.Duration {
 	timeout := q.profile.Timeout
 	if timeout <= 0 {
@@ -248,6 +249,7 @@
 	return nil
 }
 
+// headerBytes returns the approximate size of the request's head.
 func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
--- a/internal/relay/progress.go
+++ b/internal/relay/progress.go
@@ -75,6 +75,7 @@
 	p.fault, p.evidence = address, evidence
 }
 
+// fields returns the log fields of a generation, nil if it was never sent.
 func (p *progress) fields() []zap.Field {
 	if p.path == "" {
 		return nil
--- a/internal/relay/replica_gate.go
+++ b/internal/relay/replica_gate.go
@@ -60,6 +60,7 @@
 	g.timer.Reset(at.Sub(now))
 }
 
+// fire disarms the timer and calls wake.
 func (g *ReplicaGate) fire() {
 	g.mu.Lock()
 	g.due = time.Time{}
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -39,6 +39,7 @@
 	runs int
 }
 
+// hash returns a hash of the request's id, by which its backend is chosen.
 func (q *request) hash() uint64 { return xxhash.Sum64String(q.RequestID) }
 
 // contentDigest returns the digest of what the request asks for. The body must have been read.
--- a/internal/relay/retry_budgets.go
+++ b/internal/relay/retry_budgets.go
@@ -53,6 +53,7 @@
 // slack returns this VM's share of the slack. b.mu must be held.
 func (b *RetryBudgets) slack() float64 { return budgetFraction * b.settings.Slack / float64(b.vms) }
 
+// of returns the retry budget of a service.
 func (b *RetryBudgets) of(service string) *dispatch.WindowBudget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/relay/stall_watch.go
+++ b/internal/relay/stall_watch.go
@@ -58,6 +58,7 @@
 	stagesOf *layers.Stage
 }
 
+// newStallWatch starts watching a send. The watch ends the send by cancelling it with a *stallError.
 func newStallWatch(ctx context.Context, g *generation, r *layers.Reservation, cancel context.CancelCauseFunc) *stallWatch {
 	now := time.Now()
 	w := &stallWatch{g: g, ctx: ctx, cancel: cancel, reservation: r, lastEvent: now, due: now.Add(firstEventTimeout), gaps: g.gaps, movesAtLastEvent: g.q.progress.moves.Load()}
@@ -95,6 +96,7 @@
 	w.timer.Reset(delay)
 }
 
+// stop ends the watch.
 func (w *stallWatch) stop() {
 	w.mu.Lock()
 	w.stopped = true
@@ -114,6 +116,7 @@
 	return stall.Stream{LastEvent: w.lastEvent, MeanGap: w.gaps.Mean(), Stages: w.stages}
 }
 
+// stagesOf returns the stages of a path.
 func stagesOf(path layers.Path) []stall.Stage {
 	stages := make([]stall.Stage, 0, len(path))
 	for i, stage := range path {
@@ -122,6 +125,7 @@
 	return stages
 }
 
+// passesAny reports whether the stream's path contains a stage at one of the addresses.
 func (w *stallWatch) passesAny(addresses []string) bool {
 	path := w.reservation.Path()
 	return slices.ContainsFunc(addresses, func(address string) bool {
--- a/internal/relay/stall_watches.go
+++ b/internal/relay/stall_watches.go
@@ -59,6 +59,7 @@
 	}
 }
 
+// addressesOf returns the addresses of stages.
 func addressesOf(stages []stall.Stage) []string {
 	addresses := make([]string, 0, len(stages))
 	for _, stage := range stages {
--- a/internal/stall/stopped_test.go
+++ b/internal/stall/stopped_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Guards against reporting healthy stages as stopped when the network to them, or this VM, is at fault.
+// Guards against reporting healthy stages as stopped when the network to them, or this VM, is at
+// fault.
 func TestTimeoutCountsOnlyIfOtherStagesRespond(t *testing.T) {
 	at := func(address, dataCentre string, result ProbeResult) ProbedStage {
 		return ProbedStage{Stage: Stage{Address: address, DataCentre: dataCentre}, ProbeResult: result}
