--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -52,7 +52,7 @@
 	p.pools = relay.NewPools()
 	p.pools.SetGate(gate)
 	p.budgets = relay.NewRetryBudgets(relay.RetryBudgetSettings{Share: s.Relay.RetryShare, Slack: s.Relay.RetrySlack, Window: s.Relay.RetryWindow})
-	p.pools.SetSharers(layers.VMCounts{DataCentre: s.VM.DataCentre, Fleet: usualVMs, Local: usualVMs / usualDataCentres})
+	p.pools.SetVMCounts(layers.VMCounts{DataCentre: s.VM.DataCentre, Fleet: usualVMs, Local: usualVMs / usualDataCentres})
 	p.view = &view{
 		adapter: p.Adapter, pools: p.pools, balancer: p.balancer, invariants: p.invariants, logger: p.Logger,
 		listing: newListing(p.Adapter.DecodeReplica, p.Logger, p.onRestart),
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -49,7 +49,7 @@
 
 func (p *Process) onVMs(vms []census.VM) {
 	p.table.SetVMs(len(vms))
-	p.pools.SetSharers(p.sharers(vms))
+	p.pools.SetVMCounts(p.sharers(vms))
 	p.budgets.SetVMs(len(vms))
 	p.pushback.SetFleet(p.fleet(vms), time.Now())
 	p.peers.SetPeers(p.peersAmong(vms))
--- a/internal/relay/pools.go
+++ b/internal/relay/pools.go
@@ -41,8 +41,8 @@
 	table.Update(spec, replicas)
 }
 
-// SetSharers sets how many VMs share the replicas.
-func (p *Pools) SetSharers(s layers.VMCounts) {
+// SetVMCounts sets how many VMs share the replicas.
+func (p *Pools) SetVMCounts(s layers.VMCounts) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vmCounts = s
