--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// BenchmarkRequestThatIsNotSuspected is what the quarantine costs each request.
-func BenchmarkRequestThatIsNotSuspected(b *testing.B) {
+// BenchmarkUnsuspectedRequest measures the cost of the quarantine for a request without crashes.
+func BenchmarkUnsuspectedRequest(b *testing.B) {
 	l := NewLedger(DefaultSettings, time.Now())
 	c := Content{Method: "POST", Host: "a.example", URI: "/draft/1", Workspace: "crew", Body: make([]byte, 4096)}
 	for i := range b.N {
--- a/internal/quarantine/counts.go
+++ b/internal/quarantine/counts.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Counts are a ledger's figures for metrics.
+// Counts holds the number of requests that a Ledger suspects and quarantines, for metrics.
 type Counts struct {
-	// Suspected requests have fewer ends than Settings.CrashThreshold.
-	Suspected   int
+	// Suspected is the number of requests with at least one crash that are not quarantined.
+	Suspected int
+	// Quarantined is the number of requests that are refused.
 	Quarantined int
 }
 
@@ -15,10 +16,10 @@
 	defer l.mu.Unlock()
 	var c Counts
 	for _, r := range l.records {
-		switch v := l.verdict(r, now); {
-		case v.Quarantined:
+		switch st := l.status(r, now); {
+		case st.Quarantined:
 			c.Quarantined++
-		case v.Crashes > 0:
+		case st.Crashes > 0:
 			c.Suspected++
 		}
 	}
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -9,29 +9,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// DigestSize is the length of a digest.
+// DigestSize is the size of a Digest in bytes.
 const DigestSize = 16
 
-// Digest identifies what a request asks for, whatever its id: method, host, path and query,
-// workspace and body. It is a truncated SHA-256, so that nobody can construct a request with the
-// digest of another; the workspace is part of it, so that callers can't affect each other.
+// Digest identifies the content of a request, independent of its request ID: method, host, path and
+// query, workspace and body. It is a truncated SHA-256 sum, so that a caller cannot construct a
+// request with the digest of another one. The workspace is included, so that one workspace cannot
+// have the requests of another one quarantined.
 type Digest [DigestSize]byte
 
-// Content is what a digest is made of.
+// Content is the part of a request that its Digest covers.
 type Content struct {
 	Method, Host, URI string
-	// Workspace is the owner of the caller's key, "" on profiles that need none.
+	// Workspace owns the API key of the caller. It is empty on profiles that need no key.
 	Workspace string
 	Body      []byte
 }
 
-// DigestOf returns the digest of a request's content.
+// DigestOf returns the digest of c. Each string is hashed with its length, so that moving a byte from
+// one field to the next changes the digest.
 func DigestOf(c Content) Digest {
 	hash := sha256.New()
 	for _, part := range []string{c.Method, c.Host, c.URI, c.Workspace} {
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
-		_, _ = hash.Write(length[:]) // a hash never fails to write
+		_, _ = hash.Write(length[:]) // hash.Hash.Write never returns an error
 		_, _ = io.WriteString(hash, part)
 	}
 	_, _ = hash.Write(c.Body)
@@ -40,18 +42,18 @@
 	return d
 }
 
-// ParseDigest reads what String wrote.
+// ParseDigest parses the hexadecimal form that Digest.String returns.
 func ParseDigest(text string) (Digest, error) {
 	var d Digest
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != DigestSize {
-		return d, errors.Newf("%q is not a digest of %d hexadecimal digits", text, 2*DigestSize)
+		return d, errors.Newf("invalid digest %q: want %d hexadecimal digits", text, 2*DigestSize)
 	}
 	copy(d[:], raw)
 	return d, nil
 }
 
-// String returns the digest in hexadecimal digits.
+// String returns the digest as hexadecimal digits.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
--- a/internal/quarantine/digest_test.go
+++ b/internal/quarantine/digest_test.go
@@ -2,10 +2,12 @@
 
 import "testing"
 
-func TestDigestTellsRequestsApart(t *testing.T) {
+// Guards against requests with different content that share a digest: a quarantine would then refuse
+// requests that crash nothing.
+func TestDigestDependsOnEveryField(t *testing.T) {
 	base := Content{Method: "POST", Host: "a.example", URI: "/draft/1", Workspace: "crew", Body: []byte("prompt")}
 	if again := base; DigestOf(again) != DigestOf(base) {
-		t.Error("the same content has two digests")
+		t.Error("equal contents have different digests")
 	}
 	for name, change := range map[string]func(*Content){
 		"method":    func(c *Content) { c.Method = "PUT" },
@@ -18,19 +20,19 @@
 		other := base
 		change(&other)
 		if DigestOf(other) == DigestOf(base) {
-			t.Errorf("a change of the %s keeps the digest", name)
+			t.Errorf("changing the %s did not change the digest", name)
 		}
 	}
 }
 
-func TestDigestIsReadBack(t *testing.T) {
+func TestParseDigestReversesString(t *testing.T) {
 	d := DigestOf(Content{Body: []byte("x")})
 	if got, err := ParseDigest(d.String()); err != nil || got != d {
 		t.Errorf("%v, %v", got, err)
 	}
 	for _, text := range []string{"", "zz", d.String()[2:], d.String() + "00"} {
 		if _, err := ParseDigest(text); err == nil {
-			t.Errorf("%q was read", text)
+			t.Errorf("ParseDigest(%q) returned no error", text)
 		}
 	}
 }
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,16 +1,18 @@
-// Package quarantine recognizes requests that crash the replicas that run them, also known as
-// queries of death, and keeps them from being sent again.
+// Package quarantine detects requests that crash the replicas that run them, also known as queries
+// of death, and keeps them from being sent again.
 //
-// A Ledger keeps, by Digest, the replicas that ended under a request while its run there was
-// young. A request under which Settings.CrashThreshold different replicas have ended is quarantined: it
-// is refused until nobody has asked for it for Settings.QuarantineTTL, or an operator lifts it. Most
-// requests that a replica takes with it are innocent. What tells them apart:
+// A Ledger records, by Digest, the replicas that crashed while an early run of the request was on
+// them (see Settings.CrashWindow). A request with crashes of Settings.CrashThreshold different
+// replicas is quarantined: it is refused until no caller has sent it for Settings.QuarantineTTL, or
+// until an operator lifts the quarantine. Most requests that are on a replica when it crashes did
+// not cause the crash. Two rules tell them apart from those that did:
 //
-//   - A run that has brought events for Settings.CrashWindow, or a whole answer, shows that the
-//     request does not crash what runs it: all that was held against it is forgiven.
-//   - An end counts once for each incarnation of a replica, whoever sees it and however often.
+//   - A run that has produced events for Settings.CrashWindow, or a complete response, shows that
+//     the request does not crash replicas: all of its recorded crashes are cleared.
+//   - A crash counts once per incarnation of a replica, however many VMs report it and however often.
 //
-// VMs exchange what they know as Reports, which merge in any order and any number of times: ends
-// are only added, and forgiven. Their times count from an epoch of which the age is sent, as VMs'
-// clocks differ. The package has no network and no clock of its own.
+// VMs exchange their records as Reports, which can be merged in any order and any number of times:
+// crashes are only added and marked as cleared. Times in a Report are relative to an epoch whose age
+// is sent along, because the clocks of VMs differ. The package does no network I/O and does not read
+// the clock: callers pass the time.
 package quarantine
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -7,32 +7,33 @@
 	"time"
 )
 
-// Entry is what is known of one request, for the dump.
+// Entry is the state of one suspected or quarantined request in a dump.
 type Entry struct {
 	Digest          Digest   `json:"digest"`
 	Quarantined     bool     `json:"quarantined"`
 	Crashes         int      `json:"ends"`
 	CrashedReplicas []string `json:"replicas"`
-	// Seen is the time since the request was last asked for while it was quarantined, or since
-	// its last end.
+	// Seen is the time since a caller last sent the request while it was quarantined, or since its
+	// last crash if that is later.
 	Seen string `json:"seen"`
-	// Left is for how long the request is refused if nobody asks for it again, "" if it is not.
+	// Left is the remaining time of the quarantine if no caller sends the request again. It is empty
+	// for requests that are not quarantined.
 	Left string `json:"left,omitempty"`
 }
 
-// Dump returns the requests against which anything is held, those that are quarantined first.
+// Dump returns the requests with crashes that still count, those with the most crashes first.
 func (l *Ledger) Dump(now time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	entries := []Entry{}
 	for d, r := range l.records {
-		v := l.verdict(r, now)
-		if v.Crashes == 0 {
+		st := l.status(r, now)
+		if st.Crashes == 0 {
 			continue
 		}
-		e := Entry{Digest: d, Quarantined: v.Quarantined, Crashes: v.Crashes, CrashedReplicas: r.replicas(), Seen: now.Sub(r.seen).String()}
-		if v.Quarantined {
-			e.Left = v.Left.String()
+		e := Entry{Digest: d, Quarantined: st.Quarantined, Crashes: st.Crashes, CrashedReplicas: r.replicas(), Seen: now.Sub(r.lastSeen).String()}
+		if st.Quarantined {
+			e.Left = st.Left.String()
 		}
 		entries = append(entries, e)
 	}
--- a/internal/quarantine/event_heap_test.go
+++ b/internal/quarantine/event_heap_test.go
@@ -4,13 +4,15 @@
 	"time"
 )
 
+// event is a function that the simulation calls at a point in virtual time.
 type event struct {
 	at time.Time
-	// number orders events of the same moment.
+	// number orders events at the same time.
 	number int
 	do     func()
 }
 
+// eventHeap orders events by time, for container/heap.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -13,79 +13,83 @@
 )
 
 const (
-	// seenShare is the part of Settings.QuarantineTTL after which a quarantined request that is still
-	// asked for is told to other VMs again.
-	seenShare = 8
-	// lateMargin keeps a request that this VM has just dropped from being taken over from a VM
-	// that is about to drop it.
-	lateMargin = time.Minute
+	// refreshDivisor divides Settings.QuarantineTTL into the interval at which other VMs are informed
+	// that callers still send a quarantined request.
+	refreshDivisor = 8
+	// expiryMargin is how long before its expiry the record of another VM is no longer added. Without
+	// it, a record that has just expired here would be added again from a VM on which it is about to
+	// expire.
+	expiryMargin = time.Minute
 )
 
-// Ledger is what this VM knows of requests that may crash replicas. It is safe for concurrent use.
+// Ledger records the requests that may crash replicas, as far as this VM knows them. It is safe for
+// concurrent use.
 type Ledger struct {
 	settings Settings
 
 	mu      sync.Mutex // guards the fields below
 	records map[Digest]*record
-	// well says when a run of a request last went well here.
-	well *lru.Cache[Digest, time.Time]
-	// revision grows with each change. It starts at the time of day, so that a VM's next process
-	// goes on above it.
+	// successes holds the time of the last successful run of a request on this VM.
+	successes *lru.Cache[Digest, time.Time]
+	// revision increases with each change. It starts at the wall clock time in microseconds, so that
+	// the revisions of the next process of this VM are higher.
 	revision uint64
 }
 
-// NewLedger returns an empty ledger of a VM that starts now.
+// NewLedger returns an empty ledger for a VM that starts at now.
 func NewLedger(s Settings, now time.Time) *Ledger {
 	l := &Ledger{settings: s, records: map[Digest]*record{}, revision: uint64(now.UnixMicro())}
-	l.well, _ = lru.New[Digest, time.Time](max(1, s.MaxSuccesses)) // fails only for a size below 1
+	l.successes, _ = lru.New[Digest, time.Time](max(1, s.MaxSuccesses)) // returns an error only for a size below 1
 	return l
 }
 
-// CrashWindow is how long a run must have brought events to clear its request.
+// CrashWindow returns how long a run must have produced events to clear its request.
 func (l *Ledger) CrashWindow() time.Duration { return l.settings.CrashWindow }
 
-// RecordCrash notes that a replica ended under a young run of the request, and returns whether that is
-// news for other VMs.
+// RecordCrash records that a replica crashed within the crash window of a run of the request. It
+// reports whether the record changed, so that other VMs must be informed.
 func (l *Ledger) RecordCrash(d Digest, replica incarnation.Key, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ranWell(d, now) {
+	if l.recentSuccess(d, now) {
 		return false
 	}
-	r := l.of(d, now)
-	return l.changed(r, r.add(end{replica: replica, at: now}))
+	r := l.recordFor(d, now)
+	return l.changed(r, r.add(crash{replica: replica, at: now}))
 }
 
-// RecordSuccess notes that a run of the request went well, and returns whether that is news for other
-// VMs.
+// RecordSuccess records that a run of the request was successful, and clears its crashes. It reports
+// whether the record changed, so that other VMs must be informed.
 func (l *Ledger) RecordSuccess(d Digest, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.well.Add(d, now)
-	return l.forgive(d)
+	l.successes.Add(d, now)
+	return l.clearCrashes(d)
 }
 
-// Lift drops all that is held against the request, by an operator's word, and returns whether
-// there was anything.
+// Lift clears the crashes of the request on behalf of an operator and reports whether there were any.
 func (l *Ledger) Lift(d Digest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.forgive(d)
+	return l.clearCrashes(d)
 }
 
-// ranWell reports whether a run went well not long ago. l.mu is held.
-func (l *Ledger) ranWell(d Digest, now time.Time) bool {
-	at, ok := l.well.Peek(d)
+// recentSuccess reports whether a run was successful within Settings.SuccessTTL. The caller must hold
+// l.mu.
+func (l *Ledger) recentSuccess(d Digest, now time.Time) bool {
+	at, ok := l.successes.Peek(d)
 	return ok && now.Sub(at) < l.settings.SuccessTTL
 }
 
-// forgive is Lift; l.mu is held.
-func (l *Ledger) forgive(d Digest) bool {
+// clearCrashes clears the crashes of the request and reports whether there were any. The caller must
+// hold l.mu.
+func (l *Ledger) clearCrashes(d Digest) bool {
 	r := l.records[d]
-	return r != nil && l.changed(r, r.forgive())
+	return r != nil && l.changed(r, r.clearCrashes())
 }
 
-// changed numbers a change of a record, if there was one. l.mu is held.
+// changed assigns the next revision to a record if it was changed, and returns changed. The caller
+// must hold l.mu.
 func (l *Ledger) changed(r *record, changed bool) bool {
 	if changed {
 		l.revision++
@@ -94,62 +98,64 @@
 	return changed
 }
 
-// Lookup says what is known of a request.
+// Lookup returns the status of a request.
 func (l *Ledger) Lookup(d Digest, now time.Time) Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r := l.records[d]; r != nil {
-		return l.verdict(r, now)
+		return l.status(r, now)
 	}
 	return Status{}
 }
 
-// RecordRefusal notes that a quarantined request was asked for. Now and then that is news for other
-// VMs, so that all hold it for as long as it is asked for anywhere.
+// RecordRefusal records that a caller sent a quarantined request, which extends the quarantine. It
+// reports whether the record changed, so that other VMs must be informed: that happens at most once in
+// QuarantineTTL/refreshDivisor, so that all VMs refuse the request for as long as any VM receives it.
 func (l *Ledger) RecordRefusal(d Digest, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[d]
-	if r == nil || now.Sub(r.seen) < l.settings.QuarantineTTL/seenShare {
+	if r == nil || now.Sub(r.lastSeen) < l.settings.QuarantineTTL/refreshDivisor {
 		return false
 	}
 	r.touch(now)
 	return l.changed(r, true)
 }
 
-// verdict judges a record. l.mu is held.
-func (l *Ledger) verdict(r *record, now time.Time) Status {
-	ends, unseen := r.counted(), now.Sub(r.seen)
-	v, enough := Status{Crashes: ends}, l.enough(r)
+// status returns the status of a record. The caller must hold l.mu.
+func (l *Ledger) status(r *record, now time.Time) Status {
+	crashes, idle := r.crashCount(), now.Sub(r.lastSeen)
+	st, thresholdReached := Status{Crashes: crashes}, l.thresholdReached(r)
 	switch {
-	case !enough && unseen >= l.settings.SuspectTTL:
-		v.Crashes = 0
-	case !enough:
-		l.spare(&v, unseen)
-	case unseen < l.settings.QuarantineTTL:
-		v.Quarantined, v.Left = true, l.settings.QuarantineTTL-unseen
+	case !thresholdReached && idle >= l.settings.SuspectTTL:
+		st.Crashes = 0
+	case !thresholdReached:
+		l.requireSpare(&st, idle)
+	case idle < l.settings.QuarantineTTL:
+		st.Quarantined, st.Left = true, l.settings.QuarantineTTL-idle
 	default:
-		v.Crashes = min(ends, l.settings.CrashThreshold-1) // the next end quarantines it again
+		st.Crashes = min(crashes, l.settings.CrashThreshold-1) // one more crash quarantines it again
 	}
-	return v
+	return st
 }
 
-// spare says how a request that is suspected so long after its last end is kept from the last
-// replicas. l.mu is held.
-func (l *Ledger) spare(v *Status, after time.Duration) {
-	if v.Crashes > 0 && after < l.settings.SuspectSpareFor {
-		v.SpareReplicas, v.Left = l.settings.SuspectSpareReplicas, l.settings.SuspectSpareFor-after
+// requireSpare sets the spare replicas that a suspected request needs at the given time after its
+// last crash.
+func (l *Ledger) requireSpare(st *Status, after time.Duration) {
+	if st.Crashes > 0 && after < l.settings.SuspectSpareFor {
+		st.SpareReplicas, st.Left = l.settings.SuspectSpareReplicas, l.settings.SuspectSpareFor-after
 	}
 }
 
-// enough reports whether the ends held against a request quarantine it. l.mu is held.
-func (l *Ledger) enough(r *record) bool {
-	ends := r.counted()
-	return ends >= l.settings.CrashThreshold || ends == l.settings.CrashThreshold-1 && r.span() >= l.settings.MinCrashSpacing
+// thresholdReached reports whether the crashes of a request are enough to quarantine it.
+func (l *Ledger) thresholdReached(r *record) bool {
+	crashes := r.crashCount()
+	return crashes >= l.settings.CrashThreshold || crashes == l.settings.CrashThreshold-1 && r.span() >= l.settings.MinCrashSpacing
 }
 
-// of returns the request's record, a new one if there is none. l.mu is held.
-func (l *Ledger) of(d Digest, now time.Time) *record {
+// recordFor returns the record of the request, which it creates if there is none. The caller must
+// hold l.mu.
+func (l *Ledger) recordFor(d Digest, now time.Time) *record {
 	r := l.records[d]
 	if r == nil {
 		if len(l.records) >= l.settings.MaxRecords {
@@ -164,67 +170,69 @@
 	return r
 }
 
-// kept is how long a record is of use after the request was last seen.
-func (l *Ledger) kept(r *record) time.Duration {
-	if l.enough(r) {
+// retention returns how long a record is kept after its lastSeen time.
+func (l *Ledger) retention(r *record) time.Duration {
+	if l.thresholdReached(r) {
 		return l.settings.QuarantineTTL + l.settings.SuspectTTL
 	}
 	return l.settings.SuspectTTL
 }
 
-// expire drops what is of no use any more. l.mu is held.
+// expire removes the records whose retention has passed. The caller must hold l.mu.
 func (l *Ledger) expire(now time.Time) {
 	for d, r := range l.records {
-		if now.Sub(r.seen) >= l.kept(r) {
+		if now.Sub(r.lastSeen) >= l.retention(r) {
 			delete(l.records, d)
 		}
 	}
 }
 
-// evict drops the record with the fewest ends, the oldest among these. l.mu is held.
+// evict removes the record with the fewest crashes, and among these the one seen least recently. The
+// caller must hold l.mu.
 func (l *Ledger) evict() {
 	var least Digest
 	var found *record
 	for d, r := range l.records {
-		if found == nil || cmp.Or(cmp.Compare(r.counted(), found.counted()), r.seen.Compare(found.seen)) < 0 {
+		if found == nil || cmp.Or(cmp.Compare(r.crashCount(), found.crashCount()), r.lastSeen.Compare(found.lastSeen)) < 0 {
 			least, found = d, r
 		}
 	}
 	delete(l.records, least)
 }
 
-// Merge takes over other VMs' reports, whose times count from an epoch, and returns the requests
-// of which something was new.
+// Merge merges reports of other VMs, whose times are relative to epoch, and returns the requests whose
+// records changed.
 func (l *Ledger) Merge(reports []Report, epoch, now time.Time) []Digest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var changed []Digest
 	for _, report := range reports {
-		if l.merge(report.Digest, recordOf(report, epoch, now), now) {
+		if l.merge(report.Digest, recordFromReport(report, epoch, now), now) {
 			changed = append(changed, report.Digest)
 		}
 	}
 	return changed
 }
 
-// merge takes over one record, and says whether anything in it was new. l.mu is held.
-func (l *Ledger) merge(d Digest, theirs *record, now time.Time) bool {
-	if l.records[d] == nil && now.Sub(theirs.seen) >= l.kept(theirs)-lateMargin {
+// merge merges one record of another VM and reports whether the local record changed. The caller must
+// hold l.mu.
+func (l *Ledger) merge(d Digest, remote *record, now time.Time) bool {
+	if l.records[d] == nil && now.Sub(remote.lastSeen) >= l.retention(remote)-expiryMargin {
 		return false
 	}
-	ours := l.of(d, now)
-	news := theirs.seen.Sub(ours.seen) >= l.settings.QuarantineTTL/seenShare
-	for _, e := range theirs.ends {
-		news = ours.add(e) || news
+	local := l.recordFor(d, now)
+	updated := remote.lastSeen.Sub(local.lastSeen) >= l.settings.QuarantineTTL/refreshDivisor
+	for _, c := range remote.crashes {
+		updated = local.add(c) || updated
 	}
-	ours.touch(theirs.seen)
-	if l.ranWell(d, now) {
-		news = ours.forgive() || news
+	local.touch(remote.lastSeen)
+	if l.recentSuccess(d, now) {
+		updated = local.clearCrashes() || updated
 	}
-	return l.changed(ours, news)
+	return l.changed(local, updated)
 }
 
-// Reports returns what is known of some requests; times count from the epoch.
+// Reports returns the reports of the given requests that have a record, with times relative to epoch.
 func (l *Ledger) Reports(epoch time.Time, of ...Digest) []Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -237,8 +245,8 @@
 	return reports
 }
 
-// Since returns what has changed after a revision, with the present one, which is 0 while
-// nothing is known of any request.
+// Since returns the reports of the records that changed after the given revision, with times relative
+// to epoch, and the current revision as Revision returns it.
 func (l *Ledger) Since(after uint64, epoch time.Time) ([]Report, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -252,13 +260,14 @@
 	return reports, l.currentRevision()
 }
 
-// Revision is that of the last change, 0 while nothing is known of any request.
+// Revision returns the revision of the last change, or 0 while there are no records.
 func (l *Ledger) Revision() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.currentRevision()
 }
 
+// currentRevision is Revision for callers that hold l.mu.
 func (l *Ledger) currentRevision() uint64 {
 	if len(l.records) == 0 {
 		return 0
@@ -266,7 +275,7 @@
 	return l.revision
 }
 
-// CrashedReplicas returns the replicas that ended under a request and are held against it.
+// CrashedReplicas returns the sorted names of the replicas whose crashes count against the request.
 func (l *Ledger) CrashedReplicas(d Digest) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -18,23 +18,25 @@
 
 func digestOf(i int) Digest { return DigestOf(Content{Body: []byte(fmt.Sprint(i))}) }
 
-func TestOneEndSeenByManyCountsOnce(t *testing.T) {
+// Guards against a request that is quarantined because several VMs report the crash of one replica
+// incarnation.
+func TestCrashSeenByManyVMsCountsOnce(t *testing.T) {
 	l := NewLedger(DefaultSettings, start)
 	d := digestOf(1)
 	for range 5 {
 		l.RecordCrash(d, replica(1), start)
-		l.RecordCrash(d, incarnation.Key{ID: "replica-1"}, start) // its start is not known there
+		l.RecordCrash(d, incarnation.Key{ID: "replica-1"}, start) // this VM does not know the start time
 	}
-	if v := l.Lookup(d, start); v.Crashes != 1 {
-		t.Errorf("%+v", v)
+	if st := l.Lookup(d, start); st.Crashes != 1 {
+		t.Errorf("%+v", st)
 	}
 	l.RecordCrash(d, incarnation.Key{ID: "replica-1", Born: 2}, start)
-	if v := l.Lookup(d, start); v.Crashes != 2 {
-		t.Errorf("a later incarnation: %+v", v)
+	if st := l.Lookup(d, start); st.Crashes != 2 {
+		t.Errorf("a later incarnation: %+v", st)
 	}
 }
 
-// quarantined returns a ledger that holds a request for the last time at start.
+// quarantined returns a ledger that quarantined the request at start.
 func quarantined(d Digest) *Ledger {
 	l := NewLedger(DefaultSettings, start)
 	for i := range DefaultSettings.CrashThreshold {
@@ -43,43 +45,48 @@
 	return l
 }
 
-func TestQuarantineLastsWhileTheRequestIsAskedFor(t *testing.T) {
+// Guards against a quarantine that ends although callers still send the request, and against one that
+// begins from zero crashes after it has expired.
+func TestQuarantineIsExtendedByRequests(t *testing.T) {
 	d := digestOf(1)
 	l, now := quarantined(d), start
 	for range 10 {
 		now = now.Add(DefaultSettings.QuarantineTTL / 2)
 		if !l.Lookup(d, now).Quarantined {
-			t.Fatalf("not quarantined after %s", now.Sub(start))
+			t.Fatalf("not quarantined any more after %s", now.Sub(start))
 		}
 		l.RecordRefusal(d, now)
 	}
 	now = now.Add(DefaultSettings.QuarantineTTL)
-	if v := l.Lookup(d, now); v.Quarantined || v.Crashes != DefaultSettings.CrashThreshold-1 {
-		t.Errorf("after a time without: %+v", v)
+	if st := l.Lookup(d, now); st.Quarantined || st.Crashes != DefaultSettings.CrashThreshold-1 {
+		t.Errorf("after QuarantineTTL without a request: %+v", st)
 	}
 	l.RecordCrash(d, replica(99), now)
 	if !l.Lookup(d, now).Quarantined {
-		t.Error("not quarantined after one more end")
+		t.Error("not quarantined after one more crash")
 	}
 }
 
-func TestRunThatWentWellClearsARequest(t *testing.T) {
+// Guards against a request that stays suspected although a run of it was successful.
+func TestSuccessfulRunClearsRequest(t *testing.T) {
 	d := digestOf(1)
 	l := quarantined(d)
 	if !l.RecordSuccess(d, start) || l.Lookup(d, start).Crashes != 0 {
 		t.Errorf("%+v", l.Lookup(d, start))
 	}
 	l.RecordCrash(d, replica(50), start.Add(time.Second))
-	if v := l.Lookup(d, start.Add(time.Second)); v.Crashes != 0 {
-		t.Errorf("an end right after: %+v", v)
+	if st := l.Lookup(d, start.Add(time.Second)); st.Crashes != 0 {
+		t.Errorf("after a crash within SuccessTTL: %+v", st)
 	}
 	later := start.Add(2 * DefaultSettings.SuccessTTL)
 	l.RecordCrash(d, replica(51), later)
-	if v := l.Lookup(d, later); v.Crashes != 1 {
-		t.Errorf("an end later: %+v", v)
+	if st := l.Lookup(d, later); st.Crashes != 1 {
+		t.Errorf("after a crash past SuccessTTL: %+v", st)
 	}
 }
 
+// Guards against records that grow without limit, and against a quarantined request that is evicted
+// by requests with fewer crashes.
 func TestLedgerIsBounded(t *testing.T) {
 	settings := DefaultSettings
 	settings.MaxRecords, settings.MaxSuccesses = 10, 10
@@ -96,18 +103,18 @@
 		t.Errorf("%d requests are kept", len(reports))
 	}
 	if !l.Lookup(culprit, start).Quarantined {
-		t.Error("a caller with ever new requests drives out one that is quarantined")
+		t.Error("many other requests evicted a quarantined one")
 	}
 	for i := range 100 {
 		l.RecordCrash(culprit, replica(100+i), start)
 	}
-	if ends := l.Lookup(culprit, start).Crashes; ends > maxEndsKept {
-		t.Errorf("%d ends are kept", ends)
+	if crashes := l.Lookup(culprit, start).Crashes; crashes > maxCrashes {
+		t.Errorf("%d crashes are kept", crashes)
 	}
 }
 
-// Guards against VMs that judge a request differently for good because reports came late, twice
-// or in another order.
+// Guards against VMs whose ledgers disagree permanently about a request because reports arrived late,
+// twice or in a different order.
 func TestLedgersAgreeWhateverTheOrderOfReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := make([]*Ledger, rapid.IntRange(2, 5).Draw(t, "vms"))
@@ -118,31 +125,31 @@
 			reports []Report
 			epoch   time.Time
 		}
-		var under []sent
+		var inFlight []sent
 		now := start
-		ends := map[Digest]map[incarnation.Key]time.Time{}
-		forgiven := map[Digest]bool{}
+		crashes := map[Digest]map[incarnation.Key]time.Time{}
+		cleared := map[Digest]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond)
 			vm, d := vms[rapid.IntRange(0, len(vms)-1).Draw(t, "vm")], digestOf(rapid.IntRange(0, 2).Draw(t, "request"))
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
 				vm.RecordSuccess(d, now)
-				forgiven[d] = true
+				cleared[d] = true
 			case 1, 2, 3, 4:
 				k := replica(rapid.IntRange(0, 4).Draw(t, "replica"))
 				vm.RecordCrash(d, k, now)
-				if ends[d] == nil {
-					ends[d] = map[incarnation.Key]time.Time{}
+				if crashes[d] == nil {
+					crashes[d] = map[incarnation.Key]time.Time{}
 				}
-				if _, known := ends[d][k]; !known {
-					ends[d][k] = now
+				if _, known := crashes[d][k]; !known {
+					crashes[d][k] = now
 				}
 			case 5, 6:
-				under = append(under, sent{vm.Reports(start, d), start})
+				inFlight = append(inFlight, sent{vm.Reports(start, d), start})
 			default:
-				if len(under) > 0 {
-					m := under[rapid.IntRange(0, len(under)-1).Draw(t, "message")]
+				if len(inFlight) > 0 {
+					m := inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(t, "message")]
 					vm.Merge(m.reports, m.epoch, now)
 				}
 			}
@@ -156,30 +163,31 @@
 					t.Fatalf("request %d: %+v and %+v", i, want, got)
 				}
 			}
-			if !forgiven[d] && want.Crashes != len(ends[d]) {
-				t.Fatalf("request %d: %d ends are counted of %d", i, want.Crashes, len(ends[d]))
+			if !cleared[d] && want.Crashes != len(crashes[d]) {
+				t.Fatalf("request %d: %d crashes are counted of %d", i, want.Crashes, len(crashes[d]))
 			}
-			enough := want.Crashes >= DefaultSettings.CrashThreshold
-			if almost := want.Crashes == DefaultSettings.CrashThreshold-1; almost && forgiven[d] {
-				enough = want.Quarantined // which ends were forgiven depends on the order
+			thresholdReached := want.Crashes >= DefaultSettings.CrashThreshold
+			if almost := want.Crashes == DefaultSettings.CrashThreshold-1; almost && cleared[d] {
+				thresholdReached = want.Quarantined // which crashes were cleared depends on the order
 			} else if almost {
-				enough = spanOf(ends[d]) >= DefaultSettings.MinCrashSpacing
+				thresholdReached = spanOf(crashes[d]) >= DefaultSettings.MinCrashSpacing
 			}
-			if want.Crashes > len(ends[d]) || want.Quarantined != enough {
-				t.Fatalf("request %d: %+v after ends at %v", i, want, ends[d])
+			if want.Crashes > len(crashes[d]) || want.Quarantined != thresholdReached {
+				t.Fatalf("request %d: %+v after crashes at %v", i, want, crashes[d])
 			}
 		}
 	})
 }
 
-// spanOf is the time between the first and the last of some ends.
-func spanOf(ends map[incarnation.Key]time.Time) time.Duration {
-	times := slices.SortedFunc(maps.Values(ends), time.Time.Compare)
+// spanOf returns the time between the first and the last crash.
+func spanOf(crashes map[incarnation.Key]time.Time) time.Duration {
+	times := slices.SortedFunc(maps.Values(crashes), time.Time.Compare)
 	return times[len(times)-1].Sub(times[0])
 }
 
-// Guards against a culprit that ends one replica more although two ended apart from each other,
-// and against innocent requests that two replicas ended under in one moment.
+// Guards against a culprit that may crash a third replica although two crashes at different times are
+// evidence enough, and against a quarantine of innocent requests that were on two replicas which
+// crashed at the same time.
 func TestTwoEndsApartAreEnough(t *testing.T) {
 	for name, c := range map[string]struct {
 		apart       time.Duration
@@ -193,13 +201,13 @@
 		for i := range DefaultSettings.CrashThreshold - 1 {
 			l.RecordCrash(d, replica(i), start.Add(time.Duration(i)*c.apart))
 		}
-		if v := l.Lookup(d, start.Add(c.apart)); v.Quarantined != c.quarantined {
-			t.Errorf("%s: %+v", name, v)
+		if st := l.Lookup(d, start.Add(c.apart)); st.Quarantined != c.quarantined {
+			t.Errorf("%s: %+v", name, st)
 		}
 	}
 }
 
-// exchange lets VMs ask each other until nobody has news.
+// exchange merges the reports of all VMs into each other until none has changes for another one.
 func exchange(vms []*Ledger, now time.Time) {
 	for range 2 * len(vms) {
 		for _, to := range vms {
--- a/internal/quarantine/load_test.go
+++ b/internal/quarantine/load_test.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Guards against culprits that get through, and against innocent requests that are taken for
-// culprits because replicas crash around them.
+// Guards against culprits (requests that crash the replicas that run them) that are still sent after
+// the quarantine, and against innocent requests that are quarantined because replicas crash for other
+// reasons while they run.
 func TestCulpritsAreStoppedAndInnocentsServed(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		vms, replicas int
-		rate          float64
-		spread        time.Duration
-		culprits      int
-		repeated      bool
-		pause, racks  time.Duration
-		seeds         uint64
-		lasting       time.Duration
+		name           string
+		vms, replicas  int
+		rate           float64
+		maxReportDelay time.Duration
+		culprits       int
+		repeated       bool
+		pause, racks   time.Duration
+		seeds          uint64
+		duration       time.Duration
 	}{
 		{"6 VMs, culprits alone", 6, 3, 65, 50 * time.Millisecond, 3, false, time.Hour, time.Hour, 5, 2 * time.Minute},
 		{"6 VMs, crashes alone", 6, 3, 65, 50 * time.Millisecond, 0, false, 2 * time.Second, 20 * time.Second, 5, 2 * time.Minute},
@@ -27,52 +28,52 @@
 		{"88 VMs, both, slow news", 88, 20, 200, 2 * time.Second, 5, false, 2 * time.Second, 20 * time.Second, 2, 30 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			asked, refused, worst, lateWorst := 0, 0, 0, 0
+			submitted, refused, worst, lateWorst := 0, 0, 0, 0
 			for seed := range c.seeds {
-				p := newLoadPlay(seed, c.vms, c.replicas, c.spread)
-				p.repeated = c.repeated
-				p.callers(c.rate)
+				s := newSimulation(seed, c.vms, c.replicas, c.maxReportDelay)
+				s.repeated = c.repeated
+				s.callers(c.rate)
 				for i := range c.culprits {
-					p.culprit(fmt.Sprint("culprit ", i), 1500*time.Millisecond)
+					s.culprit(fmt.Sprint("culprit ", i), 1500*time.Millisecond)
 				}
 				if c.pause < time.Hour {
-					p.crashes(c.pause, c.racks)
+					s.crashes(c.pause, c.racks)
 				}
-				p.run(c.lasting)
-				asked += p.asked
-				refused += p.refusedInnocent
-				for d, crashes := range p.crashesOf {
+				s.run(c.duration)
+				submitted += s.submitted
+				refused += s.refusedInnocent
+				for d, crashes := range s.crashesOf {
 					worst = max(worst, crashes)
-					lateWorst = max(lateWorst, p.lateSends[d])
+					lateWorst = max(lateWorst, s.lateSends[d])
 				}
 			}
-			t.Logf("%d of %d innocent requests refused, at most %d replicas crashed under a culprit, %d sends of one after %s", refused, asked, worst, lateWorst, playedStability)
-			if refused > refusalSlack+asked/innocentsPerRefusal {
-				t.Errorf("%d of %d innocent requests were refused", refused, asked)
+			t.Logf("%d of %d innocent requests refused; per culprit at most %d replicas crashed and it was sent %d times later than %s after the third crash", refused, submitted, worst, lateWorst, propagationTime)
+			if refused > refusalSlack+submitted/innocentsPerRefusal {
+				t.Errorf("%d of %d innocent requests were refused", refused, submitted)
 			}
 			if lateWorst > lateSendsAllowed || worst > DefaultSettings.CrashThreshold+lateSendsAllowed {
-				t.Errorf("%d replicas crashed under one culprit, which was sent %d times later than %s after the third", worst, lateWorst, playedStability)
+				t.Errorf("one culprit crashed %d replicas, or was sent %d times later than %s after the third crash", worst, lateWorst, propagationTime)
 			}
 		})
 	}
 }
 
-// Guards against one culprit that ends all replicas at which requests can begin, so that nobody is
-// served until they have started again.
+// Guards against one culprit that crashes all replicas at which requests can begin, so that no request
+// is served until they have started again.
 func TestCulpritLeavesReplicasToOthers(t *testing.T) {
 	const seeds, rate, leastShare = 20, 65, 50
 	for seed := range uint64(seeds) {
-		p := newLoadPlay(seed, 6, 3, 50*time.Millisecond)
-		p.callers(rate)
-		p.culprit("culprit", 1500*time.Millisecond)
-		p.run(time.Minute)
-		if p.nobodyUp > 0 {
-			t.Errorf("seed %d: no replica was up for %d sends", seed, p.nobodyUp)
+		s := newSimulation(seed, 6, 3, 50*time.Millisecond)
+		s.callers(rate)
+		s.culprit("culprit", 1500*time.Millisecond)
+		s.run(time.Minute)
+		if s.noReplicaUp > 0 {
+			t.Errorf("seed %d: no replica was available for %d sends", seed, s.noReplicaUp)
 		}
-		if p.kept > p.asked/leastShare {
-			t.Errorf("seed %d: %d of %d requests were kept waiting", seed, p.kept, p.asked)
+		if s.withheld > s.submitted/leastShare {
+			t.Errorf("seed %d: %d of %d requests were not sent for lack of spare replicas", seed, s.withheld, s.submitted)
 		}
-		if crashes := p.crashesOf[DigestOf(Content{Body: []byte("culprit")})]; crashes >= DefaultSettings.CrashThreshold {
+		if crashes := s.crashesOf[DigestOf(Content{Body: []byte("culprit")})]; crashes >= DefaultSettings.CrashThreshold {
 			t.Errorf("seed %d: %d replicas crashed", seed, crashes)
 		}
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -7,141 +7,145 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// maxEndsKept bounds the ends that are kept of one request.
-const maxEndsKept = 16
-
-// end is one replica that ended under a request.
-type end struct {
-	replica  incarnation.Key
-	at       time.Time
-	forgiven bool
+// maxCrashes limits the crashes that are kept per request.
+const maxCrashes = 16
+
+// crash is the crash of one replica incarnation while it ran the request.
+type crash struct {
+	replica incarnation.Key
+	at      time.Time
+	cleared bool
 }
 
-// is reports whether an end is that of a replica. A start that one of two VMs does not know
-// makes no other incarnation.
-func (e end) is(k incarnation.Key) bool {
-	return e.replica.ID == k.ID && (e.replica.Born == k.Born || e.replica.Born <= 0 || k.Born <= 0)
+// matches reports whether c is a crash of the given incarnation. If only one of two VMs knows the
+// start time of a replica, both crashes count as those of one incarnation.
+func (c crash) matches(k incarnation.Key) bool {
+	return c.replica.ID == k.ID && (c.replica.Born == k.Born || c.replica.Born <= 0 || k.Born <= 0)
 }
 
-// merge takes over another VM's word of the same end: the first to see it has its time. It reports
-// whether that is news.
-func (e *end) merge(other end) bool {
-	news := other.forgiven && !e.forgiven
-	e.forgiven = e.forgiven || other.forgiven
-	if e.at.Sub(other.at) > sameMoment {
-		e.at, news = other.at, true
+// merge merges another VM's record of the same crash into c. The earlier time wins. It reports
+// whether c changed.
+func (c *crash) merge(other crash) bool {
+	updated := other.cleared && !c.cleared
+	c.cleared = c.cleared || other.cleared
+	if c.at.Sub(other.at) > timeTolerance {
+		c.at, updated = other.at, true
 	}
-	return news
+	return updated
 }
 
-// sameMoment is the difference of times that says nothing: reports round them.
-const sameMoment = 10 * time.Millisecond
+// timeTolerance is the difference below which two times of a crash count as equal, because reports
+// round times.
+const timeTolerance = 10 * time.Millisecond
 
-// record is what is known of one request.
+// record holds the crashes of one request.
 type record struct {
-	ends []end
-	// seen is when the request was last asked for while quarantined, or its last end.
-	seen time.Time
-	// revision is that of the ledger at the record's last change.
+	crashes []crash
+	// lastSeen is the time at which a caller last sent the request while it was quarantined, or the
+	// time of its last crash.
+	lastSeen time.Time
+	// revision is the revision of the ledger after the last change of the record.
 	revision uint64
 }
 
-// add adds an end, or takes over what is new of one that is known. It reports whether that is news.
-func (r *record) add(e end) bool {
-	if i := slices.IndexFunc(r.ends, func(known end) bool { return known.is(e.replica) }); i >= 0 {
-		return r.ends[i].merge(e)
+// add adds a crash, or merges it into the known crash of the same incarnation. It reports whether
+// the record changed.
+func (r *record) add(c crash) bool {
+	if i := slices.IndexFunc(r.crashes, func(known crash) bool { return known.matches(c.replica) }); i >= 0 {
+		return r.crashes[i].merge(c)
 	}
-	if len(r.ends) >= maxEndsKept && !r.dropForgiven() {
+	if len(r.crashes) >= maxCrashes && !r.dropCleared() {
 		return false
 	}
-	r.ends = append(r.ends, e)
-	r.touch(e.at)
+	r.crashes = append(r.crashes, c)
+	r.touch(c.at)
 	return true
 }
 
-// dropForgiven makes room by dropping the oldest end that was forgiven, if there is one.
-func (r *record) dropForgiven() bool {
+// dropCleared removes the oldest cleared crash and reports whether there was one.
+func (r *record) dropCleared() bool {
 	oldest := -1
-	for i, e := range r.ends {
-		if e.forgiven && (oldest < 0 || e.at.Before(r.ends[oldest].at)) {
+	for i, c := range r.crashes {
+		if c.cleared && (oldest < 0 || c.at.Before(r.crashes[oldest].at)) {
 			oldest = i
 		}
 	}
 	if oldest < 0 {
 		return false
 	}
-	r.ends = slices.Delete(r.ends, oldest, oldest+1)
+	r.crashes = slices.Delete(r.crashes, oldest, oldest+1)
 	return true
 }
 
-// touch notes that the request was seen at a time.
+// touch sets lastSeen to at if that is later.
 func (r *record) touch(at time.Time) {
-	if at.After(r.seen) {
-		r.seen = at
+	if at.After(r.lastSeen) {
+		r.lastSeen = at
 	}
 }
 
-// counted is how many ends are held against the request.
-func (r *record) counted() int {
+// crashCount returns the number of crashes that count against the request.
+func (r *record) crashCount() int {
 	n := 0
-	for _, e := range r.ends {
-		if !e.forgiven {
+	for _, c := range r.crashes {
+		if !c.cleared {
 			n++
 		}
 	}
 	return n
 }
 
-// span is the time between the first and the last end that are held against the request.
+// span returns the time between the first and the last crash that count against the request.
 func (r *record) span() time.Duration {
 	var first, last time.Time
-	for _, e := range r.ends {
-		if e.forgiven {
+	for _, c := range r.crashes {
+		if c.cleared {
 			continue
 		}
-		if first.IsZero() || e.at.Before(first) {
-			first = e.at
+		if first.IsZero() || c.at.Before(first) {
+			first = c.at
 		}
-		if e.at.After(last) {
-			last = e.at
+		if c.at.After(last) {
+			last = c.at
 		}
 	}
 	return last.Sub(first)
 }
 
-// replicas names the replicas whose ends are held against the request.
+// replicas returns the sorted names of the replicas whose crashes count against the request.
 func (r *record) replicas() []string {
 	var names []string
-	for _, e := range r.ends {
-		if !e.forgiven {
-			names = append(names, e.replica.String())
+	for _, c := range r.crashes {
+		if !c.cleared {
+			names = append(names, c.replica.String())
 		}
 	}
 	slices.Sort(names)
 	return names
 }
 
-// forgive drops all that is held against the request, and reports whether there was anything.
-func (r *record) forgive() bool {
-	some := false
-	for i := range r.ends {
-		some = some || !r.ends[i].forgiven
-		r.ends[i].forgiven = true
+// clearCrashes marks all crashes as cleared and reports whether any was not yet.
+func (r *record) clearCrashes() bool {
+	changed := false
+	for i := range r.crashes {
+		changed = changed || !r.crashes[i].cleared
+		r.crashes[i].cleared = true
 	}
-	return some
+	return changed
 }
 
-// report returns the record as other VMs are told it.
+// report returns the record as a Report with times relative to epoch.
 func (r *record) report(d Digest, epoch time.Time) Report {
-	report := Report{Digest: d, SeenMS: r.seen.Sub(epoch).Milliseconds()}
-	for _, e := range r.ends {
-		report.Crashes = append(report.Crashes, Crash{Replica: e.replica, AtMS: e.at.Sub(epoch).Milliseconds(), Cleared: e.forgiven})
+	report := Report{Digest: d, SeenMS: r.lastSeen.Sub(epoch).Milliseconds()}
+	for _, c := range r.crashes {
+		report.Crashes = append(report.Crashes, Crash{Replica: c.replica, AtMS: c.at.Sub(epoch).Milliseconds(), Cleared: c.cleared})
 	}
 	return report
 }
 
-// recordOf reads a report. No time lies after now, whatever a peer says.
-func recordOf(report Report, epoch, now time.Time) *record {
+// recordFromReport converts a report to a record. Times after now, which a faulty peer may send, are
+// set to now.
+func recordFromReport(report Report, epoch, now time.Time) *record {
 	at := func(ms int64) time.Time {
 		if t := epoch.Add(time.Duration(ms) * time.Millisecond); t.Before(now) {
 			return t
@@ -149,8 +153,8 @@
 		return now
 	}
 	r := &record{}
-	for _, e := range report.Crashes {
-		r.add(end{replica: e.Replica, at: at(e.AtMS), forgiven: e.Cleared})
+	for _, c := range report.Crashes {
+		r.add(crash{replica: c.Replica, at: at(c.AtMS), cleared: c.Cleared})
 	}
 	r.touch(at(report.SeenMS))
 	return r
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -2,23 +2,25 @@
 
 import "geraniumcroft/internal/incarnation"
 
-// Report is what one VM knows of a request, as VMs send it to each other and as it stands in the
-// platform's table. Its times are milliseconds since an epoch of which the age is sent beside it,
-// as VMs' clocks differ.
+// Report is the record of one request, as VMs exchange it and as it is stored in the platform's
+// table. Its times are milliseconds since an epoch whose age is sent along, because the clocks of VMs
+// differ.
 type Report struct {
 	Digest  Digest  `json:"digest"`
 	Crashes []Crash `json:"ends"`
-	// SeenMS is when the request was last asked for while it was quarantined, or its last end.
+	// SeenMS is the time at which a caller last sent the request while it was quarantined, or the
+	// time of its last crash.
 	SeenMS int64 `json:"seenMs"`
 }
 
-// Crash is one replica that ended under a request.
+// Crash is the crash of one incarnation of a replica while it ran the request.
 type Crash struct {
 	Replica incarnation.Key `json:"replica"`
-	AtMS    int64           `json:"atMs"`
-	// Cleared ends are held against the request no more.
+	// AtMS is the time of the crash.
+	AtMS int64 `json:"atMs"`
+	// Cleared reports whether the crash no longer counts against the request.
 	Cleared bool `json:"forgiven,omitempty"`
 }
 
-// TableName names the ledgers' reports among what peers tell each other.
+// TableName is the name under which peers exchange Reports.
 const TableName = "quarantine"
--- a/internal/quarantine/settings.go
+++ b/internal/quarantine/settings.go
@@ -2,35 +2,37 @@
 
 import "time"
 
-// Settings are the bounds of a Ledger.
+// Settings holds the thresholds, lifetimes and size limits of a Ledger.
 type Settings struct {
-	// CrashThreshold is under how many ended replicas a request is quarantined.
+	// CrashThreshold is the number of crashed replicas at which a request is quarantined.
 	CrashThreshold int
-	// MinCrashSpacing is the time that must lie between two ends for one fewer to be enough: replicas that
-	// crash together for another reason leave the requests on them with ends of the same moment.
+	// MinCrashSpacing is the time between the first and the last crash from which one crash fewer than
+	// CrashThreshold is enough. Replicas that crash together for another reason give the requests on
+	// them crashes at almost the same time, which is no evidence against these requests.
 	MinCrashSpacing time.Duration
-	// CrashWindow is how long a run must have brought events to clear its request. A replica that
-	// ends later was not crashed by it.
+	// CrashWindow is how long a run must have produced events to clear its request. A crash of the
+	// replica after that is not attributed to the run.
 	CrashWindow time.Duration
-	// SuccessTTL is how long a run that went well speaks for its request: no end counts against it
-	// meanwhile.
+	// SuccessTTL is how long after a successful run no crash counts against the request.
 	SuccessTTL time.Duration
-	// SuspectSpareReplicas is how many other replicas must be left before a request is sent under which one
-	// has ended, for SuspectSpareFor after that. A replica that ended needs seconds to start and load its
-	// layers; where there are never more, the request is tried again after that.
+	// SuspectSpareReplicas is the number of other available replicas that a suspected request needs
+	// before it is sent. It applies for SuspectSpareFor after the last crash: a crashed replica needs
+	// seconds to start and load its layers. Where there are never that many replicas, the request is
+	// sent again after SuspectSpareFor.
 	SuspectSpareReplicas int
 	SuspectSpareFor      time.Duration
-	// SuspectTTL is how long ends below CrashThreshold are remembered.
+	// SuspectTTL is how long crashes that are too few to quarantine a request are remembered.
 	SuspectTTL time.Duration
-	// QuarantineTTL is how long a request stays quarantined after it was last asked for.
+	// QuarantineTTL is how long a request stays quarantined after a caller last sent it.
 	QuarantineTTL time.Duration
-	// MaxRecords bounds the requests that are remembered. Those with the fewest ends go first.
+	// MaxRecords limits the number of requests with crashes that are remembered. The requests with the
+	// fewest crashes are evicted first.
 	MaxRecords int
-	// MaxSuccesses bounds the requests that are remembered for having run well.
+	// MaxSuccesses limits the number of requests whose last successful run is remembered.
 	MaxSuccesses int
 }
 
-// DefaultSettings are those of a VM.
+// DefaultSettings are the settings of a VM.
 var DefaultSettings = Settings{
 	CrashThreshold:       3,
 	MinCrashSpacing:      2 * time.Second,
