--- a/internal/quarantine/sharing/doc.go
+++ b/internal/quarantine/sharing/doc.go
@@ -1,11 +1,11 @@
-// Package sharing makes what one VM learns of requests that crash replicas known to all.
+// Package sharing synchronizes the quarantine ledgers of all VMs.
 //
-// A change is offered to peers at once: to all VMs of a small fleet, else to the followers of the
-// operator's tables. Every answer of a peer carries the revision of its ledger, so whoever was
-// missed, or has just started, asks for the rest at its next question for any table, which each VM
-// puts each second. While nothing is known of any request this costs nothing.
+// A VM offers each change to its peers at once: to all VMs of a small fleet, else to the followers of
+// the operator's tables. The answers of a peer carry the revision of its ledger, so a VM that missed
+// an offer or has just started fetches the missing reports with its next request for any table, which
+// each VM sends once a second. While no ledger has a record, the package causes no traffic.
 //
-// Requests that are quarantined also stand in the product's table, where they outlive a loss of
-// all VMs. Those that follow the operator's tables read them once after their start. Nothing here
-// is needed for serving: without peers and store a VM goes by what it has seen itself.
+// Quarantined requests are also stored in the platform's table, so that they survive a loss of all
+// VMs. The followers of the operator's tables read them once after they start. Serving requests does
+// not depend on this package: without peers and store, a VM uses the crashes it has seen itself.
 package sharing
--- a/internal/quarantine/sharing/fleet_test.go
+++ b/internal/quarantine/sharing/fleet_test.go
@@ -21,21 +21,22 @@
 )
 
 const (
-	// callTime is what a call between two VMs takes, askPause the pause between two questions of a
-	// VM for any table, lostAfter the time limit of a call.
-	callTime  = 2 * time.Millisecond
-	askPause  = time.Second
-	lostAfter = 300 * time.Millisecond
-	// askedAtMost is how many VMs are asked until one answers.
-	askedAtMost = 3
-	// fewVMs is up to how many VMs a change is offered to all of them.
-	fewVMs = 16
-	// deathAfter is how long a VM lives after it saw an end, offersLost how long offers are lost.
-	deathAfter = 100 * time.Millisecond
-	offersLost = 700 * time.Millisecond
+	// callTime is the duration of a call between two VMs, callTimeout the time limit of a call, and
+	// pollInterval the pause between two requests of a VM for any table.
+	callTime     = 2 * time.Millisecond
+	pollInterval = time.Second
+	callTimeout  = 300 * time.Millisecond
+	// maxPolled limits the VMs that are polled until one answers.
+	maxPolled = 3
+	// smallFleet is the largest number of VMs at which a change is offered to all of them.
+	smallFleet = 16
+	// deathAfter is how long the VM that saw the last crash lives, offerLossDuration how long offers are
+	// lost.
+	deathAfter        = 100 * time.Millisecond
+	offerLossDuration = 700 * time.Millisecond
 )
 
-// fleet are VMs that exchange reports in virtual time.
+// fleet is a set of VMs that exchange reports in virtual time.
 type fleet struct {
 	random    *rand.Rand
 	table     *platformsim.Store
@@ -44,15 +45,15 @@
 
 	mu   sync.Mutex // guards the fields below
 	dead map[string]bool
-	// loseOffers says until when offers are lost.
-	loseOffers time.Time
+	// dropOffersUntil is the time until which offers are lost.
+	dropOffersUntil time.Time
 }
 
 type fleetVM struct {
 	*Syncer
-	fleet  *fleet
-	name   string
-	silent map[string]bool
+	fleet       *fleet
+	name        string
+	unreachable map[string]bool
 }
 
 func newFleet(ctx context.Context, size int) *fleet {
@@ -77,7 +78,7 @@
 }
 
 func (f *fleet) start(ctx context.Context, name string) *fleetVM {
-	vm := &fleetVM{fleet: f, name: name, silent: map[string]bool{}}
+	vm := &fleetVM{fleet: f, name: name, unreachable: map[string]bool{}}
 	vm.Syncer = New(Options{
 		Ledger: quarantine.NewLedger(quarantine.DefaultSettings, time.Now()), Peers: vm, Table: f.table, Logger: zap.NewNop(),
 		ShouldLoad: func() bool { return f.follows(name) },
@@ -86,7 +87,7 @@
 	f.vms[name] = vm
 	f.mu.Unlock()
 	go vm.Run(ctx)
-	go vm.askAround(ctx)
+	go vm.pollPeers(ctx)
 	return vm
 }
 
@@ -99,45 +100,47 @@
 	return false
 }
 
-// at returns a VM that answers, after the time that a call takes.
-func (f *fleet) at(ctx context.Context, name string) *fleetVM {
+// call waits for the duration of a call and returns the VM with that name, or nil after callTimeout if
+// it is dead.
+func (f *fleet) call(ctx context.Context, name string) *fleetVM {
 	f.mu.Lock()
 	vm, dead := f.vms[name], f.dead[name]
 	f.mu.Unlock()
 	if dead {
-		sleep.For(ctx, lostAfter)
+		sleep.For(ctx, callTimeout)
 		return nil
 	}
 	sleep.For(ctx, callTime)
 	return vm
 }
 
-// askAround asks a follower for another table each second, as each VM does.
-func (vm *fleetVM) askAround(ctx context.Context) {
+// pollPeers requests another table from a follower every pollInterval, as each VM does.
+func (vm *fleetVM) pollPeers(ctx context.Context) {
 	vm.fleet.mu.Lock()
-	pause := time.Duration(vm.fleet.random.Int64N(int64(askPause)))
+	pause := time.Duration(vm.fleet.random.Int64N(int64(pollInterval)))
 	vm.fleet.mu.Unlock()
 	for sleep.For(ctx, pause) {
-		pause = askPause
+		pause = pollInterval
 		vm.fleet.mu.Lock()
-		order := vm.fleet.random.Perm(len(vm.fleet.followers))[:askedAtMost]
+		order := vm.fleet.random.Perm(len(vm.fleet.followers))[:maxPolled]
 		vm.fleet.mu.Unlock()
 		for _, i := range order {
-			if vm.ask(ctx, vm.fleet.followers[i]) {
+			if vm.poll(ctx, vm.fleet.followers[i]) {
 				break
 			}
 		}
 	}
 }
 
-// ask asks one VM, and reports whether it answered. One that did not is passed over from then on.
-func (vm *fleetVM) ask(ctx context.Context, name string) bool {
-	if name == vm.name || vm.silent[name] {
+// poll requests a table from one VM and reports whether it answered. A VM that did not is skipped from
+// then on.
+func (vm *fleetVM) poll(ctx context.Context, name string) bool {
+	if name == vm.name || vm.unreachable[name] {
 		return false
 	}
-	other := vm.fleet.at(ctx, name)
+	other := vm.fleet.call(ctx, name)
 	if other == nil {
-		vm.silent[name] = true
+		vm.unreachable[name] = true
 		return false
 	}
 	if revision := other.Ledger.Revision(); revision > 0 {
@@ -149,8 +152,8 @@
 // OfferAll implements Peers.
 func (vm *fleetVM) OfferAll(ctx context.Context, _ string, change platform.TableChange, age time.Duration) int {
 	vm.fleet.mu.Lock()
-	to, lost := vm.fleet.followers, time.Now().Before(vm.fleet.loseOffers)
-	if len(vm.fleet.vms) <= fewVMs {
+	to, lost := vm.fleet.followers, time.Now().Before(vm.fleet.dropOffersUntil)
+	if len(vm.fleet.vms) <= smallFleet {
 		to = nil
 		for name := range vm.fleet.vms {
 			to = append(to, name)
@@ -161,7 +164,7 @@
 	var offering sync.WaitGroup
 	for _, name := range to {
 		offering.Go(func() {
-			if other := vm.fleet.at(ctx, name); other != nil && other != vm && !lost {
+			if other := vm.fleet.call(ctx, name); other != nil && other != vm && !lost {
 				other.Apply(change, age)
 				taken.Add(1)
 			}
@@ -173,22 +176,22 @@
 
 // FetchFrom implements Peers.
 func (vm *fleetVM) FetchFrom(ctx context.Context, address, _ string, after uint64) (platform.TableChange, time.Duration, bool) {
-	other := vm.fleet.at(ctx, address)
+	other := vm.fleet.call(ctx, address)
 	if other == nil {
 		return platform.TableChange{}, 0, false
 	}
 	return other.Since(after)
 }
 
-// see makes a VM see a replica end under a request.
-func (vm *fleetVM) see(d quarantine.Digest, replica string) {
+// recordCrash records the crash of a replica on this VM.
+func (vm *fleetVM) recordCrash(d quarantine.Digest, replica string) {
 	if vm.Ledger.RecordCrash(d, incarnation.Key{ID: replica, Born: 1}, time.Now()) {
 		vm.Tell(d)
 	}
 }
 
-// unaware counts the VMs that would still send the request.
-func (f *fleet) unaware(d quarantine.Digest) int {
+// notQuarantined counts the live VMs that would still send the request.
+func (f *fleet) notQuarantined(d quarantine.Digest) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -200,10 +203,10 @@
 	return n
 }
 
-func (f *fleet) losesOffersFor(d time.Duration) {
+func (f *fleet) dropOffersFor(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loseOffers = time.Now().Add(d)
+	f.dropOffersUntil = time.Now().Add(d)
 }
 
 func (f *fleet) kill(names ...string) {
@@ -216,35 +219,35 @@
 
 var crashing = quarantine.DigestOf(quarantine.Content{Body: []byte("crashes replicas")})
 
-// Guards against a request that is sent on by VMs that did not see it crash replicas: three VMs
-// saw one end each.
-func TestThreeEndsSeenByThreeVMsAreKnownEverywhereInTime(t *testing.T) {
+// Guards against VMs that still send a request because they have not seen its crashes themselves: three
+// VMs saw one crash each, and all VMs must quarantine the request within the bound.
+func TestQuarantineReachesAllVMsInTime(t *testing.T) {
 	for _, size := range []struct {
 		vms   int
 		bound time.Duration
 	}{{6, 3 * time.Second}, {88, 3 * time.Second}, {195, 5 * time.Second}, {320, 5 * time.Second}} {
-		last := fmt.Sprint("vm-", size.vms-3) // sees the third end
+		last := fmt.Sprint("vm-", size.vms-3) // sees the third crash
 		for name, fault := range map[string]func(f *fleet){
-			"the VM that saw the third end dies": func(f *fleet) { time.AfterFunc(deathAfter, func() { f.kill(last) }) },
-			"the store is away":                  func(f *fleet) { f.table.Faults.Set(platformsim.Order{Outage: platformsim.OutageUnavailable}) },
-			"offers are lost for a while":        func(f *fleet) { f.losesOffersFor(offersLost) },
-			"a third of the followers is dead":   func(f *fleet) { f.kill(f.followers[:len(f.followers)/3]...) },
+			"the VM that saw the third crash dies": func(f *fleet) { time.AfterFunc(deathAfter, func() { f.kill(last) }) },
+			"the store is unavailable":             func(f *fleet) { f.table.Faults.Set(platformsim.Order{Outage: platformsim.OutageUnavailable}) },
+			"offers are lost for a while":          func(f *fleet) { f.dropOffersFor(offerLossDuration) },
+			"a third of the followers is dead":     func(f *fleet) { f.kill(f.followers[:len(f.followers)/3]...) },
 		} {
 			t.Run(fmt.Sprint(size.vms, " VMs, ", name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					ctx, stop := context.WithCancel(t.Context())
 					f := newFleet(ctx, size.vms)
 					time.Sleep(5 * time.Second)
-					f.vms[fmt.Sprint("vm-", size.vms-1)].see(crashing, "a")
+					f.vms[fmt.Sprint("vm-", size.vms-1)].recordCrash(crashing, "a")
 					time.Sleep(700 * time.Millisecond)
-					f.vms[fmt.Sprint("vm-", size.vms-2)].see(crashing, "b")
+					f.vms[fmt.Sprint("vm-", size.vms-2)].recordCrash(crashing, "b")
 					time.Sleep(300 * time.Millisecond)
 					fault(f)
-					f.vms[last].see(crashing, "c")
+					f.vms[last].recordCrash(crashing, "c")
 					f.start(ctx, "vm-new")
 					time.Sleep(size.bound)
-					if n := f.unaware(crashing); n > 0 {
-						t.Errorf("%d VMs don't know the request %s after its third end", n, size.bound)
+					if n := f.notQuarantined(crashing); n > 0 {
+						t.Errorf("%d VMs have not quarantined the request %s after its third crash", n, size.bound)
 					}
 					stop()
 					synctest.Wait()
@@ -254,13 +257,14 @@
 	}
 }
 
-// Guards against a request that crashes replicas anew after all VMs have lost power.
-func TestQuarantineOutlivesAllVMs(t *testing.T) {
+// Guards against a request that crashes replicas again after all VMs have lost power and restarted, and
+// against rows of lifted requests that stay in the table.
+func TestQuarantineSurvivesRestartOfAllVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		f := newFleet(ctx, 6)
 		for _, replica := range []string{"a", "b", "c"} {
-			f.vms["vm-0"].see(crashing, replica)
+			f.vms["vm-0"].recordCrash(crashing, replica)
 		}
 		time.Sleep(5 * time.Second)
 		stop()
@@ -269,29 +273,29 @@
 		again, stopAgain := context.WithCancel(t.Context())
 		f2 := newFleetOn(again, 6, f.table)
 		time.Sleep(3 * time.Second)
-		if n := f2.unaware(crashing); n > 0 {
-			t.Errorf("%d VMs don't know the request any more", n)
+		if n := f2.notQuarantined(crashing); n > 0 {
+			t.Errorf("%d VMs have not quarantined the request after the restart", n)
 		}
 		if left := f2.vms["vm-0"].Ledger.Lookup(crashing, time.Now()).Left; left >= quarantine.DefaultSettings.QuarantineTTL-time.Minute {
-			t.Errorf("the time without VMs does not count: %s left", left)
+			t.Errorf("the time without running VMs does not count: %s left", left)
 		}
 		if !f2.vms["vm-3"].Lift(crashing) {
-			t.Error("it can't be lifted")
+			t.Error("quarantine could not be lifted")
 		}
 		time.Sleep(5 * time.Second)
-		if n := f2.unaware(crashing); n != len(f2.vms) {
-			t.Errorf("%d of %d VMs know that it was lifted", n, len(f2.vms))
+		if n := f2.notQuarantined(crashing); n != len(f2.vms) {
+			t.Errorf("the quarantine is lifted on %d of %d VMs", n, len(f2.vms))
 		}
 		if rows, err := f2.table.Scan(t.Context(), prefix, prefixEnd, maxRows); err != nil || len(rows) != 0 {
-			t.Errorf("%d rows are left of a request that was lifted, %v", len(rows), err)
+			t.Errorf("%d rows left after the quarantine was lifted, error %v", len(rows), err)
 		}
 		stopAgain()
 		synctest.Wait()
 	})
 }
 
-// Guards against calls to the store and to peers that are made while no replica has crashed.
-func TestNothingIsToldWhileNothingIsKnown(t *testing.T) {
+// Guards against traffic to the store and to peers while no replica has crashed.
+func TestNoTrafficWithoutCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		f := newFleet(ctx, 88)
@@ -302,7 +306,7 @@
 		}
 		for name, vm := range f.vms {
 			if vm.Ledger.Revision() != 0 {
-				t.Errorf("%s tells peers of news", name)
+				t.Errorf("%s announces changes to peers", name)
 			}
 		}
 		stop()
--- a/internal/quarantine/sharing/options.go
+++ b/internal/quarantine/sharing/options.go
@@ -10,22 +10,24 @@
 	"geraniumcroft/internal/quarantine"
 )
 
-// Peers exchange reports with other VMs.
+// Peers sends reports to other VMs and fetches theirs.
 type Peers interface {
-	// OfferAll hands a change to the VMs from which all others learn it, and returns how many took
-	// it.
+	// OfferAll sends a change of the given age to the VMs from which all others fetch it. It returns
+	// the number of VMs that accepted it.
 	OfferAll(ctx context.Context, table string, change platform.TableChange, age time.Duration) int
-	// FetchFrom asks one peer for what it has beyond a revision.
+	// FetchFrom fetches the changes after a revision from one peer, with their age. It returns false
+	// if the peer did not answer.
 	FetchFrom(ctx context.Context, address, table string, after uint64) (platform.TableChange, time.Duration, bool)
 }
 
-// Options configure a Syncer.
+// Options holds the dependencies of a Syncer. All fields are required.
 type Options struct {
 	Ledger *quarantine.Ledger
 	Peers  Peers
-	// Table keeps quarantined requests.
+	// Table stores quarantined requests.
 	Table platform.Table
-	// ShouldLoad says that this VM is one of those that read them after their start.
+	// ShouldLoad reports whether this VM reads the stored requests after its start. It is called until
+	// it returns true.
 	ShouldLoad func() bool
 	Logger     *zap.Logger
 }
--- a/internal/quarantine/sharing/rows.go
+++ b/internal/quarantine/sharing/rows.go
@@ -17,71 +17,74 @@
 const (
 	prefix    = "quarantine/"
 	prefixEnd = "quarantine0"
-	// maxRows bounds the requests that are read.
+	// maxRows limits the number of rows that are read.
 	maxRows = 500
-	// maxTold bounds the requests of which this VM remembers that it has told others.
-	maxTold = 4096
-	// rewriteAfter is the age from which a row is written again; several VMs may have the same to
-	// write.
-	rewriteAfter = time.Minute
+	// maxShared limits the number of requests in rows.shared. The map is cleared when it is full.
+	maxShared = 4096
+	// rewriteInterval is the age below which the row of a quarantined request is not written again.
+	// Several VMs may be about to write the same row.
+	rewriteInterval = time.Minute
 )
 
-// row is a request's row in the product's table.
+// row is the stored value of one quarantined request.
 type row struct {
 	Report quarantine.Report `json:"report"`
-	// WrittenMS is the table's own clock when the row was written, in milliseconds. The report's
-	// times count from it.
+	// WrittenMS is the time on the table's clock when the row was written, in milliseconds. The times
+	// in Report are relative to it.
 	WrittenMS int64 `json:"writtenMs"`
 }
 
-// rows keeps quarantined requests in the product's table. Of the VMs that know a request, those
-// that saw a replica end under it write its row.
+// rows stores quarantined requests in the platform's table. The row of a request is written by the VMs
+// that saw a replica crash while it ran the request. It is safe for concurrent use.
 type rows struct {
 	table  platform.Table
 	logger *zap.Logger
 
 	mu sync.Mutex // guards the fields below
-	// told are the requests that this VM has told others of, with whether they were quarantined.
-	told map[quarantine.Digest]bool
-	// due are the requests whose rows are to be written, or removed if they are not quarantined.
-	due map[quarantine.Digest]bool
+	// shared holds the requests whose changes this VM has offered to peers, and whether they were
+	// quarantined then.
+	shared map[quarantine.Digest]bool
+	// dirty holds the requests whose rows must be written, or deleted if they are not quarantined.
+	dirty map[quarantine.Digest]bool
 }
 
 func newRows(table platform.Table, logger *zap.Logger) *rows {
-	return &rows{table: table, logger: logger, told: map[quarantine.Digest]bool{}, due: map[quarantine.Digest]bool{}}
+	return &rows{table: table, logger: logger, shared: map[quarantine.Digest]bool{}, dirty: map[quarantine.Digest]bool{}}
 }
 
-// changed notes that this VM tells others of a request.
-func (r *rows) changed(d quarantine.Digest, quarantined bool) {
+// markShared records that this VM offers a change of the request to peers. If the request is
+// quarantined, or was when it was last offered, its row must be written.
+func (r *rows) markShared(d quarantine.Digest, quarantined bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if quarantined || r.told[d] {
-		r.due[d] = true
+	if quarantined || r.shared[d] {
+		r.dirty[d] = true
 	}
-	if len(r.told) >= maxTold {
-		clear(r.told)
+	if len(r.shared) >= maxShared {
+		clear(r.shared)
 	}
-	r.told[d] = quarantined
+	r.shared[d] = quarantined
 }
 
-// judged notes what others' reports make of a request. The row is this VM's to keep if it saw one
-// of the ends.
-func (r *rows) judged(d quarantine.Digest, quarantined bool) {
+// updateStatus records the status of a request after a merge of other VMs' reports. If this VM has
+// shared the request and the status differs, the row must be written.
+func (r *rows) updateStatus(d quarantine.Digest, quarantined bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if before, told := r.told[d]; told && before != quarantined {
-		r.told[d], r.due[d] = quarantined, true
+	if before, shared := r.shared[d]; shared && before != quarantined {
+		r.shared[d], r.dirty[d] = quarantined, true
 	}
 }
 
-// check has a request's row written, or removed if the request is not quarantined.
-func (r *rows) check(d quarantine.Digest) {
+// markDirty schedules the row of a request to be written, or deleted if the request is not quarantined.
+func (r *rows) markDirty(d quarantine.Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.due[d] = true
+	r.dirty[d] = true
 }
 
-// read returns the reports of all rows; their times count from now.
+// read returns the reports of all rows, with times relative to now. Rows that cannot be decoded are
+// logged and skipped.
 func (r *rows) read(ctx context.Context) ([]quarantine.Report, error) {
 	found, err := r.table.Scan(ctx, prefix, prefixEnd, maxRows)
 	if err != nil {
@@ -89,18 +92,19 @@
 	}
 	var reports []quarantine.Report
 	for _, f := range found {
-		var kept row
-		if err := json.Unmarshal(f.Value, &kept); err != nil {
-			r.logger.Warn("row of a quarantined request not read", zap.String("key", f.Key), zap.Error(err))
+		var decoded row
+		if err := json.Unmarshal(f.Value, &decoded); err != nil {
+			r.logger.Warn("failed to decode row of a quarantined request", zap.String("key", f.Key), zap.Error(err))
 			continue
 		}
-		reports = append(reports, kept.since(f.ReadAt))
+		reports = append(reports, decoded.rebase(f.ReadAt))
 	}
 	return reports, nil
 }
 
-// since returns the row's report with times that count from when it was read.
-func (r row) since(readAt time.Duration) quarantine.Report {
+// rebase returns the report with times relative to readAt, the time on the table's clock when the row
+// was read.
+func (r row) rebase(readAt time.Duration) quarantine.Report {
 	age := max(0, readAt.Milliseconds()-r.WrittenMS)
 	report := r.Report
 	report.SeenMS -= age
@@ -111,45 +115,48 @@
 	return report
 }
 
-// write writes the rows that are due.
+// write writes or deletes the dirty rows. Rows that fail stay dirty.
 func (r *rows) write(ctx context.Context, ledger *quarantine.Ledger) error {
 	var failed error
-	for _, d := range r.takeDue() {
-		if err := r.writeOne(ctx, ledger, d); err != nil {
+	for _, d := range r.takeDirty() {
+		if err := r.writeRow(ctx, ledger, d); err != nil {
 			failed = errors.CombineErrors(failed, err)
 			r.mu.Lock()
-			r.due[d] = true
+			r.dirty[d] = true
 			r.mu.Unlock()
 		}
 	}
 	return failed
 }
 
-func (r *rows) takeDue() []quarantine.Digest {
+// takeDirty returns the dirty requests and marks them as clean.
+func (r *rows) takeDirty() []quarantine.Digest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var digests []quarantine.Digest
-	for d := range r.due {
+	for d := range r.dirty {
 		digests = append(digests, d)
 	}
-	clear(r.due)
+	clear(r.dirty)
 	return digests
 }
 
-func (r *rows) writeOne(ctx context.Context, ledger *quarantine.Ledger, d quarantine.Digest) error {
+// writeRow writes the row of a request, or deletes it if the request is not quarantined. The write is
+// conditional on the revision read before, so that it does not overwrite a concurrent change.
+func (r *rows) writeRow(ctx context.Context, ledger *quarantine.Ledger, d quarantine.Digest) error {
 	key := prefix + d.String()
 	found, err := r.table.Get(ctx, key)
 	if err != nil {
 		return err
 	}
 	if len(found) != 1 {
-		return errors.Newf("%d rows for one key", len(found))
+		return errors.Newf("table returned %d rows for one key", len(found))
 	}
 	write := platform.Write{Key: key, Delete: true}
 	now := time.Now()
 	reports := ledger.Reports(now, d)
 	switch quarantined := len(reports) == 1 && ledger.Lookup(d, now).Quarantined; {
-	case quarantined && youngRow(found[0]), !quarantined && found[0].Revision == 0:
+	case quarantined && recentlyWritten(found[0]), !quarantined && found[0].Revision == 0:
 		return nil
 	case quarantined:
 		value, err := json.Marshal(row{Report: reports[0], WrittenMS: found[0].ReadAt.Milliseconds()})
@@ -163,11 +170,11 @@
 	})
 }
 
-// youngRow reports whether a row was written a moment ago.
-func youngRow(found platform.Row) bool {
-	var kept row
-	if found.Revision == 0 || json.Unmarshal(found.Value, &kept) != nil {
+// recentlyWritten reports whether a row is younger than rewriteInterval.
+func recentlyWritten(found platform.Row) bool {
+	var decoded row
+	if found.Revision == 0 || json.Unmarshal(found.Value, &decoded) != nil {
 		return false
 	}
-	return found.ReadAt-time.Duration(kept.WrittenMS)*time.Millisecond < rewriteAfter
+	return found.ReadAt-time.Duration(decoded.WrittenMS)*time.Millisecond < rewriteInterval
 }
--- a/internal/quarantine/sharing/sharing.go
+++ b/internal/quarantine/sharing/sharing.go
@@ -14,55 +14,59 @@
 )
 
 const (
-	// maxPending bounds the requests that wait to be told to peers. What is dropped beyond it is
-	// found by its revision.
+	// maxPending limits the changes waiting to be offered, and the peers waiting to be fetched from.
+	// Peers fetch a dropped change when they see the revision of the ledger; a dropped peer is added
+	// again with its next answer.
 	maxPending = 1024
-	// tellPause collects what is learned of the runs that ended with one replica.
-	tellPause = 5 * time.Millisecond
-	// offerAgain is the pause before a change that no peer has taken is offered again, offerMost how
-	// often it is offered. A VM that nobody asks is not heard otherwise.
-	offerAgain = 300 * time.Millisecond
-	offerMost  = 30
-	// storeInterval is the pause between two tries to reach the table while there is something to
-	// read or write.
+	// batchDelay is how long changes are collected before they are offered together: the crash of a
+	// replica changes the records of all requests on it.
+	batchDelay = 5 * time.Millisecond
+	// offerRetryInterval is the pause before a change that no peer has accepted is offered again, and
+	// maxOffers the number of offers. Peers that never fetch from this VM get its changes only by
+	// offers.
+	offerRetryInterval = 300 * time.Millisecond
+	maxOffers          = 30
+	// storeInterval is the pause between two attempts to read from or write to the table.
 	storeInterval = time.Second
 )
 
-// Syncer exchanges a ledger with other VMs. It is safe for concurrent use.
+// Syncer synchronizes a ledger with those of other VMs. It is safe for concurrent use.
 type Syncer struct {
 	Options
-	// epoch is what the times of this VM's reports count from.
+	// epoch is the time that the times in this VM's reports are relative to.
 	epoch   time.Time
 	pending chan quarantine.Digest
-	// heard are peers with news.
-	heard chan string
-	rows  *rows
+	// toFetch holds the addresses of peers whose ledgers have changed.
+	toFetch chan string
+	rows    *rows
 
 	mu sync.Mutex // guards the fields below
-	// cursors are the revisions up to which peers' reports were taken over.
+	// cursors holds, by address, the revision up to which the reports of a peer are merged.
 	cursors map[string]uint64
-	// fetching are the peers that are being asked.
+	// fetching holds the peers that are in toFetch or being fetched from.
 	fetching map[string]bool
 }
 
-// New returns a sharing; Run makes it work.
+// New returns a Syncer. It exchanges nothing until Run is called.
 func New(o Options) *Syncer {
 	return &Syncer{
 		Options: o, epoch: time.Now(), pending: make(chan quarantine.Digest, maxPending), rows: newRows(o.Table, o.Logger),
-		cursors: map[string]uint64{}, fetching: map[string]bool{}, heard: make(chan string, maxPending),
+		cursors: map[string]uint64{}, fetching: map[string]bool{}, toFetch: make(chan string, maxPending),
 	}
 }
 
-// Tell tells other VMs of a change of what this VM knows of a request. It does not block.
+// Tell offers a change of the record of a request to other VMs. It does not block: if too many changes
+// are pending, the change is logged and dropped.
 func (s *Syncer) Tell(d quarantine.Digest) {
 	select {
 	case s.pending <- d:
 	default:
-		s.Logger.Warn("change of the quarantine not offered to peers", zap.Stringer("digest", d))
+		s.Logger.Warn("change of the quarantine not offered: too many are pending", zap.Stringer("digest", d))
 	}
 }
 
-// ObserveRevision takes the revision of a peer's ledger. It does not block.
+// ObserveRevision records the revision of a peer's ledger and schedules a fetch if the peer has
+// changes. It does not block.
 func (s *Syncer) ObserveRevision(address string, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,27 +74,29 @@
 		return
 	}
 	if revision < s.cursors[address] {
-		s.cursors[address] = 0 // it has started again
+		s.cursors[address] = 0 // the peer has restarted
 	}
 	select {
-	case s.heard <- address:
+	case s.toFetch <- address:
 		s.fetching[address] = true
-	default: // its next answer says so again
+	default: // the next answer of the peer carries its revision again
 	}
 }
 
-// Since returns what a peer lacks that knows this VM's reports up to a revision.
+// Since returns the reports that changed after a revision of this VM's ledger, with the age of the
+// epoch that their times are relative to. The last result is always true.
 func (s *Syncer) Since(after uint64) (platform.TableChange, time.Duration, bool) {
 	reports, revision := s.Ledger.Since(after, s.epoch)
 	return s.change(reports, revision), time.Since(s.epoch), true
 }
 
+// change encodes reports as a table change with the given revision.
 func (s *Syncer) change(reports []quarantine.Report, revision uint64) platform.TableChange {
 	change := platform.TableChange{Revision: revision, Written: make(map[string][]byte, len(reports))}
 	for _, report := range reports {
 		row, err := json.Marshal(report)
 		if err != nil {
-			s.Logger.Error("report of a request not encoded", zap.Stringer("digest", report.Digest), zap.Error(err))
+			s.Logger.Error("failed to encode report of a request", zap.Stringer("digest", report.Digest), zap.Error(err))
 			continue
 		}
 		change.Written[report.Digest.String()] = row
@@ -98,62 +104,62 @@
 	return change
 }
 
-// Apply takes over a peer's reports, whose times count from an epoch of the given age.
+// Apply merges the reports of a peer, whose times are relative to an epoch of the given age.
 func (s *Syncer) Apply(change platform.TableChange, age time.Duration) {
 	reports := make([]quarantine.Report, 0, len(change.Written))
 	for key, row := range change.Written {
 		var report quarantine.Report
 		if err := json.Unmarshal(row, &report); err != nil {
-			s.Logger.Warn("report of a request not read", zap.String("digest", key), zap.Error(err))
+			s.Logger.Warn("failed to decode report of a request", zap.String("digest", key), zap.Error(err))
 			continue
 		}
 		reports = append(reports, report)
 	}
 	now := time.Now()
-	s.learned(s.Ledger.Merge(reports, now.Add(-age), now), "peer")
+	s.onMerged(s.Ledger.Merge(reports, now.Add(-age), now), "peer")
 }
 
-// learned logs what others' reports changed and keeps what is quarantined by them.
-func (s *Syncer) learned(changed []quarantine.Digest, from string) {
+// onMerged logs the requests whose records a merge has changed, and updates their rows.
+func (s *Syncer) onMerged(changed []quarantine.Digest, from string) {
 	for _, d := range changed {
-		verdict := s.Ledger.Lookup(d, time.Now())
+		status := s.Ledger.Lookup(d, time.Now())
 		s.Logger.Info("report of a request that may crash replicas", zap.Stringer("digest", d), zap.String("from", from),
-			zap.Int("ends", verdict.Crashes), zap.Bool("quarantined", verdict.Quarantined), zap.Strings("replicas", s.Ledger.CrashedReplicas(d)))
-		s.rows.judged(d, verdict.Quarantined)
+			zap.Int("ends", status.Crashes), zap.Bool("quarantined", status.Quarantined), zap.Strings("replicas", s.Ledger.CrashedReplicas(d)))
+		s.rows.updateStatus(d, status.Quarantined)
 	}
 }
 
 // Run exchanges reports until ctx ends.
 func (s *Syncer) Run(ctx context.Context) {
 	var work sync.WaitGroup
-	work.Go(func() { s.tell(ctx, &work) })
-	work.Go(func() { s.ask(ctx, &work) })
-	work.Go(func() { s.keep(ctx) })
+	work.Go(func() { s.offerLoop(ctx, &work) })
+	work.Go(func() { s.fetchLoop(ctx, &work) })
+	work.Go(func() { s.tableLoop(ctx) })
 	work.Wait()
 }
 
-// tell offers changes to peers.
-func (s *Syncer) tell(ctx context.Context, work *sync.WaitGroup) {
+// offerLoop offers pending changes to peers.
+func (s *Syncer) offerLoop(ctx context.Context, work *sync.WaitGroup) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case first := <-s.pending:
-			sleep.For(ctx, tellPause)
+			sleep.For(ctx, batchDelay)
 			digests := s.collect(first)
 			work.Go(func() { s.offer(ctx, digests) })
 		}
 	}
 }
 
-// collect returns what waits to be told, each request once.
+// collect returns first and all pending requests, without duplicates.
 func (s *Syncer) collect(first quarantine.Digest) []quarantine.Digest {
-	digests, is := []quarantine.Digest{first}, map[quarantine.Digest]bool{first: true}
+	digests, seen := []quarantine.Digest{first}, map[quarantine.Digest]bool{first: true}
 	for {
 		select {
 		case d := <-s.pending:
-			if !is[d] {
-				digests, is[d] = append(digests, d), true
+			if !seen[d] {
+				digests, seen[d] = append(digests, d), true
 			}
 		default:
 			return digests
@@ -161,31 +167,33 @@
 	}
 }
 
+// offer offers the reports of the requests until a peer accepts them, at most maxOffers times.
 func (s *Syncer) offer(ctx context.Context, digests []quarantine.Digest) {
 	for _, d := range digests {
-		s.rows.changed(d, s.Ledger.Lookup(d, time.Now()).Quarantined)
+		s.rows.markShared(d, s.Ledger.Lookup(d, time.Now()).Quarantined)
 	}
 	change := s.change(s.Ledger.Reports(s.epoch, digests...), s.Ledger.Revision())
-	for range offerMost {
-		if s.Peers.OfferAll(ctx, quarantine.TableName, change, time.Since(s.epoch)) > 0 || !sleep.For(ctx, offerAgain) {
+	for range maxOffers {
+		if s.Peers.OfferAll(ctx, quarantine.TableName, change, time.Since(s.epoch)) > 0 || !sleep.For(ctx, offerRetryInterval) {
 			return
 		}
 	}
 	s.Logger.Warn("change of the quarantine taken by no peer", zap.Int("requests", len(digests)))
 }
 
-// ask fetches the reports of peers that have news.
-func (s *Syncer) ask(ctx context.Context, work *sync.WaitGroup) {
+// fetchLoop fetches from the peers in toFetch.
+func (s *Syncer) fetchLoop(ctx context.Context, work *sync.WaitGroup) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case address := <-s.heard:
+		case address := <-s.toFetch:
 			work.Go(func() { s.fetch(ctx, address) })
 		}
 	}
 }
 
+// fetch fetches and merges the reports of one peer that are new since its cursor.
 func (s *Syncer) fetch(ctx context.Context, address string) {
 	s.mu.Lock()
 	after := s.cursors[address]
@@ -202,29 +210,30 @@
 	}
 }
 
-// Lift drops all that is held against a request, by an operator's word, and reports whether there
-// was anything.
+// Lift ends the quarantine or suspicion of a request on all VMs, on behalf of an operator. It reports
+// whether the request had crashes that counted.
 func (s *Syncer) Lift(d quarantine.Digest) bool {
 	lifted := s.Ledger.Lift(d)
 	if lifted {
-		s.Logger.Info("request lifted from quarantine by an operator", zap.Stringer("digest", d))
-		s.rows.check(d)
+		s.Logger.Info("quarantine lifted by an operator", zap.Stringer("digest", d))
+		s.rows.markDirty(d)
 		s.Tell(d)
 	}
 	return lifted
 }
 
-// dropStale has the rows removed that quarantine nothing any more.
-func (s *Syncer) dropStale(reports []quarantine.Report) {
+// removeStaleRows schedules the deletion of rows whose requests are not quarantined any more.
+func (s *Syncer) removeStaleRows(reports []quarantine.Report) {
 	for _, report := range reports {
 		if !s.Ledger.Lookup(report.Digest, time.Now()).Quarantined {
-			s.rows.check(report.Digest)
+			s.rows.markDirty(report.Digest)
 		}
 	}
 }
 
-// keep reads the table after the start, and writes to it what is quarantined.
-func (s *Syncer) keep(ctx context.Context) {
+// tableLoop writes the dirty rows every storeInterval. Once ShouldLoad returns true, it first reads the
+// table, and writes nothing until the read has succeeded.
+func (s *Syncer) tableLoop(ctx context.Context) {
 	ctx = platform.WithPurpose(ctx, platform.PurposeQuarantine)
 	read := false
 	for sleep.For(ctx, storeInterval) {
@@ -236,8 +245,8 @@
 			}
 			read = true
 			now := time.Now()
-			s.learned(s.Ledger.Merge(reports, now, now), "store")
-			s.dropStale(reports)
+			s.onMerged(s.Ledger.Merge(reports, now, now), "store")
+			s.removeStaleRows(reports)
 		}
 		if err := s.rows.write(ctx, s.Ledger); err != nil {
 			s.Logger.Info("quarantined requests not written", zap.Error(err))
