--- a/internal/pushback/backing_off.go
+++ b/internal/pushback/back_off.go
@@ -8,8 +8,9 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// backOff takes that a replica wants no requests from this VM for a time. l.mu is held.
-func (l *Ledger) backOff(key incarnation.Key, s *state, wanted time.Duration, now time.Time) {
+// setBackOff records that a replica wants no requests from this VM for the given time. It never shortens
+// a back-off. The caller must hold l.mu.
+func (l *Ledger) setBackOff(key incarnation.Key, s *state, wanted time.Duration, now time.Time) {
 	left := s.backOffLeft(now)
 	if left >= wanted {
 		return
@@ -18,19 +19,19 @@
 		s.backOffSince, s.backOffSent = now, 0
 	}
 	s.backOffUntil = now.Add(wanted)
-	l.count()
+	l.updateActive()
 	l.logger.Info("replica asks to back off", zap.Stringer("replica", key), zap.Duration("wanted", wanted), zap.Duration("left", left),
 		zap.Duration("since", now.Sub(s.backOffSince)), zap.Uint64("sent", s.backOffSent))
 }
 
-// takesAgain ends what is left of a back-off when the replica takes a request that was sent after it.
-// l.mu is held.
-func (l *Ledger) takesAgain(from Origin, s *state) {
+// endBackOff forgets a back-off that has passed, once the replica has answered a request that was sent
+// after its end. The caller must hold l.mu.
+func (l *Ledger) endBackOff(from Origin, s *state) {
 	if s.backOffUntil.IsZero() || from.Sent.Before(s.backOffUntil) {
 		return
 	}
 	l.logger.Info("replica takes requests again after it asked to back off", zap.Stringer("replica", from.Replica),
 		zap.Duration("wanted", s.backOffUntil.Sub(s.backOffSince)), zap.Uint64("sent", s.backOffSent))
 	s.backOffUntil = time.Time{}
-	l.count()
+	l.updateActive()
 }
--- a/internal/pushback/counts.go
+++ b/internal/pushback/counts.go
@@ -2,15 +2,17 @@
 
 import "time"
 
-// Counts says how many replicas have something in force.
+// Counts holds numbers of replicas, for metrics. A replica may count in several fields.
 type Counts struct {
-	// Limited have a rate limit, BackingOff want no requests from this VM for now, Leaving leave.
-	Limited    int
+	// Limited replicas have a rate limit.
+	Limited int
+	// BackingOff replicas want no requests from this VM for now.
 	BackingOff int
-	Leaving    int
+	// Leaving replicas have announced that they are about to end.
+	Leaving int
 }
 
-// Counts returns how many replicas have something in force.
+// Counts returns the current numbers.
 func (l *Ledger) Counts(now time.Time) Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/pushback/doc.go
+++ b/internal/pushback/doc.go
@@ -1,6 +1,7 @@
-// Package pushback keeps what replicas ask of those who send requests to them.
+// Package pushback tracks the flow control signals of replicas: rate limits, requests to back off, and
+// announcements that a replica is about to end.
 //
-// A replica says so in its answers, and each answer that arrives goes to the Ledger as a Signal.
-// What was said holds for one incarnation of the replica. The package has no network and no clock
-// of its own.
+// Replicas send these signals with their answers, and each answer is passed to the Ledger as a Signal.
+// A signal applies to one incarnation of the replica. The package does no network I/O and does not read
+// the clock: callers pass the time.
 package pushback
--- a/internal/pushback/dump.go
+++ b/internal/pushback/dump.go
@@ -8,27 +8,29 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// Entry is what is in force of one replica's word, for the dump and the log.
+// Entry is the flow control state of one replica in a dump and in the log.
 type Entry struct {
 	Replica string `json:"replica"`
-	// LimitPerSecond is what it takes from all VMs, nil without a limit.
+	// LimitPerSecond is the number of requests per second that the replica accepts from all VMs
+	// together, nil without a limit.
 	LimitPerSecond *float64 `json:"limitPerSecond,omitempty"`
-	// Sender says that this VM may send OwnPerSecond of it; others leave the replica alone.
+	// Sender reports whether this VM may use OwnPerSecond requests per second of the limit. A VM that
+	// is no sender leaves the limit to other VMs.
 	Sender       bool    `json:"sender"`
 	OwnPerSecond float64 `json:"ownPerSecond"`
-	// Sent counts this VM's requests to it since the limit was first heard.
+	// Sent counts the requests of this VM to the replica since the limit became known.
 	Sent uint64 `json:"sent"`
-	// BackOffSeconds is for how long yet the replica wants no requests from this VM, 0 if it does, and
-	// BackOffSent counts those that were sent since it asked for it.
+	// BackOffSeconds is the remaining time for which the replica wants no requests from this VM, 0 if
+	// it accepts them. BackOffSent counts the requests sent since the replica asked to back off.
 	BackOffSeconds float64 `json:"backOffSeconds,omitempty"`
 	BackOffSent    uint64  `json:"backOffSent,omitempty"`
-	// Leaving says that the replica has said that it leaves.
+	// Leaving reports whether the replica has announced that it is about to end.
 	Leaving bool `json:"leaving,omitempty"`
-	// HeardSeconds is the age of its last word.
-	HeardSeconds float64 `json:"heardSeconds"`
+	// LastAnswerSeconds is the time since the last answer of the replica to this VM.
+	LastAnswerSeconds float64 `json:"heardSeconds"`
 }
 
-// Dump returns what is in force, by replica.
+// Dump returns the replicas with a signal in force, sorted by name.
 func (l *Ledger) Dump(now time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,8 +44,9 @@
 	return entries
 }
 
+// entry returns the dump entry for the state.
 func (s *state) entry(key incarnation.Key, now time.Time) Entry {
-	e := Entry{Replica: key.String(), Sender: s.part.sender, OwnPerSecond: s.part.rate, Sent: s.sent, Leaving: s.leaving, HeardSeconds: now.Sub(s.heard).Seconds()}
+	e := Entry{Replica: key.String(), Sender: s.quota.sender, OwnPerSecond: s.quota.rate, Sent: s.sent, Leaving: s.leaving, LastAnswerSeconds: now.Sub(s.lastAnswer).Seconds()}
 	if left := s.backOffLeft(now); left > 0 {
 		e.BackOffSeconds, e.BackOffSent = left.Seconds(), s.backOffSent
 	}
--- a/internal/pushback/fleet.go
+++ b/internal/pushback/fleet.go
@@ -9,23 +9,26 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// VM is one of those that share the replicas.
+// VM is a VM that sends requests to the replicas.
 type VM struct {
 	Name       string
 	DataCentre string
 }
 
-// Fleet is all VMs that share the replicas.
+// Fleet is the set of VMs that share the replicas and their limits.
 type Fleet struct {
-	// Self is this VM's name.
+	// Self is the name of this VM.
 	Self string
-	// Known says that the others were counted, and count this VM; until then VMs is of no use.
+	// Known reports whether this VM knows the other VMs and they know this one. VMs is ignored until
+	// then.
 	Known bool
-	VMs   []VM
+	// VMs holds all VMs, this one included.
+	VMs []VM
 }
 
-// rank returns this VM's place among those that may send to a limited replica: VMs of the replica's
-// data centre first, in an order of the replica's own. A VM that is not listed has the last place.
+// rank returns the position of this VM in the order in which VMs get a quota of a replica's limit: VMs of
+// the replica's data centre first, then by a hash that differs between replicas. A VM that is not in
+// f.VMs ranks last.
 func (f Fleet) rank(replica incarnation.Key, dataCentre string) int {
 	prefix := replica.String() + "/"
 	order := slices.Clone(f.VMs)
--- a/internal/pushback/gate.go
+++ b/internal/pushback/gate.go
@@ -8,103 +8,106 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// probeAgain is after how long a replica that has not answered the first request after it asked to back
-// off is sent another one.
-const probeAgain = 250 * time.Millisecond
+// probeInterval is the time after which another request is sent to a replica that has not answered the
+// first request after a back-off.
+const probeInterval = 250 * time.Millisecond
 
-// Active reports whether any replica has something in force.
+// Active reports whether any replica has a signal in force. A back-off counts until the replica answers
+// a request that was sent after it.
 func (l *Ledger) Active() bool { return l.active.Load() > 0 }
 
-// Open reports whether a replica may be sent a request now, and else when it may be at the earliest,
-// zero if only other VMs may send to it. It takes nothing; Take decides.
+// Open reports whether a request may be sent to a replica now, and if not, the earliest time at which it
+// may be; zero means that only other VMs may send to it. Open uses up no quota, so that a following call
+// of Take decides.
 func (l *Ledger) Open(replica incarnation.Key, now time.Time) (open bool, at time.Time) {
 	open = true
-	l.of(replica, func(s *state) { open, at = s.opens(now) })
+	l.withState(replica, func(s *state) { open, at = s.openAt(now) })
 	return open, at
 }
 
-// Take uses up one request that the replica takes, and reports whether it may be sent.
+// Take uses up one request of the quota for a replica and reports whether the request may be sent.
 func (l *Ledger) Take(replica incarnation.Key, now time.Time) bool {
 	taken := true
-	l.of(replica, func(s *state) { taken = s.take(now) })
+	l.withState(replica, func(s *state) { taken = s.take(now) })
 	return taken
 }
 
-// CheckSend returns the error with which a request is not sent that was already meant for a replica, as it
-// has asked to back off or said that it leaves meanwhile; nil if it has not.
+// CheckSend returns an error if a request for which Take has succeeded must not be sent any more, because
+// the replica has asked to back off or announced its end since then, and nil otherwise.
 func (l *Ledger) CheckSend(replica incarnation.Key, now time.Time) *ThrottledError {
-	var held *ThrottledError
-	l.of(replica, func(s *state) {
+	var throttled *ThrottledError
+	l.withState(replica, func(s *state) {
 		switch {
 		case s.leaving:
-			held = &ThrottledError{}
+			throttled = &ThrottledError{}
 		case s.backOffLeft(now) > 0:
-			held = &ThrottledError{Until: s.backOffUntil}
+			throttled = &ThrottledError{Until: s.backOffUntil}
 		}
 	})
-	return held
+	return throttled
 }
 
-// opens is Open of one replica.
-func (s *state) opens(now time.Time) (open bool, at time.Time) {
-	if at = s.backedOffUntil(); at.After(now) {
+// openAt is Open for the state of one replica.
+func (s *state) openAt(now time.Time) (open bool, at time.Time) {
+	if at = s.blockedUntil(); at.After(now) {
 		return false, at
 	}
 	switch {
 	case !s.limit.Set:
 		return true, now
-	case !s.part.sender:
-		return !now.Before(s.trialAt()), time.Time{}
+	case !s.quota.sender:
+		return !now.Before(s.nextTrial()), time.Time{}
 	}
-	at = now.Add(untilToken(s.bucket, now))
+	at = now.Add(tokenDelay(s.bucket, now))
 	return !at.After(now), at
 }
 
-// take uses up one request of this VM's part.
+// take is Take for the state of one replica.
 func (s *state) take(now time.Time) bool {
-	if s.backedOffUntil().After(now) || !s.takePart(now) {
+	if s.blockedUntil().After(now) || !s.takeQuota(now) {
 		return false
 	}
-	s.probed = now
+	s.lastSent = now
 	return true
 }
 
-// takePart uses up one request of this VM's part of the limit.
-func (s *state) takePart(now time.Time) bool {
+// takeQuota uses up one request of this VM's quota. A VM that is no sender may make a trial instead.
+func (s *state) takeQuota(now time.Time) bool {
 	switch {
 	case !s.limit.Set:
 		return true
-	case !s.part.sender && now.Before(s.trialAt()):
+	case !s.quota.sender && now.Before(s.nextTrial()):
 		return false
-	case !s.part.sender:
-		s.tried = now
+	case !s.quota.sender:
+		s.lastTrial = now
 		return true
 	}
 	return s.bucket.AllowN(now, 1)
 }
 
-// backedOffUntil is until when the replica is left alone after it asked to back off. When that time is
-// over it is sent one request until it has answered one: what has waited would reach it at one moment.
-func (s *state) backedOffUntil() time.Time {
-	if s.backOffUntil.IsZero() || s.probed.Before(s.backOffUntil) {
+// blockedUntil returns the time before which no request may be sent because of a back-off. After the
+// back-off, one request per probeInterval is allowed until the replica has answered one. Otherwise all
+// requests that waited for the end of the back-off would reach the replica at the same time.
+func (s *state) blockedUntil() time.Time {
+	if s.backOffUntil.IsZero() || s.lastSent.Before(s.backOffUntil) {
 		return s.backOffUntil
 	}
-	return s.probed.Add(probeAgain)
+	return s.lastSent.Add(probeInterval)
 }
 
-// trialAt is when a VM that is no sender may try one request.
-func (s *state) trialAt() time.Time {
-	last := s.told
-	if s.tried.After(last) {
-		last = s.tried
+// nextTrial returns the time from which a VM that is no sender may send one request.
+func (s *state) nextTrial() time.Time {
+	last := s.limitAt
+	if s.lastTrial.After(last) {
+		last = s.lastTrial
 	}
-	return last.Add(s.part.trialAfter)
+	return last.Add(s.quota.trialDelay)
 }
 
-// share makes this VM keep to its part of the limit from now on. The bucket begins empty: a VM that
-// comes to have a part takes it from others, which may just have used theirs.
-func (s *state) share(p part, now time.Time) {
-	s.part = p
+// setQuota applies a new quota. A new token bucket starts empty, because the quota of this VM was taken
+// from other VMs, which may just have used it.
+func (s *state) setQuota(p quota, now time.Time) {
+	s.quota = p
 	if !p.sender {
 		s.bucket = nil
 		return
@@ -118,8 +121,8 @@
 	s.bucket.SetBurstAt(now, p.burst)
 }
 
-// untilToken is how long it takes until the bucket has a token, 0 if it has one.
-func untilToken(bucket *rate.Limiter, now time.Time) time.Duration {
+// tokenDelay returns the time until the bucket holds a token, 0 if it holds one.
+func tokenDelay(bucket *rate.Limiter, now time.Time) time.Duration {
 	missing := 1 - bucket.TokensAt(now)
 	if missing <= 0 {
 		return 0
--- a/internal/pushback/leaving_test.go
+++ b/internal/pushback/leaving_test.go
@@ -8,28 +8,29 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// Guards against a replica that is sent requests again as one of its answers does not say that it leaves.
-func TestReplicaLeavesUntilItsIncarnationEnds(t *testing.T) {
+// Guards against a leaving replica that gets requests again because a later answer does not repeat the
+// announcement, and against repeated calls of OnLeaving.
+func TestReplicaStaysLeavingUntilItsIncarnationEnds(t *testing.T) {
 	l := NewLedger(zap.NewNop())
-	told := 0
-	l.OnLeaving(func(incarnation.Key) { told++ })
-	hear(l, Signal{Leaving: true}, 0, 1)
-	hear(l, Signal{}, 2, 3)
-	hear(l, Signal{Leaving: true}, 4, 5)
-	if !l.Leaving(desk) || l.CheckSend(desk, at(6)) == nil || told != 1 {
-		t.Errorf("leaving %t, told %d times", l.Leaving(desk), told)
+	calls := 0
+	l.OnLeaving(func(incarnation.Key) { calls++ })
+	observe(l, Signal{Leaving: true}, 0, 1)
+	observe(l, Signal{}, 2, 3)
+	observe(l, Signal{Leaving: true}, 4, 5)
+	if !l.Leaving(testReplica) || l.CheckSend(testReplica, at(6)) == nil || calls != 1 {
+		t.Errorf("leaving %t, OnLeaving called %d times, want 1", l.Leaving(testReplica), calls)
 	}
-	if later := (incarnation.Key{ID: desk.ID, Born: desk.Born + 1}); l.Leaving(later) {
-		t.Error("the later incarnation leaves too")
+	if later := (incarnation.Key{ID: testReplica.ID, Born: testReplica.Born + 1}); l.Leaving(later) {
+		t.Error("the next incarnation is leaving too")
 	}
 }
 
-// Guards against VMs that go on sending to a replica of which only another VM has heard that it leaves.
-func TestLeavingIsLearnedFromOtherVMs(t *testing.T) {
-	heard, told := NewLedger(zap.NewNop()), NewLedger(zap.NewNop())
-	hear(heard, Signal{Leaving: true}, 0, 1)
-	tell(heard, told, 2)
-	if !told.Leaving(desk) {
-		t.Error("not told")
+// Guards against VMs that keep sending to a replica that announced its end to another VM only.
+func TestLeavingIsMergedFromNotices(t *testing.T) {
+	source, peer := NewLedger(zap.NewNop()), NewLedger(zap.NewNop())
+	observe(source, Signal{Leaving: true}, 0, 1)
+	exchange(source, peer, 2)
+	if !peer.Leaving(testReplica) {
+		t.Error("replica is not marked as leaving")
 	}
 }
--- a/internal/pushback/ledger.go
+++ b/internal/pushback/ledger.go
@@ -11,51 +11,53 @@
 )
 
 const (
-	// forgetAfter is how long a replica that says nothing more is remembered, and leavingForgetAfter one
-	// that leaves.
-	forgetAfter        = 10 * time.Minute
-	leavingForgetAfter = 24 * time.Hour
+	// stateTTL is how long the state of a replica is kept after its last signal and answer, and
+	// leavingTTL that of a replica that has announced its end.
+	stateTTL   = 10 * time.Minute
+	leavingTTL = 24 * time.Hour
 )
 
-// Ledger keeps what replicas have said. It is safe for concurrent use.
+// Ledger holds the flow control state of replicas. It is safe for concurrent use.
 type Ledger struct {
 	logger *zap.Logger
-	// active counts the replicas that have something in force.
+	// active counts the replicas with a signal in force.
 	active atomic.Int32
 
 	mu       sync.Mutex // guards the fields below
 	replicas map[incarnation.Key]*state
 	fleet    Fleet
 	onChange func(incarnation.Key)
-	// onLeaving is told of a replica that leaves, outside of the lock.
+	// onLeaving is called with a replica that has announced its end, without mu held.
 	onLeaving func(incarnation.Key)
 
-	// parts is partOf but in tests.
-	parts func(Limit, Fleet, int) part
+	// quotas is quotaFor, except in tests.
+	quotas func(Limit, Fleet, int) quota
 }
 
-// NewLedger returns a ledger of replicas that have said nothing.
+// NewLedger returns a ledger without signals.
 func NewLedger(logger *zap.Logger) *Ledger {
-	return &Ledger{logger: logger, replicas: map[incarnation.Key]*state{}, onChange: func(incarnation.Key) {}, onLeaving: func(incarnation.Key) {}, parts: partOf}
+	return &Ledger{logger: logger, replicas: map[incarnation.Key]*state{}, onChange: func(incarnation.Key) {}, onLeaving: func(incarnation.Key) {}, quotas: quotaFor}
 }
 
-// OnChange sets the function that is told of a replica that says something else than before, by an
-// answer to this VM. It is called under the ledger's lock and must not block or call back.
+// OnChange sets the function that is called when an answer to this VM notably changes the limit of a
+// replica or announces its end. Reports of other VMs do not cause a call. The function is called with the
+// ledger's lock held and must not block or call methods of the ledger.
 func (l *Ledger) OnChange(f func(incarnation.Key)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.onChange = f
 }
 
-// Observe takes what an answer says.
+// Observe records the signal of an answer.
 func (l *Ledger) Observe(from Origin, signal Signal, now time.Time) {
-	if l.take(from, signal, now) {
+	if l.observe(from, signal, now) {
 		l.onLeaving(from.Replica)
 	}
 }
 
-// take takes what an answer says, and reports whether it is new that the replica leaves.
-func (l *Ledger) take(from Origin, signal Signal, now time.Time) (leaves bool) {
+// observe records the signal of an answer and reports whether the replica announces its end for the
+// first time.
+func (l *Ledger) observe(from Origin, signal Signal, now time.Time) (startsLeaving bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.replicas[from.Replica]
@@ -65,44 +67,46 @@
 		}
 		s = l.add(from.Replica, from.DataCentre, now)
 	}
-	s.heard = now
+	s.lastAnswer = now
 	if signal.ParseErr != nil {
-		l.unreadable(from.Replica, s, signal.ParseErr)
+		l.parseFailure(from.Replica, s, signal.ParseErr)
 	}
 	if signal.BackOff > 0 {
-		l.backOff(from.Replica, s, signal.BackOff, now)
+		l.setBackOff(from.Replica, s, signal.BackOff, now)
 	} else {
-		l.takesAgain(from, s)
+		l.endBackOff(from, s)
 	}
-	leaves = signal.Leaving && l.leaves(from.Replica, s, "replica")
-	// The answer to a request that was sent before the limit was heard of may be older than the limit.
-	limitKnown := !signal.LimitInvalid && (signal.Limit.Set || !from.Sent.Before(s.since))
-	changed := leaves
+	startsLeaving = signal.Leaving && l.startsLeaving(from.Replica, s, "replica")
+	// An answer without a limit does not end one that became known after its request was sent: the
+	// answer may be older than the limit.
+	limitKnown := !signal.LimitInvalid && (signal.Limit.Set || !from.Sent.Before(s.limitSince))
+	changed := startsLeaving
 	if limitKnown {
-		s.told = now
-		changed = l.limited(from.Replica, s, signal.Limit, now, "replica") || leaves
+		s.limitAt = now
+		changed = l.setLimit(from.Replica, s, signal.Limit, now, "replica") || startsLeaving
 	}
 	if changed {
 		l.onChange(from.Replica)
 	}
-	return leaves
+	return startsLeaving
 }
 
-// add begins to keep what a replica says. l.mu is held.
+// add adds the state of a replica and removes expired states. The caller must hold l.mu.
 func (l *Ledger) add(replica incarnation.Key, dataCentre string, now time.Time) *state {
 	for key, s := range l.replicas {
-		if s.forgotten(now) {
+		if s.expired(now) {
 			delete(l.replicas, key)
 		}
 	}
-	s := &state{dataCentre: dataCentre, heard: now}
+	s := &state{dataCentre: dataCentre, lastAnswer: now}
 	l.replicas[replica] = s
-	l.count()
+	l.updateActive()
 	return s
 }
 
-// count counts what is in force, or was until lately. l.mu is held.
-func (l *Ledger) count() {
+// updateActive counts the replicas with a signal in force. A back-off that has passed counts until it is
+// forgotten. The caller must hold l.mu.
+func (l *Ledger) updateActive() {
 	active := 0
 	for _, s := range l.replicas {
 		if s.limit.Set || s.leaving || !s.backOffUntil.IsZero() {
@@ -112,30 +116,32 @@
 	l.active.Store(int32(active))
 }
 
-// unreadable logs a fault once for each replica and kind of fault. l.mu is held.
-func (l *Ledger) unreadable(replica incarnation.Key, s *state, why error) {
-	if text := why.Error(); text != s.unreadable {
-		s.unreadable = text
-		l.logger.Warn("what a replica asks of its callers not read; what it said before stays in force",
-			zap.Stringer("replica", replica), zap.Error(why))
+// parseFailure logs a parse error, unless the last one of the replica had the same text. The caller must
+// hold l.mu.
+func (l *Ledger) parseFailure(replica incarnation.Key, s *state, err error) {
+	if text := err.Error(); text != s.parseFailure {
+		s.parseFailure = text
+		l.logger.Warn("failed to parse pushback of a replica, previous values stay in force",
+			zap.Stringer("replica", replica), zap.Error(err))
 	}
 }
 
-// of looks at what a replica has said, if it has said anything that may be in force.
-func (l *Ledger) of(replica incarnation.Key, look func(*state)) {
+// withState calls f with the state of a replica while the lock is held. It does nothing if the replica
+// has no state, or if no replica has a signal in force.
+func (l *Ledger) withState(replica incarnation.Key, f func(*state)) {
 	if !l.Active() {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s := l.replicas[replica]; s != nil {
-		look(s)
+		f(s)
 	}
 }
 
 // Sent counts a request that is about to be sent to a replica.
 func (l *Ledger) Sent(replica incarnation.Key) {
-	l.of(replica, func(s *state) {
+	l.withState(replica, func(s *state) {
 		s.sent++
 		s.backOffSent++
 	})
--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -2,21 +2,22 @@
 
 import "math"
 
-// Limit is how many requests a second a replica takes from all VMs together. The zero Limit is none.
+// Limit is the number of requests per second that a replica accepts from all VMs together. The zero value
+// means no limit.
 type Limit struct {
-	// Set says that there is a limit; PerSecond may be 0.
+	// Set reports whether there is a limit. If so, PerSecond may still be 0.
 	Set       bool
 	PerSecond float64
 }
 
-// notablePart is by which part a limit must differ from another one to be told.
-const notablePart = 0.25
+// notableChange is the relative change of a limit from which on it is logged and sent to other VMs.
+const notableChange = 0.25
 
-// notablyOther reports whether a limit differs from another one by enough to be told. A replica may name
-// a slightly different one in each answer.
-func (l Limit) notablyOther(than Limit) bool {
-	return l.Set != than.Set || math.Abs(l.PerSecond-than.PerSecond) > notablePart*than.PerSecond
+// differsNotably reports whether the change from other to l is worth a log line and a message to other
+// VMs. A replica may name a slightly different limit in each answer.
+func (l Limit) differsNotably(other Limit) bool {
+	return l.Set != other.Set || math.Abs(l.PerSecond-other.PerSecond) > notableChange*other.PerSecond
 }
 
-// LimitOf returns a limit of so many requests a second.
+// LimitOf returns a limit of perSecond requests per second.
 func LimitOf(perSecond float64) Limit { return Limit{Set: true, PerSecond: perSecond} }
--- a/internal/pushback/notice.go
+++ b/internal/pushback/notice.go
@@ -6,21 +6,23 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// noticeFor is how long after a limit has ended other VMs are still told of it.
+// noticeFor is how long after a replica last confirmed that it has no limit this is sent to other VMs, so
+// that they learn of the end of a limit.
 const noticeFor = time.Minute
 
-// Notice is what a replica has said, as one VM tells it to another.
+// Notice is the signal of a replica, as VMs exchange it.
 type Notice struct {
 	Replica    incarnation.Key `json:"replica"`
 	DataCentre string          `json:"dataCentre"`
-	// PerSecond is the limit, nil if the replica has none any more.
+	// PerSecond is the limit in requests per second, nil if the replica has none any more.
 	PerSecond *float64 `json:"perSecond,omitempty"`
-	// Leaving says that it leaves.
+	// Leaving reports whether the replica has announced that it is about to end.
 	Leaving bool `json:"leaving,omitempty"`
-	// AgeMS is the time since the replica said so.
+	// AgeMS is the time since the replica last confirmed the limit or its absence, in milliseconds.
 	AgeMS int64 `json:"ageMs"`
 }
 
+// limit returns the limit in the notice.
 func (n Notice) limit() Limit {
 	if n.PerSecond == nil {
 		return Limit{}
@@ -28,7 +30,8 @@
 	return LimitOf(*n.PerSecond)
 }
 
-// Notices returns what other VMs should know of replicas, of all if none is named.
+// Notices returns the notices to send to other VMs about the given replicas, or about all if none is
+// given.
 func (l *Ledger) Notices(now time.Time, of ...incarnation.Key) []Notice {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,12 +50,14 @@
 	return notices
 }
 
+// addNotice appends the notice about a replica that is leaving, has a limit, or confirmed within noticeFor
+// that it has none.
 func (s *state) addNotice(notices []Notice, key incarnation.Key, now time.Time) []Notice {
-	ended := !s.limit.Set && (s.told.IsZero() || now.Sub(s.told) > noticeFor)
+	ended := !s.limit.Set && (s.limitAt.IsZero() || now.Sub(s.limitAt) > noticeFor)
 	if ended && !s.leaving {
 		return notices
 	}
-	n := Notice{Replica: key, DataCentre: s.dataCentre, Leaving: s.leaving, AgeMS: now.Sub(s.told).Milliseconds()}
+	n := Notice{Replica: key, DataCentre: s.dataCentre, Leaving: s.leaving, AgeMS: now.Sub(s.limitAt).Milliseconds()}
 	if s.limit.Set {
 		limit := s.limit.PerSecond
 		n.PerSecond = &limit
@@ -60,18 +65,19 @@
 	return append(notices, n)
 }
 
-// Merge takes what another VM tells, of the given age. What the replica has said since stays.
+// Merge merges the notices of another VM, which are of the given age. A newer signal from the replica
+// stays in force.
 func (l *Ledger) Merge(notices []Notice, age time.Duration, now time.Time) {
 	for _, n := range notices {
-		if l.learn(n, now.Add(-age-time.Duration(n.AgeMS)*time.Millisecond), now) {
+		if l.merge(n, now.Add(-age-time.Duration(n.AgeMS)*time.Millisecond), now) {
 			l.onLeaving(n.Replica)
 		}
 	}
 }
 
-// learn takes a notice of what a replica told at a moment, and reports whether it is new that the
-// replica leaves.
-func (l *Ledger) learn(n Notice, told, now time.Time) (leaves bool) {
+// merge merges a notice with the time of its signal, and reports whether it announces the end of the
+// replica for the first time.
+func (l *Ledger) merge(n Notice, limitAt, now time.Time) (startsLeaving bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.replicas[n.Replica]
@@ -81,21 +87,22 @@
 		}
 		s = l.add(n.Replica, n.DataCentre, now)
 	}
-	leaves = n.Leaving && l.leaves(n.Replica, s, "peer")
-	if told.After(s.told) {
-		s.told = told
-		l.limited(n.Replica, s, n.limit(), now, "peer")
+	startsLeaving = n.Leaving && l.startsLeaving(n.Replica, s, "peer")
+	if limitAt.After(s.limitAt) {
+		s.limitAt = limitAt
+		l.setLimit(n.Replica, s, n.limit(), now, "peer")
 	}
-	return leaves
+	return startsLeaving
 }
 
-// RecentlyLimited returns the limited replicas that have answered this VM within a time.
+// RecentlyLimited returns the replicas with a limit whose last answer to this VM is not older than
+// within.
 func (l *Ledger) RecentlyLimited(within time.Duration, now time.Time) []incarnation.Key {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var keys []incarnation.Key
 	for key, s := range l.replicas {
-		if s.limit.Set && now.Sub(s.heard) <= within {
+		if s.limit.Set && now.Sub(s.lastAnswer) <= within {
 			keys = append(keys, key)
 		}
 	}
--- a/internal/pushback/origin.go
+++ b/internal/pushback/origin.go
@@ -6,10 +6,10 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// Origin is the replica that an answer comes from.
+// Origin identifies the replica that sent an answer, and the request that it answers.
 type Origin struct {
 	Replica    incarnation.Key
 	DataCentre string
-	// Sent is when the request was sent that the replica answers.
+	// Sent is when the request was sent.
 	Sent time.Time
 }
--- a/internal/pushback/signal.go
+++ b/internal/pushback/signal.go
@@ -2,16 +2,19 @@
 
 import "time"
 
-// Signal is what one answer of a replica says of the requests that it takes.
+// Signal holds the flow control fields of one answer of a replica.
 type Signal struct {
-	// Limit is none in an answer that names none, which ends an earlier one.
+	// Limit is the rate limit. An answer without a limit ends an earlier limit.
 	Limit Limit
-	// LimitInvalid says that the limit could not be read and Limit says nothing.
+	// LimitInvalid reports whether the limit could not be parsed. Limit is meaningless then.
 	LimitInvalid bool
-	// BackOff is for how long the replica wants no requests from this VM, 0 if it does not say.
+	// BackOff is the time for which the replica wants no requests from this VM, 0 if it did not ask to
+	// back off.
 	BackOff time.Duration
-	// Leaving says that the replica is about to end. No later answer of the same incarnation takes it back.
+	// Leaving announces that the replica is about to end. Later answers of the same incarnation do not
+	// revoke it.
 	Leaving bool
-	// ParseErr is why parts of the answer's head could not be read, nil if all could. They say nothing.
+	// ParseErr is the error of the headers that could not be parsed, nil if all could. These headers have
+	// no effect.
 	ParseErr error
 }
--- a/internal/pushback/state.go
+++ b/internal/pushback/state.go
@@ -6,45 +6,47 @@
 	"golang.org/x/time/rate"
 )
 
-// state is what one incarnation of a replica has said.
+// state is the flow control state of one incarnation of a replica.
 type state struct {
 	dataCentre string
 	limit      Limit
-	// noted is the limit that was last logged and told to other VMs.
-	noted Limit
-	// leaving says that the replica is about to end.
+	// announced is the limit that was last logged and sent to other VMs.
+	announced Limit
+	// leaving reports whether the replica has announced that it is about to end.
 	leaving bool
-	// told is when the replica last said whether it has a limit, to this VM or to one that passed it on.
-	told time.Time
-	// since is when the present limit was first heard of, heard when the replica last answered this VM.
-	since time.Time
-	heard time.Time
-	// part is what this VM may send of the limit, and bucket bounds it for a sender.
-	part   part
+	// limitAt is when the replica last sent its limit or its absence, to this VM or to one that passed
+	// it on.
+	limitAt time.Time
+	// limitSince is when the current limit became known, lastAnswer when the replica last answered this
+	// VM.
+	limitSince time.Time
+	lastAnswer time.Time
+	// quota is this VM's share of the limit. bucket enforces it if this VM is a sender, else it is nil.
+	quota  quota
 	bucket *rate.Limiter
-	// tried is when this VM, no sender, last tried a request.
-	tried time.Time
-	// backOffUntil is until when the replica wants no requests from this VM, backOffSince since when, and
-	// backOffSent how many it was sent since.
+	// lastTrial is when this VM, while no sender, last sent a request.
+	lastTrial time.Time
+	// backOffUntil is the end of the back-off and zero without one, backOffSince its start, and
+	// backOffSent the number of requests sent since the start.
 	backOffUntil time.Time
 	backOffSince time.Time
 	backOffSent  uint64
-	// probed is when the replica was last sent a request.
-	probed time.Time
-	// asked is when this VM last asked for the replica's load.
-	asked time.Time
-	// sent counts this VM's requests to the replica since the limit was first heard of.
+	// lastSent is when Take last succeeded for the replica.
+	lastSent time.Time
+	// lastLoadQuery is when this VM last queried the load of the replica while it had a limit.
+	lastLoadQuery time.Time
+	// sent counts the requests of this VM to the replica since limitSince.
 	sent uint64
-	// unreadable is the last fault that was logged.
-	unreadable string
+	// parseFailure is the text of the last parse error that was logged.
+	parseFailure string
 }
 
-// idle reports whether nothing is in force that the replica said.
+// idle reports whether no signal of the replica is in force.
 func (s *state) idle(now time.Time) bool {
 	return !s.limit.Set && !s.leaving && s.backOffLeft(now) <= 0
 }
 
-// backOffLeft is for how long yet the replica wants no requests from this VM, 0 or less if it does.
+// backOffLeft returns the remaining time of the back-off, 0 or less if there is none.
 func (s *state) backOffLeft(now time.Time) time.Duration {
 	if s.backOffUntil.IsZero() {
 		return 0
@@ -52,11 +54,12 @@
 	return s.backOffUntil.Sub(now)
 }
 
-// forgotten reports whether the replica has said nothing for so long that it is not remembered.
-func (s *state) forgotten(now time.Time) bool {
-	after := forgetAfter
+// expired reports whether the last signal and the last answer are both older than the lifetime of the
+// state.
+func (s *state) expired(now time.Time) bool {
+	ttl := stateTTL
 	if s.leaving {
-		after = leavingForgetAfter
+		ttl = leavingTTL
 	}
-	return now.Sub(s.told) > after && now.Sub(s.heard) > after
+	return now.Sub(s.limitAt) > ttl && now.Sub(s.lastAnswer) > ttl
 }
