--- a/internal/pushback/sharing/doc.go
+++ b/internal/pushback/sharing/doc.go
@@ -1,6 +1,7 @@
-// Package sharing tells other VMs what replicas ask of those who send to them.
+// Package sharing distributes the pushback signals of replicas to all VMs.
 //
-// A VM that hears something new offers it to the VMs that the others ask, and says again now and then
-// what holds on. All others learn it with the board of loads. Where no word arrives, as while VMs are
-// cut off from each other, each VM goes by what it hears itself.
+// A VM that receives a changed signal offers it to the VMs from which the others fetch, and offers limits
+// that stay in force again at intervals. All other VMs receive the signals attached to the board of loads.
+// While no notices arrive, for instance because VMs cannot reach each other, each VM applies the signals
+// that it receives itself.
 package sharing
--- a/internal/pushback/sharing/sharing.go
+++ b/internal/pushback/sharing/sharing.go
@@ -14,25 +14,27 @@
 )
 
 const (
-	// TableName names the notices among what peers offer each other.
+	// TableName is the name under which peers exchange notices.
 	TableName = "pushback"
 	// rowKey is the key of the only row.
 	rowKey = "notices"
-	// maxPending bounds the replicas that wait to be told of; what is dropped is said again.
+	// maxPending limits the replicas whose changes wait to be offered. A change that is dropped here
+	// reaches other VMs with the next refresh, if it sets a limit, or with the board of loads.
 	maxPending = 256
-	// collectFor is how long changes are collected before they are offered together.
-	collectFor = 20 * time.Millisecond
-	// sayAgain is the pause between two tellings of limits that hold on.
-	sayAgain = 10 * time.Second
+	// batchDelay is how long changes are collected before they are offered together.
+	batchDelay = 20 * time.Millisecond
+	// refreshInterval is the interval at which limits that stay in force are offered again.
+	refreshInterval = 10 * time.Second
 )
 
-// Peers hand changes to other VMs.
+// Peers sends changes to other VMs.
 type Peers interface {
-	// OfferAll hands a change to the VMs from which all others learn it, and returns how many took it.
+	// OfferAll sends a change of the given age to the VMs from which all others fetch it. It returns the
+	// number of VMs that accepted it.
 	OfferAll(ctx context.Context, table string, change platform.TableChange, age time.Duration) int
 }
 
-// Syncer exchanges a ledger with other VMs. It is safe for concurrent use.
+// Syncer exchanges the notices of a ledger with other VMs. It is safe for concurrent use.
 type Syncer struct {
 	ledger  *pushback.Ledger
 	peers   Peers
@@ -40,41 +42,42 @@
 	pending chan incarnation.Key
 }
 
-// New returns a sharing; Run makes it work.
+// New returns a Syncer and sets the OnChange function of the ledger. Changes are offered by Run.
 func New(ledger *pushback.Ledger, peers Peers, logger *zap.Logger) *Syncer {
 	s := &Syncer{ledger: ledger, peers: peers, logger: logger, pending: make(chan incarnation.Key, maxPending)}
-	ledger.OnChange(s.changed)
+	ledger.OnChange(s.enqueue)
 	return s
 }
 
-func (s *Syncer) changed(replica incarnation.Key) {
+// enqueue adds a replica to those whose changes wait to be offered. It does not block.
+func (s *Syncer) enqueue(replica incarnation.Key) {
 	select {
 	case s.pending <- replica:
 	default:
-		s.logger.Warn("change of a replica's pushback not offered to peers", zap.Stringer("replica", replica))
+		s.logger.Warn("pushback change of a replica not offered: too many are pending", zap.Stringer("replica", replica))
 	}
 }
 
-// Run offers changes until ctx ends.
+// Run offers changes to peers until ctx is done.
 func (s *Syncer) Run(ctx context.Context) {
-	again := time.NewTicker(sayAgain)
-	defer again.Stop()
+	refresh := time.NewTicker(refreshInterval)
+	defer refresh.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case first := <-s.pending:
-			if !sleep.For(ctx, collectFor) {
+			if !sleep.For(ctx, batchDelay) {
 				return
 			}
 			s.offer(ctx, s.collect(first))
-		case <-again.C:
-			s.offer(ctx, s.ledger.RecentlyLimited(sayAgain, time.Now()))
+		case <-refresh.C:
+			s.offer(ctx, s.ledger.RecentlyLimited(refreshInterval, time.Now()))
 		}
 	}
 }
 
-// collect returns what waits to be offered.
+// collect returns first and all pending replicas.
 func (s *Syncer) collect(first incarnation.Key) []incarnation.Key {
 	replicas := []incarnation.Key{first}
 	for {
@@ -87,6 +90,7 @@
 	}
 }
 
+// offer offers the notices about the replicas to peers.
 func (s *Syncer) offer(ctx context.Context, replicas []incarnation.Key) {
 	if len(replicas) == 0 {
 		return
@@ -97,38 +101,39 @@
 	}
 	change := platform.TableChange{Written: map[string][]byte{rowKey: row}}
 	if s.peers.OfferAll(ctx, TableName, change, 0) == 0 {
-		s.logger.Info("pushback of replicas taken by no peer", zap.Int("replicas", len(replicas)))
+		s.logger.Info("pushback of replicas accepted by no peer", zap.Int("replicas", len(replicas)))
 	}
 }
 
-// Apply takes what a peer offers, of the given age.
+// Apply merges a change of the given age that a peer has offered.
 func (s *Syncer) Apply(change platform.TableChange, age time.Duration) {
 	s.Learn(change.Written[rowKey], age)
 }
 
-// Attachment returns all notices, encoded, nil if there are none.
+// Attachment returns all notices in encoded form, or nil if there are none.
 func (s *Syncer) Attachment() []byte { return s.encode(s.ledger.Notices(time.Now())) }
 
+// encode encodes notices. It returns nil if there are none.
 func (s *Syncer) encode(notices []pushback.Notice) []byte {
 	if len(notices) == 0 {
 		return nil
 	}
 	row, err := json.Marshal(notices)
 	if err != nil {
-		s.logger.Error("pushback of replicas not encoded", zap.Error(err))
+		s.logger.Error("failed to encode pushback of replicas", zap.Error(err))
 		return nil
 	}
 	return row
 }
 
-// Learn takes encoded notices of the given age.
+// Learn merges encoded notices of the given age.
 func (s *Syncer) Learn(row []byte, age time.Duration) {
 	if len(row) == 0 {
 		return
 	}
 	var notices []pushback.Notice
 	if err := json.Unmarshal(row, &notices); err != nil {
-		s.logger.Warn("peer's notices of replicas not read", zap.Error(err))
+		s.logger.Warn("failed to decode pushback of a peer", zap.Error(err))
 		return
 	}
 	s.ledger.Merge(notices, age, time.Now())
