--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -12,10 +12,11 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// A request whose deadline the queue cannot meet is refused in the instant of its
-// arrival: the rate of the queue is known from what started before, and what is
-// ahead of it would take longer than it has. One with enough time is queued.
-func TestHopelessDeadlineIsRefusedOnArrival(t *testing.T) {
+// Guards against a request that waits although the queue cannot meet its deadline. The
+// rate of the queue is known from earlier starts, and the requests ahead take longer
+// than the time left, so it must be refused on arrival. A request with more time left
+// must be queued.
+func TestUnmeetableDeadlineIsRefusedOnArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(Settings{}, 1)
 		due := time.Now().Add(30 * time.Second)
@@ -26,13 +27,13 @@
 		arrival := time.Now()
 		err := f.admit(context.Background(), &Request{Workspace: "w", Deadline: arrival.Add(15 * time.Second)})
 		if reason := reasonOf(t, err); reason != outcome.ReasonDeadline || time.Now() != arrival {
-			t.Fatalf("refused for %s after %s, want deadline at once", reason, time.Since(arrival))
+			t.Fatalf("refused with reason %s after %s, want deadline at once", reason, time.Since(arrival))
 		}
 		if failure := err.(*outcome.Failure); failure.RetryAfter < 15*time.Second || failure.RetryAfter > 25*time.Second {
 			t.Errorf("retry after %s, want about the 18 s that the queue needs", failure.RetryAfter)
 		}
 		if err := f.admit(context.Background(), &Request{Workspace: "w", Deadline: arrival.Add(25 * time.Second)}); err != nil {
-			t.Errorf("a request with time enough was refused: %v", err)
+			t.Errorf("a request with enough time was refused: %v", err)
 		}
 	})
 }
@@ -51,7 +52,7 @@
 		err := f.admit(context.Background(), &Request{Workspace: "w", Deadline: queued.Add(time.Minute)})
 		waited = time.Since(queued)
 		if reason := reasonOf(t, err); reason != outcome.ReasonDeadline {
-			t.Errorf("refused for %s", reason)
+			t.Errorf("refused with reason %s", reason)
 		}
 		f.setSlots(40)
 		time.Sleep(time.Minute)
@@ -59,21 +60,20 @@
 	return waited
 }
 
-// The targets die while a request is queued. Nothing ends any more, so nothing
-// wakes the pool; the caller is still told not-run as soon as the time that the
-// queue stands still shows that its deadline is lost, and not at its deadline.
+// Guards against a queued request that is refused only at its deadline after all targets
+// have failed. No request ends then, so nothing wakes the pool. The review must refuse
+// the request as soon as the stall shows that its deadline cannot be met.
 func TestQueuedRequestIsRefusedOnceItsDeadlineIsLost(t *testing.T) {
 	if waited := stalledRefusal(t, Settings{}); waited > 50*time.Second {
-		t.Errorf("refused after %s, near its deadline", waited)
+		t.Errorf("refused after %s, at about its deadline", waited)
 	}
 	if waited := stalledRefusal(t, Settings{faults: faults{noReview: true}}); waited < time.Minute {
-		t.Errorf("refused after %s although nothing looked at the queue", waited)
+		t.Errorf("refused after %s although reviews are disabled", waited)
 	}
 }
 
-// The caller goes away while its request is queued: its place is free at once and
-// no capacity is taken for it later.
-func TestAbandonedRequestTakesNothing(t *testing.T) {
+// Guards against capacity that is taken for a queued request whose caller has gone away.
+func TestAbandonedRequestTakesNoCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(Settings{}, 0)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -86,14 +86,14 @@
 		}
 		f.setSlots(2)
 		if got := f.started(); len(got) != 0 {
-			t.Errorf("started %v", got)
+			t.Errorf("started %v, want none", got)
 		}
 	})
 }
 
-// An urgent request finds no slot. The router hears of it at once and again while
-// it waits, so that it can preempt a bulk stream.
-func TestStarvedIsToldUntilTheUrgentRequestStarts(t *testing.T) {
+// Guards against an urgent request that waits without further calls of the OnStarved
+// function, so that the router would not preempt a bulk stream for it.
+func TestOnStarvedIsCalledUntilUrgentRequestStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(Settings{}, 0)
 		calls := 0
@@ -106,20 +106,20 @@
 			t.Fatal(err)
 		}
 		if calls != 3 {
-			t.Errorf("called %d times", calls)
+			t.Errorf("OnStarved function called %d times, want 3", calls)
 		}
 	})
 }
 
-// The operator asks for the state while the queue is full and nothing moves.
-func TestDumpAnswersWhileTheQueueIsFull(t *testing.T) {
+// Guards against a dump that blocks while the queue is full and no request starts.
+func TestDumpReturnsWhileQueueIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(Settings{MaxQueued: 2}, 0)
 		f.queueUp(&Request{ID: "a", Workspace: "a"})
 		f.queueUp(&Request{ID: "b", Workspace: "b"})
 		dump := f.controller.Dump().(Dump)
 		if got := dump.Pools[testPool].Levels["bulk"].Queued; got != 2 {
-			t.Errorf("dump shows %d queued", got)
+			t.Errorf("dump shows %d queued requests, want 2", got)
 		}
 		if _, err := json.Marshal(dump); err != nil {
 			t.Error(err)
@@ -128,9 +128,9 @@
 	})
 }
 
-// A try function of one pool does not return, by a fault elsewhere. Requests to
-// other pools are admitted, and the dump answers and names the stuck pool.
-func TestStuckPoolHoldsUpNoOther(t *testing.T) {
+// Guards against a try function that does not return and blocks other pools or the dump.
+// The dump must show which pool is stuck.
+func TestStuckPoolDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(Settings{}, 10)
 		release := make(chan struct{})
@@ -146,9 +146,10 @@
 	})
 }
 
-// A profile's requests have lately taken longer than this caller allows. On an idle
-// system one is tried all the same, as only its answer can show that the slow spell
-// is over; one that is far too late is refused.
+// Guards against requests that are refused on an idle system forever because recent
+// answers took longer than the caller allows. A request must be started as long as half
+// of the expected time is left, since only its answer can show that the slow period is
+// over.
 func TestSlowSpellDoesNotRefuseForEver(t *testing.T) {
 	f := newFakeTargets(Settings{}, 10)
 	due := time.Now().Add(time.Hour)
@@ -161,8 +162,8 @@
 	}
 }
 
-// A try function takes one slot of the two that it needs, gives it back, and with
-// that wakes its own pool. The pool goes on: the next request is admitted.
+// Guards against a deadlock when a try function calls Wake for its own pool, as it does
+// when it needs two slots, gets one and releases it.
 func TestWakeFromWithinTry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(Settings{}, 1)
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -11,12 +11,12 @@
 	"geraniumcroft/internal/invariant"
 )
 
-// bulkArrivals is how many bulk requests arrive at the same time, over and over.
+// bulkArrivals is the number of goroutines that submit bulk requests in a loop.
 const bulkArrivals = 64
 
-// BenchmarkUrgentAmongBulk measures how long an urgent request needs to be
-// admitted while bulk arrives from all sides and is refused, with and without the
-// gates that keep bulk from standing in line on the lock.
+// BenchmarkUrgentAmongBulk measures the time to admit an urgent request while many bulk
+// requests arrive and are refused, with and without the gates that keep bulk requests
+// from queueing for the lock of the pool.
 func BenchmarkUrgentAmongBulk(b *testing.B) {
 	for name, f := range map[string]faults{"gates": {}, "no-gates": {noGates: true}} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/admission/counts.go
+++ b/internal/admission/counts.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// counts says how requests left a pool's queue.
+// counts holds the numbers of requests by how they passed a pool's queue.
 type counts struct {
-	// Direct requests started without waiting, Queued ones after a wait.
+	// Direct requests started without waiting, Queued requests after a wait.
 	Direct uint64 `json:"direct"`
 	Queued uint64 `json:"queued"`
 	// Full, WorkspaceFull and Deadline requests were refused on arrival.
@@ -15,6 +15,6 @@
 	Displaced uint64 `json:"displaced"`
 	Expired   uint64 `json:"expired"`
 	Abandoned uint64 `json:"abandoned"`
-	// Service is the average time of service while requests waited.
+	// Service is the moving average of the service time, measured while requests waited.
 	Service time.Duration `json:"serviceNanoseconds"`
 }
--- a/internal/admission/dump.go
+++ b/internal/admission/dump.go
@@ -1,12 +1,12 @@
 package admission
 
-// Dump is the controller's state.
+// Dump is the state of a Controller.
 type Dump struct {
 	Pools map[string]PoolDump `json:"pools"`
 }
 
-// Dump returns the state of all pools. It waits for no request and for no lock
-// longer than a moment, so it answers while queues are full and a pool is stuck.
+// Dump returns the state of all pools as a Dump. It waits for each pool's lock for a
+// short time at most, so it also returns while queues are full or a pool is stuck.
 func (c *Controller) Dump() any {
 	dump := Dump{Pools: map[string]PoolDump{}}
 	c.pools.Range(func(name, found any) bool {
--- a/internal/admission/fake_test.go
+++ b/internal/admission/fake_targets_test.go
@@ -15,20 +15,22 @@
 
 const testPool = "pool"
 
-// fakeTargets are the slots behind a pool. The last of them is for urgent work.
+// fakeTargets simulates the slots of a pool. The last slot is reserved for urgent
+// requests.
 type fakeTargets struct {
 	controller *Controller
 
 	mu    sync.Mutex // guards the fields below
 	slots int
 	used  int
-	order []string
+	order []string // IDs of the requests in the order of their starts
 }
 
 func newFakeTargets(s Settings, slots int) *fakeTargets {
 	return &fakeTargets{controller: New(s, invariant.Strict()), slots: slots}
 }
 
+// try returns the try function of r.
 func (f *fakeTargets) try(r *Request) func() bool {
 	return func() bool {
 		f.mu.Lock()
@@ -58,7 +60,7 @@
 	f.controller.Wake(testPool)
 }
 
-// end frees a slot after a request was served for that time.
+// end frees a slot after a service time of took.
 func (f *fakeTargets) end(took time.Duration) {
 	f.mu.Lock()
 	f.used--
@@ -67,7 +69,7 @@
 	f.controller.Wake(testPool)
 }
 
-// serve admits r, holds its slot for that time and gives it back.
+// serve admits r, holds its slot for took and releases it.
 func (f *fakeTargets) serve(r *Request, took time.Duration) error {
 	err := f.admit(context.Background(), r)
 	if err == nil {
@@ -83,7 +85,8 @@
 	return append([]string(nil), f.order...)
 }
 
-// queueUp starts Admit in the background and returns once it waits.
+// queueUp calls Admit in a goroutine and returns once Admit waits or has returned.
+// The result of Admit is sent on the channel.
 func (f *fakeTargets) queueUp(r *Request) <-chan error {
 	ended := make(chan error, 1)
 	go func() { ended <- f.admit(context.Background(), r) }()
@@ -91,6 +94,7 @@
 	return ended
 }
 
+// reasonOf returns the reason of a failure with the outcome NotRun.
 func reasonOf(t *testing.T, err error) outcome.Reason {
 	t.Helper()
 	var failure *outcome.Failure
--- a/internal/admission/faults.go
+++ b/internal/admission/faults.go
@@ -1,6 +1,7 @@
 package admission
 
-// faults take safeguards away, so that tests can show that they notice.
+// faults disables mechanisms, so that tests can show that they detect the absence.
+// It is zero outside of tests.
 type faults struct {
 	noPriority bool
 	noFairness bool
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// classBounds are the upper bounds of the time that a request of each deadline
-// class had left when it was queued; the last class has no bound.
+// classBounds holds, by deadline class, the upper bound of the time that a request
+// had left to start when it was queued. The last class has no bound.
 var classBounds = [...]time.Duration{time.Second, 5 * time.Second, 30 * time.Second}
 
 const classCount = len(classBounds) + 1
 
+// classOf returns the deadline class for the time left to start.
 func classOf(left time.Duration) int {
 	for class, bound := range classBounds {
 		if left <= bound {
@@ -17,16 +18,16 @@
 	return classCount - 1
 }
 
-// flow is one workspace's queue at one level.
+// flow is the queue of one workspace at one level.
 type flow struct {
 	workspace string
 	weight    float64
 	classes   [classCount]waiterList
 	costs     [classCount]float64
 	length    int
-	// start is the virtual time at which the flow's next request is due.
+	// start is the virtual start time of the next request.
 	start float64
-	// index is the flow's place in the level's heap, -1 while it has no request.
+	// index is the position in the heap of the level, -1 while the flow is empty.
 	index int
 }
 
@@ -42,7 +43,7 @@
 	f.length--
 }
 
-// costUpTo sums the cost of the classes up to that one.
+// costUpTo returns the total cost of the classes up to and including class.
 func (f *flow) costUpTo(class int) float64 {
 	total := 0.0
 	for _, cost := range f.costs[:class+1] {
@@ -51,20 +52,21 @@
 	return total
 }
 
-// head returns the request that goes next: the classes are first in, first out
-// and the head that must start the soonest goes before the other heads.
+// head returns the next request, nil if there is none. Each class is first in, first
+// out; of the first requests of all classes, the one with the earliest start deadline
+// is next.
 func (f *flow) head() *waiter {
 	var best *waiter
 	for class := range f.classes {
 		w := f.classes[class].first
-		if w != nil && (best == nil || w.lastStart.Before(best.lastStart)) {
+		if w != nil && (best == nil || w.startDeadline.Before(best.startDeadline)) {
 			best = w
 		}
 	}
 	return best
 }
 
-// newest returns the request that was queued last.
+// newest returns the request that was queued last, nil if there is none.
 func (f *flow) newest() *waiter {
 	var newest *waiter
 	for class := range f.classes {
--- a/internal/admission/flow_heap.go
+++ b/internal/admission/flow_heap.go
@@ -1,7 +1,7 @@
 package admission
 
-// flowHeap orders the flows that have requests by virtual start time, for
-// container/heap.
+// flowHeap orders the nonempty flows by virtual start time. It implements
+// heap.Interface.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int           { return len(h) }
--- a/internal/admission/level.go
+++ b/internal/admission/level.go
@@ -2,21 +2,23 @@
 
 import "container/heap"
 
-// level is the queue of one urgency in one pool: start-time fair queueing among
-// workspaces. A flow's virtual start time moves by cost over weight with each
-// request that starts, and the flow with the least one goes next, so two
-// workspaces that both wait never drift apart by more than one request each.
+// level is the queue of one urgency in one pool. It implements start-time fair
+// queueing among workspaces: each start advances the virtual start time of its flow by
+// cost divided by weight, and the flow with the lowest virtual start time is next. The
+// service received by two workspaces that both wait therefore never differs by more
+// than one request of each, relative to their weights.
 type level struct {
 	flows   map[string]*flow
 	waiting flowHeap
+	// resumed holds the requests with Request.Resume, which go before all flows.
 	resumed waiterList
-	// arrivals lists the requests of all flows.
+	// arrivals holds the requests of all flows in the order of arrival.
 	arrivals waiterList
-	// virtual is the start time of the request that started last.
-	virtual float64
-	length  int
-	cost    float64
-	// weight sums the weights of the flows that wait.
+	// virtualTime is the virtual start time of the request that started last.
+	virtualTime float64
+	length      int
+	cost        float64
+	// weight is the total weight of the nonempty flows.
 	weight float64
 	meter  meter
 }
@@ -24,7 +26,7 @@
 func newLevel() *level {
 	return &level{
 		flows:    map[string]*flow{},
-		resumed:  waiterList{order: byTurn},
+		resumed:  waiterList{order: byStartOrder},
 		arrivals: waiterList{order: byArrival},
 	}
 }
@@ -41,12 +43,14 @@
 	w.flow = f
 	f.push(w)
 	if f.index < 0 {
-		f.start = max(f.start, l.virtual)
+		f.start = max(f.start, l.virtualTime)
 		heap.Push(&l.waiting, f)
 		l.weight += f.weight
 	}
 }
 
+// flowOf returns the flow of the workspace of r, which it creates if needed. The weight
+// of a flow changes only while it is empty.
 func (l *level) flowOf(r *Request) *flow {
 	f := l.flows[r.Workspace]
 	if f == nil {
@@ -59,7 +63,7 @@
 	return f
 }
 
-// head returns the request that goes next, nil when none waits.
+// head returns the next request, nil if none waits.
 func (l *level) head() *waiter {
 	if l.resumed.first != nil {
 		return l.resumed.first
@@ -70,9 +74,10 @@
 	return l.waiting[0].head()
 }
 
-// longer returns the newest request of the workspace that holds the most of the
-// level for its weight, nil when that is no more than r's workspace would hold.
-func (l *level) longer(r *Request) *waiter {
+// newestOverShare returns the newest request of the workspace with the most queued
+// requests relative to its weight. It returns nil if the workspace of r would have as
+// many with r added.
+func (l *level) newestOverShare(r *Request) *waiter {
 	own := 1.0
 	if f := l.flows[r.Workspace]; f != nil {
 		own += float64(f.length)
@@ -90,12 +95,13 @@
 	return longest.newest()
 }
 
-// charge moves the workspace's virtual time on for a request that starts.
+// charge advances the virtual start time of the flow of a request that starts. Resumed
+// requests are not charged.
 func (l *level) charge(w *waiter) {
 	if w.flow == nil {
 		return
 	}
-	l.virtual = max(l.virtual, w.flow.start)
+	l.virtualTime = max(l.virtualTime, w.flow.start)
 	w.flow.start += w.request.cost() / w.flow.weight
 	if w.flow.index >= 0 {
 		heap.Fix(&l.waiting, w.flow.index)
@@ -119,25 +125,25 @@
 	l.arrivals.remove(w)
 	w.flow.remove(w)
 	if w.flow.length == 0 {
-		l.retire(w.flow)
+		l.deactivate(w.flow)
 	}
 }
 
-// retire takes an empty flow out of the heap. It is forgotten once its virtual
-// time has been reached; until then it is kept, as a workspace would else get
-// ahead by leaving and coming back.
-func (l *level) retire(f *flow) {
+// deactivate removes an empty flow from the heap. The flow is deleted if the virtual
+// time has reached its start. Otherwise it is kept, so that a workspace cannot gain an
+// advantage by emptying its queue and returning.
+func (l *level) deactivate(f *flow) {
 	heap.Remove(&l.waiting, f.index)
 	l.weight -= f.weight
-	if f.start <= l.virtual {
+	if f.start <= l.virtualTime {
 		delete(l.flows, f.workspace)
 	}
 }
 
-// reset ends a busy period: with nobody waiting there is nothing to be fair about.
+// reset clears the state of the fair queueing when the level becomes empty.
 func (l *level) reset() {
 	clear(l.flows)
-	l.virtual = 0
+	l.virtualTime = 0
 	l.cost = 0
 	l.weight = 0
 }
--- a/internal/admission/level_dump.go
+++ b/internal/admission/level_dump.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// LevelDump is the state of one level of a pool.
+// LevelDump is the state of one urgency level of a pool.
 type LevelDump struct {
 	Queued     int           `json:"queued"`
 	Cost       float64       `json:"cost"`
--- a/internal/admission/list_links.go
+++ b/internal/admission/list_links.go
@@ -1,4 +1,4 @@
 package admission
 
-// listLinks are a waiter's neighbours in one list.
+// listLinks holds the neighbours of a waiter in one list.
 type listLinks struct{ prev, next *waiter }
--- a/internal/admission/list_order.go
+++ b/internal/admission/list_order.go
@@ -1,12 +1,13 @@
 package admission
 
-// listOrder says which of a waiter's links a list uses.
+// listOrder selects the links of a waiter that a list uses.
 type listOrder uint8
 
 const (
-	// byTurn lists are the classes of a flow and the resumed ones of a level.
-	byTurn listOrder = iota
-	// byArrival lists are a level's requests of all flows.
+	// byStartOrder is used by the classes of a flow and the resumed requests of a level.
+	byStartOrder listOrder = iota
+	// byArrival is used by the list of all requests of a level that are in flows.
 	byArrival
-	listOrders
+	// listOrderCount is the number of orders.
+	listOrderCount
 )
--- a/internal/admission/memory_bench_test.go
+++ b/internal/admission/memory_bench_test.go
@@ -9,8 +9,8 @@
 	"geraniumcroft/internal/invariant"
 )
 
-// BenchmarkQueuedMemory gives what a request that waits in the queue holds, its
-// goroutine included.
+// BenchmarkQueuedMemory measures the memory of a queued request, including the stack of
+// its goroutine.
 func BenchmarkQueuedMemory(b *testing.B) {
 	for b.Loop() {
 		before := heapAndStacks()
@@ -35,6 +35,7 @@
 	}
 }
 
+// heapAndStacks returns the bytes of live heap objects and stacks after a collection.
 func heapAndStacks() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/admission/meter.go
+++ b/internal/admission/meter.go
@@ -3,47 +3,49 @@
 import "time"
 
 const (
-	// meterWeight is the weight of the newest start in the moving averages.
+	// meterWeight is the weight of the newest observation in the moving averages.
 	meterWeight = 1.0 / 16
-	// meterSpread bounds an interval, in average ones, and meterFloor says up to
-	// how many seconds an interval is taken in full.
-	meterSpread = 8
-	meterFloor  = 0.1
+	// maxIntervalRatio limits an observed interval to a multiple of the average one.
+	// Intervals up to minIntervalBound, in seconds, are not limited.
+	maxIntervalRatio = 8
+	minIntervalBound = 0.1
 )
 
-// meter estimates how fast a level's queue moves. It only looks at intervals
-// through which somebody waited: an idle queue says nothing of the capacity.
+// meter estimates how fast a queue moves. It must only observe intervals during which
+// requests waited, because an idle queue gives no information about the capacity. It
+// is not safe for concurrent use.
 type meter struct {
-	seconds float64 // between two starts
-	cost    float64 // of one start
-	last    time.Time
+	seconds float64   // average time between two starts
+	cost    float64   // average cost of a start
+	last    time.Time // time of the last start, or of the last restart of the meter
 }
 
-func (m *meter) known() bool { return m.cost > 0 }
+func (m *meter) hasData() bool { return m.cost > 0 }
 
-// restart begins a busy period.
+// restart begins a busy period: the time before now is not observed.
 func (m *meter) restart(now time.Time) { m.last = now }
 
-// started records that a queued request of that cost started.
-func (m *meter) started(now time.Time, cost float64) {
+// observe records the start of a queued request with the given cost.
+func (m *meter) observe(now time.Time, cost float64) {
 	seconds := now.Sub(m.last).Seconds()
 	m.last = now
-	if !m.known() {
+	if !m.hasData() {
 		m.seconds, m.cost = seconds, cost
 		return
 	}
-	// A standstill is over once something starts; were it averaged in full, the
-	// estimate would stay high and refuse requests that the pool could serve.
-	seconds = min(seconds, max(meterSpread*m.seconds, meterFloor))
+	// A stall is over with the first start after it. If its whole length entered the
+	// average, the estimate would stay high and requests that the pool could serve
+	// would be refused.
+	seconds = min(seconds, max(maxIntervalRatio*m.seconds, minIntervalBound))
 	m.seconds += (seconds - m.seconds) * meterWeight
 	m.cost += (cost - m.cost) * meterWeight
 }
 
-// wait estimates the time that the queue needs for that much cost; 0 when
-// nothing is known. The open interval counts once it is longer than usual, so
-// that the estimate rises while the queue stands still.
+// wait returns the expected time in which the queue starts requests of the given total
+// cost, 0 without observations. The current interval counts once it is longer than the
+// average, so that the estimate rises while the queue is stalled.
 func (m *meter) wait(now time.Time, cost float64) time.Duration {
-	if !m.known() {
+	if !m.hasData() {
 		return 0
 	}
 	seconds := m.seconds
--- a/internal/admission/meter_test.go
+++ b/internal/admission/meter_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// The targets of a pool come back after a long standstill. The queue moves as before
-// from the first start on; the estimate must say so soon, or the requests of the next
-// minutes would be refused although they could be served.
-func TestStandstillIsOverOnceSomethingStarts(t *testing.T) {
+// Guards against requests that are refused for minutes after a long stall is over. The
+// queue moves at the usual rate from the first start on, and the estimate must return to
+// that rate soon.
+func TestEstimateRecoversAfterStall(t *testing.T) {
 	const usual = 10 * time.Millisecond
 	var m meter
 	now := time.Unix(0, 0)
 	m.restart(now)
 	for range 50 {
 		now = now.Add(usual)
-		m.started(now, 1)
+		m.observe(now, 1)
 	}
 	if got := m.wait(now, 1); got < usual*9/10 || got > usual*11/10 {
-		t.Fatalf("%s a start, want about %s", got, usual)
+		t.Fatalf("estimated %s per start, want about %s", got, usual)
 	}
 	now = now.Add(time.Hour)
-	m.started(now, 1)
+	m.observe(now, 1)
 	if got := m.wait(now, 1); got > 2*usual {
-		t.Errorf("%s a start after the standstill, want at most %s", got, 2*usual)
+		t.Errorf("estimated %s per start after the stall, want at most %s", got, 2*usual)
 	}
 }
--- a/internal/admission/order_test.go
+++ b/internal/admission/order_test.go
@@ -13,20 +13,20 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// The queue is full of bulk. An urgent request is queued at once all the same, and
-// the bulk request that came last is told not-run; another bulk one is refused.
-func TestUrgentTakesThePlaceOfTheNewestBulk(t *testing.T) {
+// Guards against an urgent request that is refused because bulk requests fill the queue. It
+// must displace the newest bulk request; a further bulk request is refused.
+func TestUrgentDisplacesNewestBulk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(Settings{MaxQueued: 2}, 0)
 		first := f.queueUp(&Request{ID: "first", Workspace: "a"})
 		second := f.queueUp(&Request{ID: "second", Workspace: "a"})
 		third := f.queueUp(&Request{ID: "third", Workspace: "a"})
 		if reason := reasonOf(t, <-third); reason != outcome.ReasonOverloaded {
-			t.Errorf("third bulk request: %s", reason)
+			t.Errorf("third bulk request refused with reason %s", reason)
 		}
 		urgent := f.queueUp(&Request{ID: "urgent", Workspace: "b", Urgency: config.Urgent})
 		if reason := reasonOf(t, <-second); reason != outcome.ReasonOverloaded {
-			t.Errorf("newest bulk request: %s", reason)
+			t.Errorf("newest bulk request refused with reason %s", reason)
 		}
 		f.setSlots(3)
 		if err := <-urgent; err != nil {
@@ -41,9 +41,9 @@
 	})
 }
 
-// A large workspace has filled the queue. A small one's request is not refused
-// for it: the large one, which holds more than its share, loses its newest.
-func TestFullQueueMakesRoomForASmallWorkspace(t *testing.T) {
+// Guards against a large workspace that fills the queue, so that the requests of a small
+// one are refused. The newest request of the workspace above its share must be displaced.
+func TestSmallWorkspaceDisplacesRequestOfLargeOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(Settings{MaxQueued: 3}, 0)
 		var large []<-chan error
@@ -61,8 +61,8 @@
 	})
 }
 
-// A preempted stream comes back while the queue of its level is full: it is
-// queued, and goes before those that have not started yet.
+// Guards against a preempted stream that is refused because the queue is full, or that
+// waits behind requests that have not started yet.
 func TestResumedStreamGoesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(Settings{MaxQueued: 1}, 0)
@@ -81,9 +81,9 @@
 	})
 }
 
-// Normal work keeps the pool full. Bulk still gets one start in NormalPerBulk, but not
-// while an urgent request waits.
-func TestBulkGetsATurnBehindNormalWork(t *testing.T) {
+// Guards against a bulk request that starves while normal requests keep the pool full. It
+// must start after NormalPerBulk normal ones.
+func TestBulkStartsAfterNormalPerBulk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(Settings{NormalPerBulk: 4}, 0)
 		for i := range 8 {
@@ -93,14 +93,14 @@
 		f.setSlots(20)
 		f.controller.Wake(testPool)
 		if at := slices.Index(f.started(), "bulk"); at != 4 {
-			t.Errorf("bulk started in place %d of %v", at, f.started())
+			t.Errorf("bulk request started at index %d of %v, want 4", at, f.started())
 		}
 	})
 }
 
-// Two profiles of one pool need different targets, and those of the first in line
-// are full. The other profile's requests pass it, but not without end: it may need
-// more slots at once than these leave free.
+// Guards against a request whose targets are full and that blocks requests of another
+// profile with idle targets. They must bypass it, but at most maxBypassed times: it may
+// need more slots at once than they leave free.
 func TestRequestPassesOneWhoseTargetsAreFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Settings{}, invariant.Strict())
@@ -110,7 +110,7 @@
 			synctest.Wait()
 		}
 		admit("full", func() bool { asked++; return open > 1 })
-		for range maxPassed + 10 {
+		for range maxBypassed + 10 {
 			admit("other", func() bool {
 				if open == 0 {
 					return false
@@ -120,24 +120,24 @@
 			})
 		}
 		open = 1
-		for range 2 * maxPassed {
+		for range 2 * maxBypassed {
 			c.Wake(testPool)
 		}
-		if started != maxPassed || asked < maxPassed {
-			t.Errorf("%d passed, want %d", started, maxPassed)
+		if started != maxBypassed || asked < maxBypassed {
+			t.Errorf("%d requests bypassed it, want %d", started, maxBypassed)
 		}
 		open = 2
 		c.Wake(testPool)
 		c.Wake(testPool)
-		if started != maxPassed+10 {
-			t.Errorf("%d started in the end, want all", started)
+		if started != maxBypassed+10 {
+			t.Errorf("%d requests started in the end, want all", started)
 		}
 	})
 }
 
-// Bulk's turn has come, and an urgent request waits with it. The next slot is the
-// urgent one's.
-func TestBulksTurnWaitsForUrgent(t *testing.T) {
+// Guards against a bulk request that starts before a waiting urgent one because
+// NormalPerBulk normal requests have started.
+func TestDueBulkWaitsForUrgent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(Settings{NormalPerBulk: 1}, 0)
 		f.queueUp(&Request{ID: "bulk", Workspace: "b"})
@@ -153,8 +153,8 @@
 	})
 }
 
-// Two preempted streams come back. The second finds a slot that has just come free,
-// and leaves it to the first, which waits for it.
+// Guards against a resumed stream that takes a slot which became free while an earlier
+// resumed stream waits for one.
 func TestResumedStreamsKeepTheirOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(Settings{}, 0)
@@ -172,10 +172,10 @@
 	})
 }
 
-// One workspace sends without end. It is refused beyond its part of the queue, as
-// workspace-limit, while another still finds room; an urgent request of its own takes
-// the place of its newest bulk one.
-func TestWorkspaceHasItsPartOfTheQueue(t *testing.T) {
+// Guards against one workspace that uses the whole queue. Beyond its limit it is refused
+// with the reason workspace-limit while other workspaces are queued, and its urgent
+// requests displace its own newest bulk request.
+func TestQueuedRequestsPerWorkspaceAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(Settings{MaxQueuedPerWorkspace: 2}, 0)
 		f.queueUp(&Request{ID: "1", Workspace: "large"})
@@ -186,7 +186,7 @@
 		f.queueUp(&Request{ID: "small", Workspace: "small"})
 		f.queueUp(&Request{ID: "urgent", Workspace: "large", Urgency: config.Urgent})
 		if reason := reasonOf(t, <-newest); reason != outcome.ReasonOverloaded {
-			t.Errorf("the displaced one has the reason %s", reason)
+			t.Errorf("displaced request refused with reason %s", reason)
 		}
 		f.setSlots(20)
 		synctest.Wait()
@@ -196,9 +196,9 @@
 	})
 }
 
-// The request whose turn it is cannot start, as it needs more than is free, and its
-// caller leaves. The one behind it starts at that moment and not at the next review.
-func TestLeavingWakesTheOneBehind(t *testing.T) {
+// Guards against a request that waits for the next review although the request ahead of
+// it, which could not start for lack of capacity, was cancelled.
+func TestCancelledRequestWakesNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Settings{ReviewInterval: time.Hour}, invariant.Strict())
 		ctx, leave := context.WithCancel(context.Background())
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -14,25 +14,27 @@
 type pool struct {
 	name     string
 	settings Settings
-	// gates keep arrivals of a level in line before they take the lock. Without
-	// them a burst of bulk arrivals would stand in front of an urgent one on the
-	// lock; with them at most one goroutine of each level contends for it.
+	// gates are locked before mu, one per level, so that at most one arriving request
+	// of each level contends for mu. Without them, an urgent request would wait for mu
+	// behind a burst of bulk arrivals.
 	gates [config.UrgencyCount]sync.Mutex
-	// interested counts the requests that wait or are about to.
-	interested atomic.Int64
-	// woken is set while a wake-up is to be served.
-	woken atomic.Bool
+	// pending counts the requests that wait or may be about to wait.
+	pending atomic.Int64
+	// wakePending is set while a wake-up is to be served.
+	wakePending atomic.Bool
 
 	mu         sync.Mutex // guards the fields below
 	levels     [config.UrgencyCount]*level
-	queued     int
-	workspaces map[string]int
-	// sinceBulk counts the normal requests that started while bulk ones waited.
-	sinceBulk int
-	reviewer  *time.Timer
-	// ends is the meter of finished requests, for levels without starts so far.
-	ends   meter
-	counts counts
+	queued     int            // all queued requests
+	workspaces map[string]int // queued requests by workspace
+	// normalSinceBulk counts the normal requests that started while bulk requests
+	// waited, since the last start of a bulk request.
+	normalSinceBulk int
+	reviewTimer     *time.Timer
+	// finishMeter observes the ends of requests. It is used for levels without starts
+	// so far.
+	finishMeter meter
+	counts      counts
 }
 
 func newPool(name string, settings Settings) *pool {
@@ -43,6 +45,7 @@
 	return p
 }
 
+// lock locks the pool for a request of the given urgency.
 func (p *pool) lock(u config.Urgency) {
 	if !p.settings.faults.noGates {
 		p.gates[u].Lock()
@@ -50,6 +53,7 @@
 	p.mu.Lock()
 }
 
+// unlock undoes lock and serves pending wake-ups.
 func (p *pool) unlock(u config.Urgency) {
 	p.release()
 	if !p.settings.faults.noGates {
@@ -57,33 +61,34 @@
 	}
 }
 
-// enter starts the request, or refuses it, or returns a waiter for it.
-func (p *pool) enter(r *Request, try func() bool) (*waiter, *outcome.Failure) {
+// admitOrQueue starts the request and returns nil, nil, or refuses it and returns the
+// failure, or queues it and returns its waiter.
+func (p *pool) admitOrQueue(r *Request, try func() bool) (*waiter, *outcome.Failure) {
 	p.lock(r.Urgency)
 	defer p.unlock(r.Urgency)
 	now := time.Now()
-	if r.lost(now) {
+	if r.missesDeadline(now) {
 		p.counts.Deadline++
-		return nil, refuseDeadline(p.drain(now))
+		return nil, refuseDeadline(p.drainTime(now))
 	}
-	// The request counts as interested before try looks at the capacity: what is
-	// freed after that look finds it counted and wakes the pool.
-	p.interested.Add(1)
-	if p.nobodyAhead(r) && try() {
-		p.interested.Add(-1)
+	// The request counts as pending before try checks the capacity, so that Wake does
+	// not ignore capacity that becomes free after the check.
+	p.pending.Add(1)
+	if p.isNext(r) && try() {
+		p.pending.Add(-1)
 		p.counts.Direct++
 		return nil, nil
 	}
 	w := newWaiter(r, try, now, p.settings.MaxWait)
-	if failure := p.queue(w, now); failure != nil {
-		p.interested.Add(-1)
+	if failure := p.enqueue(w, now); failure != nil {
+		p.pending.Add(-1)
 		return nil, failure
 	}
 	return w, nil
 }
 
-// nobodyAhead reports whether no queued request goes before r.
-func (p *pool) nobodyAhead(r *Request) bool {
+// isNext reports whether no queued request goes before r.
+func (p *pool) isNext(r *Request) bool {
 	l := p.levels[r.Urgency]
 	if l.resumed.first != nil || l.length > 0 && !r.Resume {
 		return false
@@ -96,39 +101,41 @@
 	return true
 }
 
-// abandon gives w up unless it was settled in the meantime.
-func (p *pool) abandon(w *waiter, failure func() *outcome.Failure) {
+// withdraw refuses w with the failure, unless w was resolved in the meantime.
+func (p *pool) withdraw(w *waiter, failure func() *outcome.Failure) {
 	p.lock(w.request.Urgency)
 	defer p.unlock(w.request.Urgency)
-	if w.settled {
+	if w.resolved {
 		return
 	}
 	p.counts.Abandoned++
 	p.refuse(w, failure())
 }
 
-// await waits for w to be settled. starved is called now and then until then.
+// await waits until w is resolved or past its start deadline, or ctx is done, and
+// returns the failure if w was refused. starved, if not nil, is called at once and every
+// Settings.StarvedInterval until then.
 func (p *pool) await(ctx context.Context, w *waiter, starved func()) *outcome.Failure {
-	late := time.NewTimer(time.Until(w.lastStart))
-	defer late.Stop()
-	var again <-chan time.Time
+	startTimer := time.NewTimer(time.Until(w.startDeadline))
+	defer startTimer.Stop()
+	var starvedTick <-chan time.Time
 	if starved != nil {
 		starved()
-		again = time.After(p.settings.StarvedInterval)
+		starvedTick = time.After(p.settings.StarvedInterval)
 	}
 	for {
 		select {
 		case <-w.done:
 			return w.failure
-		case <-again:
+		case <-starvedTick:
 			starved()
-			again = time.After(p.settings.StarvedInterval)
-		case <-late.C:
-			p.abandon(w, func() *outcome.Failure { return refuseDeadline(p.drain(time.Now())) })
+			starvedTick = time.After(p.settings.StarvedInterval)
+		case <-startTimer.C:
+			p.withdraw(w, func() *outcome.Failure { return refuseDeadline(p.drainTime(time.Now())) })
 			<-w.done
 			return w.failure
 		case <-ctx.Done():
-			p.abandon(w, func() *outcome.Failure { return refuseEnded(ctx) })
+			p.withdraw(w, func() *outcome.Failure { return refuseEnded(ctx) })
 			<-w.done
 			return w.failure
 		}
--- a/internal/admission/pool_dump.go
+++ b/internal/admission/pool_dump.go
@@ -6,24 +6,24 @@
 	"geraniumcroft/internal/config"
 )
 
-// PoolDump is one pool's state.
+// PoolDump is the state of one pool.
 type PoolDump struct {
-	// Stuck says that the pool's lock was not to be had, so nothing more is known:
-	// a try function does not return.
+	// Stuck reports that the pool's lock could not be acquired, most likely because a
+	// try function does not return. All other fields are zero then.
 	Stuck  bool                 `json:"stuck,omitempty"`
 	Queued int                  `json:"queued"`
 	Levels map[string]LevelDump `json:"levels"`
 	Counts counts               `json:"counts"`
 }
 
-// dumpAttempts and dumpPause bound how long a dump tries to lock a pool.
+// dumpAttempts and dumpPause limit how long a dump tries to lock a pool.
 const (
 	dumpAttempts = 50
 	dumpPause    = 2 * time.Millisecond
 )
 
 func (p *pool) dump() PoolDump {
-	if !p.lockSoon() {
+	if !p.tryLock() {
 		return PoolDump{Stuck: true}
 	}
 	defer p.release()
@@ -35,7 +35,8 @@
 	return dump
 }
 
-func (p *pool) lockSoon() bool {
+// tryLock tries to lock the pool for a short time and reports whether it did.
+func (p *pool) tryLock() bool {
 	for range dumpAttempts {
 		if p.mu.TryLock() {
 			return true
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -14,18 +14,19 @@
 	"geraniumcroft/internal/config"
 )
 
-// arrival is one drawn request and, after the run, what became of it.
+// arrival is one generated request and, after the run, its result.
 type arrival struct {
-	at       time.Duration
-	took     time.Duration
-	request  *Request
-	returns  int
-	err      error
-	ended    time.Duration
-	startedN int
+	at         time.Duration
+	took       time.Duration
+	request    *Request
+	returns    int
+	err        error
+	ended      time.Duration
+	startCount int
 }
 
-// plan is one drawn run: arrivals, and the number of slots from a time on.
+// plan is one generated run. The number of slots changes to the next value of slots
+// every slotsChange.
 type plan struct {
 	arrivals []*arrival
 	slots    []int
@@ -60,14 +61,15 @@
 	}
 }
 
-// run plays the plan in virtual time and returns the longest queue seen.
+// run executes the plan in virtual time and returns the largest number of queued requests
+// that it observed.
 func (p plan) run(t *testing.T) (longest int) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(p.settings, p.slots[0])
 		begin := time.Now()
 		var all sync.WaitGroup
 		for _, a := range p.arrivals {
-			all.Go(func() { a.play(f, begin) })
+			all.Go(func() { a.submit(f, begin) })
 		}
 		for _, slots := range p.slots[1:] {
 			time.Sleep(slotsChange)
@@ -79,7 +81,8 @@
 	return longest
 }
 
-func (a *arrival) play(f *fakeTargets, begin time.Time) {
+// submit submits the request at its time and records the result.
+func (a *arrival) submit(f *fakeTargets, begin time.Time) {
 	time.Sleep(a.at)
 	a.request.Deadline = time.Now().Add(time.Duration(1+len(a.request.ID)%3) * 2 * time.Second)
 	a.request.Pool = testPool
@@ -87,7 +90,7 @@
 	a.err = f.controller.Admit(context.Background(), a.request, func() bool {
 		took := try()
 		if took {
-			a.startedN++
+			a.startCount++
 		}
 		return took
 	})
@@ -99,7 +102,8 @@
 	}
 }
 
-// check returns what is wrong with a finished run, empty if nothing is.
+// check returns a description of the first violation in a finished run, empty if there is
+// none.
 func (p plan) check(longest int) string {
 	if longest > p.settings.MaxQueued {
 		return fmt.Sprintf("%d requests were queued, bound %d", longest, p.settings.MaxQueued)
@@ -108,15 +112,15 @@
 		if a.returns != 1 {
 			return fmt.Sprintf("Admit of %s returned %d times", a.request.ID, a.returns)
 		}
-		if want := map[bool]int{true: 1}[a.err == nil]; a.startedN != want {
-			return fmt.Sprintf("request %s took capacity %d times and ended with %v", a.request.ID, a.startedN, a.err)
+		if want := map[bool]int{true: 1}[a.err == nil]; a.startCount != want {
+			return fmt.Sprintf("request %s took capacity %d times and ended with %v", a.request.ID, a.startCount, a.err)
 		}
 	}
 	return p.checkInversion()
 }
 
-// checkInversion looks for a less urgent request that arrived while an urgent one
-// waited and started while it still did.
+// checkInversion looks for a less urgent request that arrived while an urgent one waited
+// and started before it.
 func (p plan) checkInversion() string {
 	for _, urgent := range p.arrivals {
 		for _, other := range p.arrivals {
@@ -130,10 +134,10 @@
 	return ""
 }
 
-// Callers of all urgencies and workspaces arrive at random while targets come and
-// go. Each gets exactly one answer; a refused one never took a slot; the queue
-// stays within its bound; and no caller waits behind a less urgent one that came
-// after it.
+// Requests of all urgencies and workspaces arrive at random while the number of slots
+// changes. Guards against an Admit that returns more than once or not at all, a refused
+// request that took a slot, a queue above its limit, and an urgent request that waits
+// behind a less urgent one that arrived later.
 func TestRandomRunsKeepTheirPromises(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := drawPlan(rt)
@@ -143,8 +147,8 @@
 	})
 }
 
-// The same runs without the order by urgency: the check must object to some.
-func TestRandomRunsShowAMissingPriority(t *testing.T) {
+// Checks that the property test detects a missing priority order.
+func TestRandomRunsDetectMissingPriority(t *testing.T) {
 	found := ""
 	for seed := range 40 {
 		p := rapid.Custom(drawPlan).Example(seed)
@@ -153,12 +157,12 @@
 			return
 		}
 	}
-	t.Error("no run without priorities was objected to")
+	t.Error("no violation found in runs without priorities")
 }
 
-// unfairness backlogs five workspaces of different weights and costs, and returns
-// the greatest difference in cost over weight between two of them, in units of
-// what fair queueing allows.
+// unfairness keeps five workspaces of different weights and costs backlogged. It returns
+// the largest difference between two of them in served cost divided by weight, relative
+// to what fair queueing allows.
 func unfairness(t *testing.T, s Settings) (worst float64) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -188,7 +192,8 @@
 	return worst
 }
 
-// backlog sends r again and again and adds up what was served.
+// backlog submits r repeatedly until it is refused, and adds the served cost divided by
+// the weight to served.
 func (f *fakeTargets) backlog(ctx context.Context, r *Request, served *float64) {
 	for f.admit(ctx, r) == nil {
 		f.mu.Lock()
@@ -199,6 +204,8 @@
 	}
 }
 
+// spread returns the largest difference between two workspaces, relative to what fair
+// queueing allows.
 func spread(served []float64, costs []int) (worst float64) {
 	for i := range served {
 		for j := range served[:i] {
@@ -209,8 +216,8 @@
 	return worst
 }
 
-// Five workspaces always have requests waiting. At no time has one had more than
-// its weight allows beyond one request each, whatever its requests cost.
+// Guards against a backlogged workspace that gets more than its weight allows. The service
+// of two workspaces may differ by one request of each, regardless of costs.
 func TestWorkspacesShareByWeight(t *testing.T) {
 	if worst := unfairness(t, Settings{}); worst > 1 {
 		t.Errorf("two workspaces are %.2f times the allowed difference apart", worst)
--- a/internal/admission/refusal.go
+++ b/internal/admission/refusal.go
@@ -8,33 +8,33 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// The bounds of the time after which a refused caller is asked to come back.
+// Bounds of the retry-after time of a refusal.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-func refuseFull(drain time.Duration) *outcome.Failure {
-	return outcome.Refuse(outcome.ReasonOverloaded, "the queue is full").WithRetryAfter(retryAfter(drain))
+func refuseFull(drainTime time.Duration) *outcome.Failure {
+	return outcome.Refuse(outcome.ReasonOverloaded, "the queue is full").WithRetryAfter(retryAfter(drainTime))
 }
 
-func refuseDisplaced(drain time.Duration) *outcome.Failure {
+func refuseDisplaced(drainTime time.Duration) *outcome.Failure {
 	return outcome.Refuse(outcome.ReasonOverloaded, "a more urgent request took the place in the queue").
-		WithRetryAfter(retryAfter(drain))
+		WithRetryAfter(retryAfter(drainTime))
 }
 
-func refuseWorkspaceFull(drain time.Duration) *outcome.Failure {
+func refuseWorkspaceFull(drainTime time.Duration) *outcome.Failure {
 	return outcome.Refuse(outcome.ReasonWorkspaceLimit, "the workspace has too many requests queued").
-		WithRetryAfter(retryAfter(drain))
+		WithRetryAfter(retryAfter(drainTime))
 }
 
-func refuseDeadline(drain time.Duration) *outcome.Failure {
+func refuseDeadline(drainTime time.Duration) *outcome.Failure {
 	return outcome.Refuse(outcome.ReasonDeadline, "the request cannot be answered before its deadline").
-		WithRetryAfter(retryAfter(drain))
+		WithRetryAfter(retryAfter(drainTime))
 }
 
-// refuseEnded translates the end of the request's context. A cause that is a
-// failure already is passed on.
+// refuseEnded returns the failure for a request whose context is done. If the cause is
+// an *outcome.Failure, it is returned unchanged.
 func refuseEnded(ctx context.Context) *outcome.Failure {
 	cause := context.Cause(ctx)
 	var failure *outcome.Failure
@@ -47,6 +47,7 @@
 	return outcome.Refuse(outcome.ReasonCallerGone, "the caller went away").WithCause(cause)
 }
 
-func retryAfter(drain time.Duration) time.Duration {
-	return min(max(drain, minRetryAfter), maxRetryAfter)
+// retryAfter returns the expected time until the queue is empty, within the bounds.
+func retryAfter(drainTime time.Duration) time.Duration {
+	return min(max(drainTime, minRetryAfter), maxRetryAfter)
 }
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -6,40 +6,43 @@
 	"geraniumcroft/internal/config"
 )
 
-// Request is what admission needs to know of a request. Its fields are not
-// modified after the call to Admit.
+// Request describes a request to Controller.Admit. The caller must not modify it after
+// the call.
 type Request struct {
 	ID        string
 	Workspace string
 	Profile   string
 	Pool      string
 	Urgency   config.Urgency
-	// Weight is the workspace's share in fair queueing; below 1 counts as 1.
+	// Weight is the weight of the workspace in fair queueing. Values below 1 count as 1.
 	Weight int
-	// Cost is the expected work in tokens; below 1 counts as 1.
+	// Cost is the expected work in tokens. Values below 1 count as 1.
 	Cost int
-	// Arrival is when the request reached this VM; zero takes the time of Admit.
+	// Arrival is when the request reached this VM. Zero means the time of Admit.
 	Arrival time.Time
-	// Deadline is when the whole answer is due; zero is unbounded.
+	// Deadline is when the complete response is due. Zero means no deadline.
 	Deadline time.Time
-	// Expected is the estimated time from the start to the whole answer.
+	// Expected is the estimated time from the start to the complete response.
 	Expected time.Duration
-	// MaxQueueWait bounds the time in the queue; 0 leaves the deadline.
+	// MaxQueueWait limits the time in the queue, in addition to Settings.MaxWait and
+	// the deadline. 0 means no further limit.
 	MaxQueueWait time.Duration
-	// Resume marks a stream that was preempted and comes back: it goes ahead of
-	// its level, and a full queue does not refuse it.
+	// Resume marks a preempted stream that is to continue. It goes before all other
+	// requests of its level and is queued even if the queue is full.
 	Resume bool
 
-	// turn is set while try is called in bulk's turn; guarded by the pool's lock.
-	turn bool
+	// inBulkTurn is set while try is called for a bulk request that starts before
+	// normal ones, see Settings.NormalPerBulk. It is guarded by the lock of the pool.
+	inBulkTurn bool
 }
 
-// EffectiveUrgency is the urgency for which try should take capacity: the request's own,
-// but normal for a bulk request that starts in bulk's turn. Without that, bulk
-// would never find room while normal requests fill all but the slots that only
-// they and urgent ones may take. It may only be called from within try.
+// EffectiveUrgency returns the urgency for which try should take capacity. It is the
+// urgency of the request, except for a bulk request that starts before normal ones,
+// which takes capacity as a normal request. Otherwise bulk requests would never find
+// capacity while normal requests use all slots except those that bulk requests may not
+// take. EffectiveUrgency may only be called from within try.
 func (r *Request) EffectiveUrgency() config.Urgency {
-	if r.turn {
+	if r.inBulkTurn {
 		return config.Normal
 	}
 	return r.Urgency
@@ -49,8 +52,8 @@
 
 func (r *Request) cost() float64 { return float64(max(r.Cost, 1)) }
 
-// lastStart is when the request must have left the queue.
-func (r *Request) lastStart(now time.Time, maxWait time.Duration) time.Time {
+// startDeadline returns the time until which the request may stay in the queue.
+func (r *Request) startDeadline(now time.Time, maxWait time.Duration) time.Time {
 	if r.MaxQueueWait > 0 {
 		maxWait = min(maxWait, r.MaxQueueWait)
 	}
@@ -64,11 +67,11 @@
 	return last
 }
 
-// lost reports whether the request is too late even for a free slot. The expected
-// time is an average, learnt from requests that were answered. Were it demanded in
-// full, one slow spell could raise it above what callers allow, all would be
-// refused on an idle system, and nothing would ever lower it again; half of it
-// leaves that way open.
-func (r *Request) lost(now time.Time) bool {
+// missesDeadline reports whether the request is too late even if it starts at once. It
+// requires only half of the expected time to be left. The expected time is an average
+// over answered requests: if all of it were required, a slow period could raise the
+// average above what callers allow, all requests would be refused although the system
+// is idle, and no answer would ever lower the average again.
+func (r *Request) missesDeadline(now time.Time) bool {
 	return !r.Deadline.IsZero() && now.After(r.Deadline.Add(-r.Expected/2))
 }
--- a/internal/admission/review.go
+++ b/internal/admission/review.go
@@ -6,19 +6,19 @@
 	"geraniumcroft/internal/config"
 )
 
-// scheduleReview arms the pool's timer. It runs while requests are queued: when
-// the targets stand still nothing else would wake the pool, and the requests
-// whose deadline has become hopeless would wait for it in vain.
+// scheduleReview starts the review timer, which runs while requests are queued. When
+// all targets are stalled, no wake-up occurs, and requests whose deadlines can no longer
+// be met would otherwise stay queued until their deadlines.
 func (p *pool) scheduleReview() {
-	if p.reviewer == nil {
-		p.reviewer = time.AfterFunc(p.settings.ReviewInterval, p.review)
+	if p.reviewTimer == nil {
+		p.reviewTimer = time.AfterFunc(p.settings.ReviewInterval, p.review)
 		return
 	}
-	p.reviewer.Reset(p.settings.ReviewInterval)
+	p.reviewTimer.Reset(p.settings.ReviewInterval)
 }
 
-// review refuses the queued requests whose deadline can no longer be met, and
-// starts what can be started in case a wake-up was missed.
+// review refuses the queued requests whose deadlines can no longer be met, and starts
+// queued requests in case a wake-up was missed.
 func (p *pool) review() {
 	p.mu.Lock()
 	defer p.release()
@@ -27,49 +27,53 @@
 	}
 	now := time.Now()
 	if !p.settings.faults.noReview {
-		p.refuseHopeless(now)
+		p.refuseUnmeetable(now)
 	}
-	p.startSome(now)
+	p.startBatch(now)
 	if p.queued > 0 {
 		p.scheduleReview()
 	}
 }
 
-func (p *pool) refuseHopeless(now time.Time) {
+// refuseUnmeetable refuses the queued requests whose deadlines can no longer be met.
+func (p *pool) refuseUnmeetable(now time.Time) {
 	var above time.Duration
 	for u := config.UrgencyCount - 1; u >= 0; u-- {
 		l := p.levels[u]
-		for _, w := range p.hopeless(l, now, above) {
+		for _, w := range p.unmeetable(l, now, above) {
 			p.counts.Expired++
-			p.refuse(w, refuseDeadline(p.drain(now)))
+			p.refuse(w, refuseDeadline(p.drainTime(now)))
 		}
 		above += p.wait(l, l.cost, now)
 	}
 }
 
-// hopeless returns the queued requests that cannot start in time, given the wait
-// for the levels above. Within each class of a flow the cost ahead is counted
-// exactly, that of other classes not at all, so the estimate is on the low side.
-func (p *pool) hopeless(l *level, now time.Time, above time.Duration) []*waiter {
+// unmeetable returns the queued requests of the level that cannot start in time, given
+// the expected time above that the more urgent levels need. It counts the cost ahead
+// within a deadline class of a flow, but not that of other classes, so the estimated
+// wait is too low rather than too high.
+func (p *pool) unmeetable(l *level, now time.Time, above time.Duration) []*waiter {
 	var found []*waiter
 	for _, f := range l.waiting {
 		for class := range f.classes {
-			found = p.hopelessIn(l, f, class, now, above, found)
+			found = p.unmeetableInClass(l, f, class, now, above, found)
 		}
 	}
 	return found
 }
 
-func (p *pool) hopelessIn(l *level, f *flow, class int, now time.Time, above time.Duration, found []*waiter) []*waiter {
+// unmeetableInClass appends to found the requests of one deadline class of a flow that
+// cannot start in time.
+func (p *pool) unmeetableInClass(l *level, f *flow, class int, now time.Time, above time.Duration, found []*waiter) []*waiter {
 	waiting := &f.classes[class]
-	ahead := 0.0
+	costAhead := 0.0
 	for w := waiting.first; w != nil; w = waiting.after(w) {
-		wait := above + p.wait(l, min(ahead*l.weight/f.weight, l.cost), now)
-		if now.Add(wait).After(w.lastStart) {
+		wait := above + p.wait(l, min(costAhead*l.weight/f.weight, l.cost), now)
+		if now.Add(wait).After(w.startDeadline) {
 			found = append(found, w)
 			continue
 		}
-		ahead += w.request.cost()
+		costAhead += w.request.cost()
 	}
 	return found
 }
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The values that a zero field of Settings takes.
+// Default values of the fields of Settings.
 const (
 	DefaultMaxQueued             = 1024
 	DefaultMaxQueuedPerWorkspace = 256
@@ -15,22 +15,24 @@
 	DefaultReviewInterval        = 100 * time.Millisecond
 )
 
-// Settings bound the queues. A zero field takes its default.
+// Settings holds the limits and intervals of a Controller. A field that is not positive
+// takes its default.
 type Settings struct {
-	// MaxQueued bounds the requests queued for one pool.
+	// MaxQueued limits the requests queued for one pool.
 	MaxQueued int
-	// MaxQueuedPerWorkspace bounds one workspace's requests queued for one pool.
+	// MaxQueuedPerWorkspace limits the requests of one workspace queued for one pool.
 	MaxQueuedPerWorkspace int
-	// MaxWait bounds the time in a queue.
+	// MaxWait limits the time in a queue.
 	MaxWait time.Duration
-	// NormalPerBulk is how many normal requests may start before one waiting bulk
-	// request gets a turn; it gets none while an urgent request waits.
+	// NormalPerBulk is the number of normal requests that start before one waiting
+	// bulk request may start ahead of normal ones. It may not while an urgent request
+	// waits.
 	NormalPerBulk int
-	// StarvedInterval is the time between two calls of the OnStarved function for
-	// an urgent request that still waits.
+	// StarvedInterval is the time between two calls of the OnStarved function for an
+	// urgent request that still waits.
 	StarvedInterval time.Duration
-	// ReviewInterval is the least time between two reviews of a queue for requests
-	// whose deadline can no longer be met.
+	// ReviewInterval is the minimum time between two reviews of a queue for requests whose
+	// deadlines can no longer be met.
 	ReviewInterval time.Duration
 
 	faults faults
--- a/internal/admission/waiter_list.go
+++ b/internal/admission/waiter_list.go
@@ -1,7 +1,7 @@
 package admission
 
-// waiterList is a first in, first out list with removal from any place. A waiter
-// stands in at most one list of each order.
+// waiterList is a doubly linked list of waiters in the order of their addition, with
+// removal in constant time. A waiter is in at most one list of each order.
 type waiterList struct {
 	order       listOrder
 	first, last *waiter
@@ -32,5 +32,5 @@
 	w.links[l.order] = listLinks{}
 }
 
-// after returns the waiter behind w, nil when w is the last one.
+// after returns the waiter that follows w, nil if w is the last one.
 func (l *waiterList) after(w *waiter) *waiter { return w.links[l.order].next }
