--- a/internal/entry/listing_test.go
+++ b/internal/entry/listing_test.go
@@ -113,12 +113,12 @@
 	p.write(bornAt(0), 10, "ready")
 	p.pass(3 * time.Second)
 	heard, changed := p.heardOf(incarnation.Key{ID: "r", Born: bornAt(2)}, p.now)
-	if !changed || heard.Earlier {
+	if !changed || heard.Superseded {
 		t.Errorf("%+v, changed %t", heard, changed)
 	}
 	p.wants(t, bornAt(2), 0, false)
 	p.pass(time.Second)
-	if heard, changed := p.heardOf(incarnation.Key{ID: "r", Born: bornAt(0)}, p.now); changed || !heard.Earlier {
+	if heard, changed := p.heardOf(incarnation.Key{ID: "r", Born: bornAt(0)}, p.now); changed || !heard.Superseded {
 		t.Errorf("an old report after a new one: %+v, changed %t", heard, changed)
 	}
 	p.wants(t, bornAt(2), 0, false)
@@ -287,7 +287,7 @@
 // A range beyond the model's layers ended the process that placed them, on one VM after the
 // other.
 func TestEntryThatTheConfigurationHasNoUseFor(t *testing.T) {
-	spec := &layers.Spec{Layers: 20, Kinds: map[string]layers.Kind{"big": {MemoryMB: 36000}}}
+	spec := &layers.Spec{Layers: 20, Accelerators: map[string]layers.Accelerator{"big": {MemoryMB: 36000}}}
 	c := relay.NewConfig(1, nil, nil, map[string]*relay.Service{"engines": {Name: "engines", Model: spec}, "desk": {Name: "desk"}}, relay.Limits{})
 	for name, r := range map[string]relay.Replica{
 		"service": {Service: "nobody's"},
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -22,7 +22,7 @@
 // view is what this VM believes of the configuration and the replicas. It turns the
 // copies of the operator's tables into what the request path and the placement use.
 type view struct {
-	wiring     Wiring
+	adapter    Adapter
 	pools      *relay.Pools
 	balancer   *balance.Balancer
 	invariants *invariant.Registry
@@ -44,9 +44,9 @@
 	unfit unusableEntries
 }
 
-var _ relay.Source = (*view)(nil)
+var _ relay.ConfigSource = (*view)(nil)
 
-// Config implements relay.Source.
+// Config implements relay.ConfigSource.
 func (v *view) Config() *relay.Config { return v.config.Load() }
 
 // configVersion is that of the configuration in force, 0 before the first.
@@ -57,12 +57,12 @@
 	return 0
 }
 
-// ConfigAge implements relay.Source.
+// ConfigAge implements relay.ConfigSource.
 func (v *view) ConfigAge() time.Duration { return v.operator.Age() }
 
 // onConfig puts a configuration in force.
 func (v *view) onConfig(table platform.TableView) {
-	next, err := v.wiring.DecodeConfig(table.Rows)
+	next, err := v.adapter.DecodeConfig(table.Rows)
 	if err != nil {
 		v.logger.Error("configuration not read; the one before stays in force", zap.Uint64("revision", table.Revision), zap.Error(err))
 		return
@@ -76,7 +76,7 @@
 		return
 	}
 	v.config.Store(next)
-	v.logger.Info("configuration in force", zap.Uint64("configVersion", next.Version), zap.Uint64("revision", table.Revision), zap.Int("profiles", next.Profiles()))
+	v.logger.Info("configuration in force", zap.Uint64("configVersion", next.Version), zap.Uint64("revision", table.Revision), zap.Int("profiles", next.NumProfiles()))
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.apply()
@@ -105,7 +105,7 @@
 		}
 		heard, restarted := v.listing.heardOf(k, time.Now())
 		changed = changed || restarted
-		if !heard.Earlier {
+		if !heard.Superseded {
 			current[heard.Key] = load
 		}
 	}
--- a/internal/quarantine/sharing/fleet_test.go
+++ b/internal/quarantine/sharing/fleet_test.go
@@ -186,7 +186,7 @@
 // recordCrash records the crash of a replica on this VM.
 func (vm *fleetVM) recordCrash(d quarantine.Digest, replica string) {
 	if vm.Ledger.RecordCrash(d, incarnation.Key{ID: replica, Born: 1}, time.Now()) {
-		vm.Tell(d)
+		vm.Publish(d)
 	}
 }
 
--- a/internal/quarantine/sharing/sharing.go
+++ b/internal/quarantine/sharing/sharing.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// Tell offers a change of the record of a request to other VMs. It does not block: if too many changes
+// Publish offers a change of the record of a request to other VMs. It does not block: if too many changes
 // are pending, the change is logged and dropped.
-func (s *Syncer) Tell(d quarantine.Digest) {
+func (s *Syncer) Publish(d quarantine.Digest) {
 	select {
 	case s.pending <- d:
 	default:
@@ -217,7 +217,7 @@
 	if lifted {
 		s.Logger.Info("quarantine lifted by an operator", zap.Stringer("digest", d))
 		s.rows.markDirty(d)
-		s.Tell(d)
+		s.Publish(d)
 	}
 	return lifted
 }
--- a/internal/relay/stall_move.go
+++ b/internal/relay/stall_move.go
@@ -53,16 +53,16 @@
 // crowded returns the holders nearby that this stream leaves to others, as they can't read all in
 // time; which streams do is left to chance, as the VMs don't know of each other's.
 func (w *stallWatch) crowded(stopped []string) []incarnation.Key {
-	gap := stall.AcceptedGap(w.g.q.profile.Gap)
+	gap := stall.MaxGap(w.g.q.profile.Gap)
 	w.mu.Lock()
 	left := gap - time.Since(w.last)
 	w.mu.Unlock()
-	crowd, ok := w.reservation.Crowd(stopped, int(w.g.events.Load()), max(left, gap/leastLeft))
-	if !ok || rand.Float64() < crowd.InTime {
+	crowd, ok := w.reservation.DetourCapacity(stopped, int(w.g.events.Load()), max(left, gap/leastLeft))
+	if !ok || rand.Float64() < crowd.MovableFraction {
 		return nil
 	}
 	w.g.h.Logger.Info("stream leaves the holders nearby to others", zap.String("requestId", w.g.q.RequestID),
-		zap.Float64("inTime", crowd.InTime), zap.Stringers("holders", crowd.Holders))
+		zap.Float64("inTime", crowd.MovableFraction), zap.Stringers("holders", crowd.Holders))
 	return crowd.Holders
 }
 
