--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -13,7 +13,8 @@
 	"geraniumcroft/internal/service"
 )
 
-// attempt sends the job's call to the slot's target once and releases the slot.
+// attempt sends the call once to the target of the slot and releases the slot. An attempt of an
+// idempotent call ends after Settings.AttemptTimeout.
 func (d *Dispatcher) attempt(ctx context.Context, job *Job, slot *balance.Slot) (service.Response, *attemptError) {
 	if job.Call.Idempotent {
 		bounded, cancel := context.WithTimeout(ctx, d.settings.AttemptTimeout)
@@ -21,38 +22,42 @@
 		ctx = bounded
 	}
 	response, failure := d.send(ctx, job, slot)
-	slot.Release(verdict(failure))
+	slot.Release(slotResult(failure))
 	return response, failure
 }
 
+// send connects to the target of the slot, sends the call unless the send guard forbids it, and checks
+// the response.
 func (d *Dispatcher) send(ctx context.Context, job *Job, slot *balance.Slot) (service.Response, *attemptError) {
 	target := slot.Target()
 	conn, err := d.connect(ctx, target.Address, !job.Call.Idempotent)
 	if err != nil {
-		return service.Response{}, d.failed(ctx, target.Name, false, err)
+		return service.Response{}, d.newAttemptError(ctx, target.Name, false, err)
 	}
 	if ctx.Err() != nil || !job.SendGuard.BeginSend() {
 		conn.Discard()
-		return service.Response{}, d.failed(ctx, target.Name, false, ctx.Err())
+		return service.Response{}, d.newAttemptError(ctx, target.Name, false, ctx.Err())
 	}
 	response, err := conn.Do(ctx, job.Call)
 	if err != nil {
-		return service.Response{}, d.failed(ctx, target.Name, true, err)
+		return service.Response{}, d.newAttemptError(ctx, target.Name, true, err)
 	}
-	return d.judge(job, target.Name, response)
+	return d.checkResponse(job, target.Name, response)
 }
 
+// connect opens a connection to the address, within Settings.ConnectTimeout.
 func (d *Dispatcher) connect(ctx context.Context, address string, fresh bool) (service.Conn, error) {
 	bounded, cancel := context.WithTimeout(ctx, d.settings.ConnectTimeout)
 	defer cancel()
 	return d.client.Connect(bounded, address, fresh)
 }
 
-// judge decides whether a whole response is the call's answer.
-func (d *Dispatcher) judge(job *Job, target string, response service.Response) (service.Response, *attemptError) {
+// checkResponse returns an error if a complete response is not the result of the call: if it belongs to
+// another request, declares that the call did not run, or has a 5xx status.
+func (d *Dispatcher) checkResponse(job *Job, target string, response service.Response) (service.Response, *attemptError) {
 	own := response.RequestID == job.Call.RequestID
 	if !d.invariants.Check(own, invariant.AnswerToAsker, "request %s got the answer to %q from %s", job.Call.RequestID, response.RequestID, target) {
-		return response, &attemptError{target: target, reason: outcome.ReasonTargetFailed, mayHaveRun: true, cause: errors.New("answer to another request")}
+		return response, &attemptError{target: target, reason: outcome.ReasonTargetFailed, mayHaveRun: true, cause: errors.New("response to another request")}
 	}
 	if response.NotRun {
 		job.SendGuard.MarkNotRun()
@@ -64,7 +69,9 @@
 	return response, nil
 }
 
-func (d *Dispatcher) failed(ctx context.Context, target string, sent bool, cause error) *attemptError {
+// newAttemptError returns the error of an attempt that got no response. sent reports whether the call
+// may have been sent.
+func (d *Dispatcher) newAttemptError(ctx context.Context, target string, sent bool, cause error) *attemptError {
 	failure := &attemptError{target: target, reason: outcome.ReasonTargetFailed, mayHaveRun: sent, cause: cause}
 	var call *service.CallError
 	if errors.As(cause, &call) && call.Silent {
@@ -79,8 +86,9 @@
 	return failure
 }
 
-// verdict is what an attempt says of its target. A cancelled attempt says nothing.
-func verdict(failure *attemptError) balance.Result {
+// slotResult returns the result of an attempt for the health tracking of its target. A cancelled attempt
+// is neutral.
+func slotResult(failure *attemptError) balance.Result {
 	switch {
 	case failure == nil:
 		return balance.ResultOK
--- a/internal/dispatch/attempt_error.go
+++ b/internal/dispatch/attempt_error.go
@@ -6,14 +6,13 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// attemptError says why one attempt gave no answer and whether the call may
-// have run in it.
+// attemptError is the failure of one attempt. It records whether the call may have run.
 type attemptError struct {
 	target string
 	reason outcome.Reason
 	// mayHaveRun is false only when it is certain that the call did not run.
 	mayHaveRun bool
-	// callerGone says that the request's own context ended.
+	// callerGone reports whether the context of the request was cancelled.
 	callerGone bool
 	cause      error
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -7,7 +7,7 @@
 	"geraniumcroft/internal/service"
 )
 
-// Dispatcher sends calls. It is safe for concurrent use.
+// Dispatcher sends calls to targets, with retries and hedges. It is safe for concurrent use.
 type Dispatcher struct {
 	client     service.Client
 	settings   Settings
@@ -16,18 +16,18 @@
 	observer   Observer
 }
 
-// New returns a dispatcher over the client.
+// New returns a dispatcher that sends calls through client. observer may be nil.
 func New(client service.Client, s Settings, invariants *invariant.Registry, observer Observer) *Dispatcher {
 	budget := NewRetryBudget(s.BudgetShare, s.BudgetBurst, s.BudgetPerSecond)
 	return &Dispatcher{client: client, settings: s, budget: budget, invariants: invariants, observer: observer}
 }
 
-// Call makes the job's attempts and returns the whole answer or an
-// *outcome.Failure. When it returns no attempt can be sent any more; an attempt
-// that lost a hedge may still be ending.
+// Call makes the attempts of a job and returns the complete response or an
+// *outcome.Failure. After it has returned, no further attempt is sent, but an attempt
+// that was slower than a hedge may not have ended yet.
 func (d *Dispatcher) Call(ctx context.Context, job Job) (service.Response, error) {
 	d.budget.Credit(job.Urgency)
 	run := newRun(d, ctx, &job)
-	defer run.end()
-	return run.loop()
+	defer run.finish()
+	return run.wait()
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -22,7 +22,7 @@
 
 const pool = "permits"
 
-// behaviour is what a fake instance does with a call.
+// behaviour configures how a fake instance handles a call.
 type behaviour struct {
 	connectErr error
 	connect    time.Duration
@@ -32,16 +32,16 @@
 	takes      time.Duration
 }
 
-// fakeServices is a service.Client whose instances are known by address.
+// fakeServices is a service.Client with fake instances by address. It records where calls were sent.
 type fakeServices struct {
-	mu   sync.Mutex
-	by   map[string]behaviour
-	sent []string
+	mu         sync.Mutex
+	behaviours map[string]behaviour
+	sent       []string
 }
 
 func (f *fakeServices) Connect(ctx context.Context, address string, _ bool) (service.Conn, error) {
 	f.mu.Lock()
-	b := f.by[address]
+	b := f.behaviours[address]
 	f.mu.Unlock()
 	if !sleep.For(ctx, b.connect) {
 		return nil, ctx.Err()
@@ -98,52 +98,54 @@
 	return b
 }
 
-type outcomeOf struct {
+// callResult is the outcome of a call and the instances that it was sent to.
+type callResult struct {
 	outcome outcome.Outcome
 	reason  outcome.Reason
 	sent    []string
 }
 
-// callOnce makes one call that goes to a first; sent lists the instances it reached.
-func callOnce(t *testing.T, a, b behaviour, idempotent bool, u config.Urgency, s Settings) outcomeOf {
+// callOnce makes one call whose first attempt goes to instance a. It also checks that an outcome "not run"
+// is true, that all slots are released and that no invariant is violated.
+func callOnce(t *testing.T, a, b behaviour, idempotent bool, u config.Urgency, s Settings) callResult {
 	t.Helper()
 	violations := invariant.NewRegistry(nil)
 	balancer := twoInstances(violations)
-	services := &fakeServices{by: map[string]behaviour{"a": a, "b": b}}
+	services := &fakeServices{behaviours: map[string]behaviour{"a": a, "b": b}}
 	first, err := balancer.Reserve("a", u)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	boundary := NewSendGuard("r1", idempotent, violations)
+	guard := NewSendGuard("r1", idempotent, violations)
 	_, err = New(services, s, violations, nil).Call(ctx, Job{
-		Call: service.Call{RequestID: "r1", Idempotent: idempotent}, Urgency: u, SendGuard: boundary, FirstSlot: first,
+		Call: service.Call{RequestID: "r1", Idempotent: idempotent}, Urgency: u, SendGuard: guard, FirstSlot: first,
 		NextSlot: func(exclude []string) (*balance.Slot, error) {
 			return balancer.Pick(balance.Query{Pool: pool, Urgency: u, Exclude: exclude})
 		},
 	})
 	synctest.Wait()
 	time.Sleep(5 * time.Second)
-	got := outcomeOf{outcome: outcome.Complete, sent: services.sent}
+	got := callResult{outcome: outcome.Complete, sent: services.sent}
 	var failure *outcome.Failure
 	if errors.As(err, &failure) {
 		got.outcome, got.reason = failure.Outcome, failure.Reason
 	}
-	if got.outcome == outcome.NotRun && boundary.MayHaveRun() {
-		t.Error("told not-run although it was sent")
+	if got.outcome == outcome.NotRun && guard.MayHaveRun() {
+		t.Error("outcome is not-run although the call was sent")
 	}
 	for name, n := range balancer.InFlight() {
-		t.Errorf("%d slots of %s were not given back", n, name)
+		t.Errorf("%d slots of %s were not released", n, name)
 	}
 	if v := violations.Total(); v != 0 && !a.wrongID {
-		t.Errorf("%d violations: %+v", v, violations.Report().Recent)
+		t.Errorf("%d invariant violations: %+v", v, violations.Report().Recent)
 	}
 	return got
 }
 
-// What the caller is told, and where the call was sent, for each way in which
-// the first instance fails. The second one always works.
+// Checks the outcome and the instances that the call was sent to, for each kind of failure of
+// the first instance. The second instance always responds.
 func TestOutcomesByFailureOfTheFirstInstance(t *testing.T) {
 	reset := &service.CallError{Sent: true, Cause: errors.New("connection reset")}
 	rows := []struct {
@@ -151,31 +153,31 @@
 		first      behaviour
 		idempotent bool
 		urgency    config.Urgency
-		want       outcomeOf
+		want       callResult
 	}{
-		{"the answer comes back", behaviour{}, false, config.Urgent, outcomeOf{outcome.Complete, "", []string{"a"}}},
+		{"a response is returned", behaviour{}, false, config.Urgent, callResult{outcome.Complete, "", []string{"a"}}},
 		{"a failed connect proves that it did not run", behaviour{connectErr: errors.New("refused")}, false, config.Urgent,
-			outcomeOf{outcome.Complete, "", []string{"b"}}},
-		{"a reset after sending is unknown and never sent again", behaviour{doErr: reset}, false, config.Urgent,
-			outcomeOf{outcome.Unknown, outcome.ReasonTargetFailed, []string{"a"}}},
-		{"a 5xx is unknown and never sent again", behaviour{response: service.Response{Status: 503}}, false, config.Urgent,
-			outcomeOf{outcome.Unknown, outcome.ReasonTargetFailed, []string{"a"}}},
-		{"a slow answer is not hedged", behaviour{takes: 700 * time.Millisecond}, false, config.Urgent,
-			outcomeOf{outcome.Complete, "", []string{"a"}}},
+			callResult{outcome.Complete, "", []string{"b"}}},
+		{"a reset after sending is unknown and not retried", behaviour{doErr: reset}, false, config.Urgent,
+			callResult{outcome.Unknown, outcome.ReasonTargetFailed, []string{"a"}}},
+		{"a 5xx status is unknown and not retried", behaviour{response: service.Response{Status: 503}}, false, config.Urgent,
+			callResult{outcome.Unknown, outcome.ReasonTargetFailed, []string{"a"}}},
+		{"a slow response is not hedged", behaviour{takes: 700 * time.Millisecond}, false, config.Urgent,
+			callResult{outcome.Complete, "", []string{"a"}}},
 		{"silence up to the deadline is unknown", behaviour{takes: time.Hour}, false, config.Urgent,
-			outcomeOf{outcome.Unknown, outcome.ReasonDeadline, []string{"a"}}},
-		{"declared as not run, it may go elsewhere", behaviour{response: service.Response{NotRun: true}}, false, config.Urgent,
-			outcomeOf{outcome.Complete, "", []string{"a", "b"}}},
-		{"another request's declaration proves nothing of this one", behaviour{wrongID: true, response: service.Response{NotRun: true}}, false, config.Urgent,
-			outcomeOf{outcome.Unknown, outcome.ReasonTargetFailed, []string{"a"}}},
-		{"another request's answer is not handed out", behaviour{wrongID: true}, false, config.Urgent,
-			outcomeOf{outcome.Unknown, outcome.ReasonTargetFailed, []string{"a"}}},
+			callResult{outcome.Unknown, outcome.ReasonDeadline, []string{"a"}}},
+		{"a call declared as not run is retried elsewhere", behaviour{response: service.Response{NotRun: true}}, false, config.Urgent,
+			callResult{outcome.Complete, "", []string{"a", "b"}}},
+		{"a not-run declaration for another request does not count", behaviour{wrongID: true, response: service.Response{NotRun: true}}, false, config.Urgent,
+			callResult{outcome.Unknown, outcome.ReasonTargetFailed, []string{"a"}}},
+		{"the response to another request is not returned", behaviour{wrongID: true}, false, config.Urgent,
+			callResult{outcome.Unknown, outcome.ReasonTargetFailed, []string{"a"}}},
 		{"idempotent: a reset is retried elsewhere", behaviour{doErr: reset}, true, config.Normal,
-			outcomeOf{outcome.Complete, "", []string{"a", "b"}}},
-		{"idempotent and urgent: a slow answer is hedged", behaviour{takes: 700 * time.Millisecond}, true, config.Urgent,
-			outcomeOf{outcome.Complete, "", []string{"a", "b"}}},
-		{"idempotent and normal: a slow answer is waited for", behaviour{takes: 700 * time.Millisecond}, true, config.Normal,
-			outcomeOf{outcome.Complete, "", []string{"a"}}},
+			callResult{outcome.Complete, "", []string{"a", "b"}}},
+		{"idempotent and urgent: a slow response is hedged", behaviour{takes: 700 * time.Millisecond}, true, config.Urgent,
+			callResult{outcome.Complete, "", []string{"a", "b"}}},
+		{"idempotent and normal: a slow response is not hedged", behaviour{takes: 700 * time.Millisecond}, true, config.Normal,
+			callResult{outcome.Complete, "", []string{"a"}}},
 	}
 	for _, row := range rows {
 		t.Run(row.shows, func(t *testing.T) {
@@ -189,26 +191,25 @@
 	}
 }
 
-// The caller is told at its deadline that the call did not run. Its attempt was
-// still connecting and gets its connection a moment later. Were it then sent, a
-// call that was told as not run would run; the boundary was closed first, so the
-// attempt gives up.
-func TestNotRunStaysTrueWhenTheConnectionComesLate(t *testing.T) {
+// Guards against a call that is sent after the outcome "not run" was reported. The attempt is
+// still connecting at the deadline and gets its connection afterwards. Because the send guard
+// is closed before the outcome is reported, the attempt must not send the call.
+func TestCallIsNotSentAfterOutcomeNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := DefaultSettings()
 		settings.ConnectTimeout = time.Hour
 		got := callOnce(t, behaviour{connect: 2 * time.Second}, behaviour{}, false, config.Urgent, settings)
-		want := outcomeOf{outcome.NotRun, outcome.ReasonDeadline, nil}
+		want := callResult{outcome.NotRun, outcome.ReasonDeadline, nil}
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("got %v, want %v", got, want)
 		}
 	})
 }
 
-// Every first attempt fails. Without a budget each request would be sent twice
-// and an overload would feed itself; with it the extra attempts stay a share.
+// Guards against retries that double the load when every first attempt fails, so that an
+// overload sustains itself. The budget must limit retries to a share of the requests.
 func TestRetriesStayWithinTheirShare(t *testing.T) {
-	Convey("Given a budget of a tenth, and a thousand requests that would all retry", t, func() {
+	Convey("Given a budget of a tenth and a thousand requests that all retry", t, func() {
 		budget := NewRetryBudget(0.1, 20, 0)
 		taken := 0
 		for range 1000 {
@@ -218,19 +219,19 @@
 			}
 		}
 
-		Convey("a tenth of them does", func() {
+		Convey("a tenth of the retries is allowed", func() {
 			So(taken, ShouldBeBetweenOrEqual, 90, 100)
 		})
 
-		Convey("urgent requests draw on nothing that normal ones have earned", func() {
+		Convey("urgent requests do not use the budget of normal ones", func() {
 			So(budget.Take(config.Urgent), ShouldBeFalse)
 		})
 	})
 }
 
-// An idempotent call fails on its first instance, and a second one would answer.
-// It is not sent again once its attempts, or the budget that all requests share, are
-// used up: in an overload each request would otherwise come twice.
+// Guards against retries and hedges of an idempotent call beyond MaxAttempts or the common
+// budget, which would send each request twice in an overload. The first instance fails, and
+// the second one would respond.
 func TestNoRetryBeyondTheBounds(t *testing.T) {
 	reset := behaviour{doErr: &service.CallError{Sent: true, Cause: errors.New("connection reset")}}
 	slow := behaviour{takes: 700 * time.Millisecond}
@@ -241,12 +242,12 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				got := callOnce(t, reset, behaviour{}, true, config.Urgent, settings)
-				want := outcomeOf{outcome.Unknown, outcome.ReasonTargetFailed, []string{"a"}}
+				want := callResult{outcome.Unknown, outcome.ReasonTargetFailed, []string{"a"}}
 				if fmt.Sprint(got) != fmt.Sprint(want) {
 					t.Errorf("after a reset got %v, want %v", got, want)
 				}
 				got = callOnce(t, slow, behaviour{}, true, config.Urgent, settings)
-				want = outcomeOf{outcome.Complete, "", []string{"a"}}
+				want = callResult{outcome.Complete, "", []string{"a"}}
 				if fmt.Sprint(got) != fmt.Sprint(want) {
 					t.Errorf("hedged: got %v, want %v", got, want)
 				}
@@ -255,17 +256,17 @@
 	}
 }
 
-// Two attempts of a call that is not idempotent race to be sent, as a mistake in
-// the attempts' logic would have them. Only one passes, and it is reported.
-func TestSecondCrossingIsStoppedAndReported(t *testing.T) {
-	Convey("Given a boundary that one attempt has crossed", t, func() {
+// Guards against a second send of a call that is not idempotent, as a fault in the logic of the
+// attempts might cause. The guard must refuse it and report the violation.
+func TestSecondSendIsRefusedAndReported(t *testing.T) {
+	Convey("Given a guard after one send", t, func() {
 		violations := invariant.NewRegistry(nil)
-		boundary := NewSendGuard("r1", false, violations)
-		So(boundary.BeginSend(), ShouldBeTrue)
+		guard := NewSendGuard("r1", false, violations)
+		So(guard.BeginSend(), ShouldBeTrue)
 		So(violations.Total(), ShouldEqual, 0)
 
-		Convey("a second attempt is stopped and reported", func() {
-			So(boundary.BeginSend(), ShouldBeFalse)
+		Convey("a second send is refused and reported", func() {
+			So(guard.BeginSend(), ShouldBeFalse)
 			So(violations.Report().Counts[invariant.OneDispatch], ShouldEqual, 1)
 		})
 	})
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,14 +1,13 @@
-// Package dispatch sends calls to plain services: which attempts are made, when
-// a call may be sent again, and what is true to say when no answer came.
+// Package dispatch sends calls to plain services. It decides which attempts are made, when a call may be
+// sent again, and which outcome is reported if no response arrived.
 //
-// The dispatch boundary is one state change made before the first byte of a call
-// can leave this VM. Before it, a failure proves that the call did not run, so
-// another target may be tried and "not run" is true. After it, without a whole
-// answer, a call that is not idempotent is unknown: it is never retried and never
-// hedged, whatever the error looks like, because a connection reset says nothing
-// about whether the service had begun.
+// A SendGuard records that a call is sent before its first byte can leave this VM. A failure before that
+// proves that the call did not run, so another target may be tried, and the outcome "not run" is true.
+// After that, a call that is not idempotent and got no complete response has the outcome "unknown". It is
+// never retried or hedged, whatever the error is: a connection reset, for example, does not show whether
+// the service had begun to run the call.
 //
-// Idempotent calls are retried on another target, and urgent ones are hedged
-// when the first attempt is slow. Both draw on a budget that is a share of fresh
-// requests, so that retries cannot double an overload.
+// Idempotent calls are retried on another target, and urgent ones are hedged if the first attempt is slow.
+// Retries and hedges use a common budget that is a share of the requests, so that they cannot double an
+// overload.
 package dispatch
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -6,13 +6,13 @@
 	"geraniumcroft/internal/service"
 )
 
-// Job is one call with the slot that admission has taken for it.
+// Job is one call, with the slot that admission took for it.
 type Job struct {
 	Call      service.Call
 	Urgency   config.Urgency
 	SendGuard *SendGuard
 	// FirstSlot is the slot of the first attempt; Call releases it.
 	FirstSlot *balance.Slot
-	// NextSlot takes a slot on a target that is not excluded, without waiting.
+	// NextSlot takes a slot on a target that is not excluded. It does not wait for one.
 	NextSlot func(exclude []string) (*balance.Slot, error)
 }
--- a/internal/dispatch/observer.go
+++ b/internal/dispatch/observer.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// Observer is told of attempts beyond the first; it must not block.
+// Observer receives events of a Dispatcher. Its methods must not block.
 type Observer interface {
-	// Retry counts an extra attempt; kind is "retry" or "hedge".
+	// Retry is called for each attempt after the first. kind is "retry" or "hedge".
 	Retry(kind string)
 }
--- a/internal/dispatch/retry_budget.go
+++ b/internal/dispatch/retry_budget.go
@@ -9,12 +9,13 @@
 	"geraniumcroft/internal/config"
 )
 
-// RetryBudget bounds retries and hedges to a share of fresh requests, apart for
-// each urgency so that bulk retries cannot use up what urgent ones need.
+// RetryBudget limits retries and hedges to a share of the requests. Each urgency has its
+// own budget, so that bulk retries cannot use up the budget of urgent ones. It is safe
+// for concurrent use.
 //
-// Without it a failing pool gets each request several times over: the symptom is
-// an overload that stays after its cause has gone. A small constant rate besides
-// the share lets a VM with little traffic retry at all.
+// Without a budget, a failing pool would receive each request several times, and an
+// overload would persist after its cause is gone. A small constant rate in addition to
+// the share allows retries on a VM with little traffic.
 type RetryBudget struct {
 	share float64
 	burst float64
@@ -24,8 +25,8 @@
 	tokens [config.UrgencyCount]float64
 }
 
-// NewRetryBudget returns a budget of share retries a fresh request, saved up to
-// burst, and perSecond retries a second for each urgency besides.
+// NewRetryBudget returns a budget of share retries per request, which accumulate up to
+// burst, and in addition perSecond retries per second for each urgency.
 func NewRetryBudget(share, burst, perSecond float64) *RetryBudget {
 	b := &RetryBudget{share: share, burst: burst}
 	for level := range b.base {
@@ -34,14 +35,14 @@
 	return b
 }
 
-// Credit credits the budget for one request that arrived.
+// Credit adds the share of one new request to the budget of its urgency.
 func (b *RetryBudget) Credit(u config.Urgency) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens[u] = min(b.burst, b.tokens[u]+b.share)
 }
 
-// Take reports whether one more attempt may be made, and pays for it.
+// Take reports whether one more attempt may be made. If so, it reduces the budget.
 func (b *RetryBudget) Take(u config.Urgency) bool {
 	if b.takeShare(u) {
 		return true
@@ -49,6 +50,7 @@
 	return b.base[u].AllowN(time.Now(), 1)
 }
 
+// takeShare is Take for the budget that Credit has accumulated.
 func (b *RetryBudget) takeShare(u config.Urgency) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -12,43 +12,48 @@
 	"geraniumcroft/internal/service"
 )
 
-// run is the attempts of one call.
+// run holds the attempts of one call. It is used by a single goroutine; attempts run in goroutines of
+// their own and send their results on the results channel.
 type run struct {
-	dispatcher *Dispatcher
-	ctx        context.Context
-	cancel     context.CancelFunc
-	job        *Job
-	results    chan result
-	pending    int
-	attempts   int
-	tried      []string
-	last       *attemptError
+	dispatcher   *Dispatcher
+	ctx          context.Context
+	cancel       context.CancelFunc
+	job          *Job
+	results      chan attemptResult
+	pending      int // attempts without a result
+	attempts     int // attempts started
+	triedTargets []string
+	last         *attemptError
 }
 
 func newRun(d *Dispatcher, ctx context.Context, job *Job) *run {
 	attemptCtx, cancel := context.WithCancel(ctx)
 	return &run{
 		dispatcher: d, ctx: attemptCtx, cancel: cancel, job: job,
-		results: make(chan result, max(1, d.settings.MaxAttempts)),
+		results: make(chan attemptResult, max(1, d.settings.MaxAttempts)),
 	}
 }
 
-func (r *run) end() {
+// finish prevents further sends and cancels the attempts that have not ended.
+func (r *run) finish() {
 	r.job.SendGuard.Close()
 	r.cancel()
 }
 
+// start starts an attempt with the slot.
 func (r *run) start(slot *balance.Slot) {
 	r.attempts++
 	r.pending++
-	r.tried = append(r.tried, slot.Target().Name)
+	r.triedTargets = append(r.triedTargets, slot.Target().Name)
 	go func() {
 		response, failure := r.dispatcher.attempt(r.ctx, r.job, slot)
-		r.results <- result{response, failure}
+		r.results <- attemptResult{response, failure}
 	}()
 }
 
-func (r *run) loop() (service.Response, error) {
+// wait makes the first attempt and then retries or hedges until there is a response, no attempt is left,
+// or the context is done.
+func (r *run) wait() (service.Response, error) {
 	r.start(r.job.FirstSlot)
 	hedge := r.hedgeTimer()
 	for {
@@ -64,13 +69,14 @@
 			}
 		case <-hedge:
 			hedge = nil
-			r.another("hedge")
+			r.startExtra("hedge")
 		case <-r.ctx.Done():
 			return service.Response{}, r.failure()
 		}
 	}
 }
 
+// hedgeTimer returns a channel that receives when a hedge is due, nil if the call must not be hedged.
 func (r *run) hedgeTimer() <-chan time.Time {
 	urgent := r.job.Urgency == config.Urgent
 	if !urgent || !r.job.Call.Idempotent || r.dispatcher.settings.HedgeAfter <= 0 {
@@ -79,8 +85,8 @@
 	return time.After(r.dispatcher.settings.HedgeAfter)
 }
 
-// retry starts another attempt if the call may be sent again. After a crossing
-// of the boundary only an idempotent call may.
+// retry starts another attempt if the call may be sent again, and reports whether it did. A call that may
+// have run is sent again only if it is idempotent.
 func (r *run) retry() bool {
 	if r.ctx.Err() != nil {
 		return false
@@ -88,17 +94,19 @@
 	if !r.job.Call.Idempotent && r.job.SendGuard.MayHaveRun() {
 		return false
 	}
-	return r.another("retry")
+	return r.startExtra("retry")
 }
 
-func (r *run) another(kind string) bool {
+// startExtra starts an attempt after the first if the attempts, the budget and the targets permit it, and
+// reports whether it did.
+func (r *run) startExtra(kind string) bool {
 	if r.attempts >= r.dispatcher.settings.MaxAttempts {
 		return false
 	}
 	if !r.dispatcher.budget.Take(r.job.Urgency) {
 		return false
 	}
-	slot, err := r.job.NextSlot(r.tried)
+	slot, err := r.job.NextSlot(r.triedTargets)
 	if err != nil {
 		return false
 	}
@@ -109,9 +117,8 @@
 	return true
 }
 
-// failure says what is true once no attempt gave an answer. The boundary is
-// closed first: an attempt that is still connecting can then never be sent, so
-// what is said here stays true.
+// failure returns the outcome after no attempt returned a response. It closes the send guard first, so
+// that an attempt that is still connecting cannot be sent afterwards and the outcome remains true.
 func (r *run) failure() *outcome.Failure {
 	r.job.SendGuard.Close()
 	reason, cause := r.reason()
@@ -121,6 +128,7 @@
 	return outcome.Refuse(reason, "no target took the call; it did not run").WithCause(cause).WithRetryAfter(time.Second)
 }
 
+// reason returns the reason and the cause of the failure.
 func (r *run) reason() (outcome.Reason, error) {
 	switch {
 	case errors.Is(r.ctx.Err(), context.Canceled):
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Settings bound the attempts of one call.
+// Settings holds the limits on the attempts of a call.
 type Settings struct {
-	// MaxAttempts bounds the attempts of one request, hedges included.
+	// MaxAttempts limits the attempts of one call, including hedges.
 	MaxAttempts int
-	// ConnectTimeout bounds the wait for a connection.
+	// ConnectTimeout limits the time to connect to a target.
 	ConnectTimeout time.Duration
-	// AttemptTimeout bounds one attempt of an idempotent call, so that a silent
-	// target leaves time for another; a call that is not idempotent is bounded by
-	// its deadline alone, as giving up earlier gains it nothing.
+	// AttemptTimeout limits one attempt of an idempotent call, so that time is left for
+	// another target if the first does not respond. A call that is not idempotent is
+	// limited by its deadline only, because it could not be retried anyway.
 	AttemptTimeout time.Duration
-	// HedgeAfter is how long an urgent idempotent call waits for its first attempt
-	// before a second one goes to another target; 0 never hedges.
+	// HedgeAfter is the time after which an urgent idempotent call without a response
+	// is sent to a second target. 0 disables hedging.
 	HedgeAfter time.Duration
-	// BudgetShare, BudgetBurst and BudgetPerSecond set the RetryBudget.
+	// BudgetShare, BudgetBurst and BudgetPerSecond are the parameters of the RetryBudget,
+	// see NewRetryBudget.
 	BudgetShare     float64
 	BudgetBurst     float64
 	BudgetPerSecond float64
 }
 
-// DefaultSettings returns the settings for data centres a quarter of a
-// millisecond apart.
+// DefaultSettings returns settings for data centres that are a quarter of a millisecond
+// apart.
 func DefaultSettings() Settings {
 	return Settings{
 		MaxAttempts:     3,
--- a/internal/dispatch/window_budget.go
+++ b/internal/dispatch/window_budget.go
@@ -6,56 +6,59 @@
 	"time"
 )
 
-// windowSlots is into how many parts a WindowBudget cuts its window to count in.
-const windowSlots = 40
+// windowBuckets is the number of buckets into which a WindowBudget divides its window.
+const windowBuckets = 40
 
-// WindowBudget bounds retries to a share of the fresh requests of a window and a slack
-// besides, in any window of that length. All of it may be spent at once: when a replica
-// dies, all streams through it want to go on at the same moment, and a rate that is even
-// lets most of them break off while the budget of the seconds before was left unused.
+// WindowBudget limits the retries in any window of a given length to a share of the
+// requests in that window, plus a constant slack. The whole budget may be used at once:
+// when a replica fails, all of its streams must continue elsewhere at the same time. A
+// constant rate would fail most of them although the budget of the previous seconds was
+// unused.
 //
-// If each VM keeps to its own window, with its own requests and an equal part of the
-// slack, then all VMs together keep to the fleet's. It is safe for concurrent use.
+// If each VM keeps the limit for its own requests and an equal share of the slack, all
+// VMs together keep the limit of the fleet. It is safe for concurrent use.
 type WindowBudget struct {
-	share float64
-	slot  time.Duration
-	// start is a reading of the steady clock: the time of day may jump, and a jump ahead
-	// would forget what was spent.
+	share  float64
+	bucket time.Duration
+	// start holds a monotonic clock reading. The wall clock may be adjusted, and a jump
+	// forward would empty all buckets.
 	start time.Time
 
 	mu    sync.Mutex // guards the fields below
 	slack float64
-	// fresh and spent count by slot of time; the newest slot is number now.
-	fresh, spent [windowSlots + 1]int
+	// fresh and spent count requests and retries by time bucket. They are ring buffers;
+	// the newest bucket has the number now.
+	fresh, spent [windowBuckets + 1]int
 	now          int64
 }
 
-// NewWindowBudget returns a budget of share retries a fresh request and of slack, in any
-// window.
+// NewWindowBudget returns a budget of share retries per request plus slack retries, in any
+// window of the given length.
 func NewWindowBudget(share, slack float64, window time.Duration) *WindowBudget {
-	return &WindowBudget{share: share, slack: slack, slot: max(1, window/windowSlots), start: time.Now()}
+	return &WindowBudget{share: share, slack: slack, bucket: max(1, window/windowBuckets), start: time.Now()}
 }
 
-// SetSlack changes the slack from now on.
+// SetSlack sets the slack. It takes effect with the next call of Take.
 func (b *WindowBudget) SetSlack(slack float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slack = slack
 }
 
-// Credit credits the budget for one request that arrived.
+// Credit counts one new request.
 func (b *WindowBudget) Credit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fresh[b.turn()]++
+	b.fresh[b.advance()]++
 }
 
-// Take reports whether one more retry may be made, and pays for it.
+// Take reports whether one more retry may be made. If so, it counts the retry.
 func (b *WindowBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	at := b.turn()
-	// The oldest slot is in the window in part: its retries count and its requests don't.
+	at := b.advance()
+	// The oldest bucket is only partly within the window. To stay within the limit, its
+	// retries count and its requests do not.
 	oldest := (at + 1) % len(b.fresh)
 	fresh, spent := 0, 0
 	for i := range b.fresh {
@@ -71,14 +74,15 @@
 	return true
 }
 
-// roundingError keeps a budget that comes to a whole number from losing one for the
-// way in which fractions are added.
+// roundingError prevents a budget that is a whole number from being rounded down because
+// of floating-point errors.
 const roundingError = 1e-9
 
-// turn empties the slots that the time has passed over and returns the present one.
-func (b *WindowBudget) turn() int {
-	now := int64(time.Since(b.start) / b.slot)
-	for n := max(b.now+1, now-windowSlots); n <= now; n++ {
+// advance clears the buckets that have begun since the last call and returns the index of
+// the current one. The caller must hold b.mu.
+func (b *WindowBudget) advance() int {
+	now := int64(time.Since(b.start) / b.bucket)
+	for n := max(b.now+1, now-windowBuckets); n <= now; n++ {
 		i := n % int64(len(b.fresh))
 		b.fresh[i], b.spent[i] = 0, 0
 	}
--- a/internal/dispatch/window_budget_test.go
+++ b/internal/dispatch/window_budget_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// A card dies and 20 streams of a VM want to go on at once, after ten calm seconds. The
-// whole window's budget is there for them; a second burst finds none until the first has
-// left the window.
+// Guards against a budget that is released too slowly for a burst: a card fails after ten
+// seconds without retries, and 20 streams of a VM must continue at once. They may use the
+// whole budget of the window; a second burst gets none until the first has left the window.
 func TestWindowsBudgetMayBeSpentAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewWindowBudget(0.2, 4, 10*time.Second)
@@ -28,21 +28,21 @@
 			return n
 		}
 		if n := take(); n < 22 || n > 24 {
-			t.Errorf("%d retries at once, of a budget of 24", n)
+			t.Errorf("%d retries at once, want 22 to 24", n)
 		}
 		time.Sleep(5 * time.Second)
 		if n := take(); n != 0 {
-			t.Errorf("%d more within the window", n)
+			t.Errorf("%d more retries within the window, want none", n)
 		}
 		time.Sleep(6 * time.Second)
 		if n := take(); n < 3 || n > 4 {
-			t.Errorf("%d retries of the slack after a calm window, of 4", n)
+			t.Errorf("%d retries after a window without requests, want 3 to 4", n)
 		}
 	})
 }
 
-// Whatever requests and retries come when, no window holds more retries than the share of
-// its requests and the slack. A fleet that went beyond would double an overload.
+// Guards against a window with more retries than the share of its requests plus the slack,
+// for any sequence of requests and retries. Retries beyond that could double an overload.
 func TestNoWindowHoldsMoreThanItsBudget(t *testing.T) {
 	const share, slack, window = 0.3, 5.0, 10 * time.Second
 	rapid.Check(t, func(rt *rapid.T) {
@@ -63,13 +63,13 @@
 		})
 		for _, end := range spent {
 			if got, most := within(spent, end, window), share*float64(within(fresh, end, window))+slack; float64(got) > most {
-				rt.Fatalf("%d retries in the window before %s, allowed are %.1f", got, end, most)
+				rt.Fatalf("%d retries in the window before %s, allowed %.1f", got, end, most)
 			}
 		}
 	})
 }
 
-// within counts the times in the window that ends at end.
+// within returns the number of times within the window that ends at end.
 func within(times []time.Time, end time.Time, window time.Duration) int {
 	n := 0
 	for _, at := range times {
