--- a/internal/pushback/counts.go
+++ b/internal/pushback/counts.go
@@ -8,7 +8,7 @@
 	Limited int
 	// BackingOff replicas want no requests from this VM for now.
 	BackingOff int
-	// Leaving replicas have announced that they are about to end.
+	// Leaving replicas have announced that they are leaving.
 	Leaving int
 }
 
--- a/internal/pushback/doc.go
+++ b/internal/pushback/doc.go
@@ -1,5 +1,5 @@
 // Package pushback tracks the flow control signals of replicas: rate limits, requests to back off, and
-// announcements that a replica is about to end.
+// announcements that a replica is leaving, which means that it is about to end.
 //
 // Replicas send these signals with their answers, and each answer is passed to the Ledger as a Signal.
 // A signal applies to one incarnation of the replica. The package does no network I/O and does not read
--- a/internal/pushback/dump.go
+++ b/internal/pushback/dump.go
@@ -24,7 +24,7 @@
 	// it accepts them. BackOffSent counts the requests sent since the replica asked to back off.
 	BackOffSeconds float64 `json:"backOffSeconds,omitempty"`
 	BackOffSent    uint64  `json:"backOffSent,omitempty"`
-	// Leaving reports whether the replica has announced that it is about to end.
+	// Leaving reports whether the replica has announced that it is leaving.
 	Leaving bool `json:"leaving,omitempty"`
 	// LastAnswerSeconds is the time since the last answer of the replica to this VM.
 	LastAnswerSeconds float64 `json:"heardSeconds"`
--- a/internal/pushback/gate.go
+++ b/internal/pushback/gate.go
@@ -33,7 +33,7 @@
 }
 
 // CheckSend returns an error if a request for which Take has succeeded must not be sent any more, because
-// the replica has asked to back off or announced its end since then, and nil otherwise.
+// the replica has asked to back off or announced that it is leaving since then, and nil otherwise.
 func (l *Ledger) CheckSend(replica incarnation.Key, now time.Time) *ThrottledError {
 	var throttled *ThrottledError
 	l.withState(replica, func(s *state) {
--- a/internal/pushback/leaving.go
+++ b/internal/pushback/leaving.go
@@ -6,12 +6,12 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// OnLeaving sets the function that is called when a replica has announced that it is about to end, to
-// this VM or to another one. Repeated announcements cause no further calls. It is called without a lock
+// OnLeaving sets the function that is called when a replica has announced that it is leaving, to this VM
+// or to another one. Repeated announcements cause no further calls. It is called without a lock
 // held. OnLeaving must be called before the ledger is used.
 func (l *Ledger) OnLeaving(f func(incarnation.Key)) { l.onLeaving = f }
 
-// Leaving reports whether a replica has announced that it is about to end.
+// Leaving reports whether a replica has announced that it is leaving.
 func (l *Ledger) Leaving(replica incarnation.Key) bool {
 	leaving := false
 	l.withState(replica, func(s *state) { leaving = s.leaving })
--- a/internal/pushback/leaving_test.go
+++ b/internal/pushback/leaving_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// Guards against VMs that keep sending to a replica that announced its end to another VM only.
+// Guards against VMs that keep sending to a replica that announced to another VM only that it is leaving.
 func TestLeavingIsMergedFromNotices(t *testing.T) {
 	source, peer := NewLedger(zap.NewNop()), NewLedger(zap.NewNop())
 	observe(source, Signal{Leaving: true}, 0, 1)
--- a/internal/pushback/ledger.go
+++ b/internal/pushback/ledger.go
@@ -12,7 +12,7 @@
 
 const (
 	// stateTTL is how long the state of a replica is kept after its last signal and answer, and
-	// leavingTTL that of a replica that has announced its end.
+	// leavingTTL that of a replica that is leaving.
 	stateTTL   = 10 * time.Minute
 	leavingTTL = 24 * time.Hour
 )
@@ -27,7 +27,7 @@
 	replicas map[incarnation.Key]*state
 	fleet    Fleet
 	onChange func(incarnation.Key)
-	// onLeaving is called with a replica that has announced its end, without mu held.
+	// onLeaving is called with a replica that has announced that it is leaving, without mu held.
 	onLeaving func(incarnation.Key)
 
 	// quotas is quotaFor, except in tests.
@@ -40,8 +40,8 @@
 }
 
 // OnChange sets the function that is called when an answer to this VM notably changes the limit of a
-// replica or announces its end. Reports of other VMs do not cause a call. The function is called with the
-// ledger's lock held and must not block or call methods of the ledger.
+// replica or announces that the replica is leaving. Notices of other VMs do not cause a call. The function
+// is called with the ledger's lock held and must not block or call methods of the ledger.
 func (l *Ledger) OnChange(f func(incarnation.Key)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,8 +55,8 @@
 	}
 }
 
-// observe records the signal of an answer and reports whether the replica announces its end for the
-// first time.
+// observe records the signal of an answer and reports whether the replica announces for the first time
+// that it is leaving.
 func (l *Ledger) observe(from Origin, signal Signal, now time.Time) (startsLeaving bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/pushback/notice.go
+++ b/internal/pushback/notice.go
@@ -16,7 +16,7 @@
 	DataCentre string          `json:"dataCentre"`
 	// PerSecond is the limit in requests per second, nil if the replica has none any more.
 	PerSecond *float64 `json:"perSecond,omitempty"`
-	// Leaving reports whether the replica has announced that it is about to end.
+	// Leaving reports whether the replica has announced that it is leaving.
 	Leaving bool `json:"leaving,omitempty"`
 	// AgeMS is the time since the replica last confirmed the limit or its absence, in milliseconds.
 	AgeMS int64 `json:"ageMs"`
@@ -75,8 +75,8 @@
 	}
 }
 
-// merge merges a notice with the time of its signal, and reports whether it announces the end of the
-// replica for the first time.
+// merge merges a notice with the time of its signal, and reports whether it announces for the first
+// time that the replica is leaving.
 func (l *Ledger) merge(n Notice, limitAt, now time.Time) (startsLeaving bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/pushback/sharing/sharing.go
+++ b/internal/pushback/sharing/sharing.go
@@ -19,7 +19,7 @@
 	// rowKey is the key of the only row.
 	rowKey = "notices"
 	// maxPending limits the replicas whose changes wait to be offered. A change that is dropped here
-	// reaches other VMs with the next refresh, if it sets a limit, or with the board of loads.
+	// reaches other VMs with the next refresh, if it sets a limit, or attached to the load reports.
 	maxPending = 256
 	// batchDelay is how long changes are collected before they are offered together.
 	batchDelay = 20 * time.Millisecond
--- a/internal/pushback/state.go
+++ b/internal/pushback/state.go
@@ -12,7 +12,7 @@
 	limit      Limit
 	// announced is the limit that was last logged and sent to other VMs.
 	announced Limit
-	// leaving reports whether the replica has announced that it is about to end.
+	// leaving reports whether the replica has announced that it is leaving.
 	leaving bool
 	// limitAt is when the replica last sent its limit or its absence, to this VM or to one that passed
 	// it on.
--- a/internal/pushback/throttled_error.go
+++ b/internal/pushback/throttled_error.go
@@ -7,7 +7,7 @@
 )
 
 // ThrottledError reports that no replica able to run a request accepts one from this VM now: each is at
-// its limit, asked to back off or is about to end. The request was not sent and may be sent later.
+// its limit, asked to back off or is leaving. The request was not sent and may be sent later.
 type ThrottledError struct {
 	// Until is the earliest time at which one of the replicas accepts a request from this VM. It is zero
 	// if none will, for instance because only other VMs may send to them.
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -47,7 +47,7 @@
 	var d Digest
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != DigestSize {
-		return d, errors.Newf("invalid digest %q: want %d hexadecimal digits", text, 2*DigestSize)
+		return d, errors.Newf("%q is not a digest of %d hexadecimal digits", text, 2*DigestSize)
 	}
 	copy(d[:], raw)
 	return d, nil
