--- a/internal/admission/level.go
+++ b/internal/admission/level.go
@@ -75,8 +75,8 @@
 }
 
 // newestOverShare returns the newest request of the workspace with the most queued
-// requests relative to its weight. It returns nil if the workspace of r would have as
-// many with r added.
+// requests relative to its weight. It returns nil if no workspace has more than the
+// workspace of r would have with r added.
 func (l *level) newestOverShare(r *Request) *waiter {
 	own := 1.0
 	if f := l.flows[r.Workspace]; f != nil {
--- a/internal/pushback/fleet.go
+++ b/internal/pushback/fleet.go
@@ -22,7 +22,7 @@
 	// Known reports whether this VM knows the other VMs and they know this one. VMs is ignored until
 	// then.
 	Known bool
-	// VMs holds all VMs, this one included.
+	// VMs holds the VMs that share the replicas.
 	VMs []VM
 }
 
--- a/internal/pushback/fleet_test.go
+++ b/internal/pushback/fleet_test.go
@@ -17,6 +17,7 @@
 	limitFactor = 1.5
 	limitExtra  = 5
 
+	// A simulation lasts simSpan in steps of simStep. The first simGrace is not checked.
 	simStep  = 10 * time.Millisecond
 	simSpan  = 60 * time.Second
 	simGrace = 3 * time.Second
--- a/internal/pushback/gate.go
+++ b/internal/pushback/gate.go
@@ -106,19 +106,19 @@
 
 // setQuota applies a new quota. A new token bucket starts empty, because the quota of this VM was taken
 // from other VMs, which may just have used it.
-func (s *state) setQuota(p quota, now time.Time) {
-	s.quota = p
-	if !p.sender {
+func (s *state) setQuota(q quota, now time.Time) {
+	s.quota = q
+	if !q.sender {
 		s.bucket = nil
 		return
 	}
 	if s.bucket == nil {
-		s.bucket = rate.NewLimiter(rate.Limit(p.rate), p.burst)
-		s.bucket.AllowN(now, p.burst)
+		s.bucket = rate.NewLimiter(rate.Limit(q.rate), q.burst)
+		s.bucket.AllowN(now, q.burst)
 		return
 	}
-	s.bucket.SetLimitAt(now, rate.Limit(p.rate))
-	s.bucket.SetBurstAt(now, p.burst)
+	s.bucket.SetLimitAt(now, rate.Limit(q.rate))
+	s.bucket.SetBurstAt(now, q.burst)
 }
 
 // tokenDelay returns the time until the bucket holds a token, 0 if it holds one.
--- a/internal/quarantine/load_test.go
+++ b/internal/quarantine/load_test.go
@@ -25,7 +25,7 @@
 		{"6 VMs, crashes alone", 6, 3, 65, 50 * time.Millisecond, 0, false, 2 * time.Second, 20 * time.Second, 5, 2 * time.Minute},
 		{"6 VMs, both", 6, 3, 65, 50 * time.Millisecond, 3, false, 5 * time.Second, 30 * time.Second, 5, 2 * time.Minute},
 		{"6 VMs, both, callers repeat one body", 6, 3, 65, 50 * time.Millisecond, 3, true, 5 * time.Second, 30 * time.Second, 5, 2 * time.Minute},
-		{"88 VMs, both, slow news", 88, 20, 200, 2 * time.Second, 5, false, 2 * time.Second, 20 * time.Second, 2, 30 * time.Second},
+		{"88 VMs, both, slow reports", 88, 20, 200, 2 * time.Second, 5, false, 2 * time.Second, 20 * time.Second, 2, 30 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			submitted, refused, worst, lateWorst := 0, 0, 0, 0
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -38,10 +38,12 @@
 	crashesOf   map[Digest]int
 }
 
+// simVM is a VM of the fleet.
 type simVM struct {
 	ledger *Ledger
 }
 
+// simReplica is a replica, with the drafts that run on it.
 type simReplica struct {
 	restarts int
 	down     bool
@@ -97,15 +99,18 @@
 	return s
 }
 
+// schedule calls do after d in virtual time.
 func (s *simulation) schedule(d time.Duration, do func()) {
 	s.scheduled++
 	heap.Push(&s.events, event{at: s.now.Add(d), number: s.scheduled, do: do})
 }
 
+// randomBetween returns a random duration from least to most.
 func (s *simulation) randomBetween(least, most time.Duration) time.Duration {
 	return least + time.Duration(s.random.Int64N(int64(most-least)+1))
 }
 
+// run executes events for the given duration of virtual time.
 func (s *simulation) run(duration time.Duration) {
 	end := s.now.Add(duration)
 	for s.events.Len() > 0 {
@@ -146,6 +151,7 @@
 	s.schedule(pause, next)
 }
 
+// arrive sends a draft to a random VM.
 func (s *simulation) arrive(d *simDraft) {
 	s.scheduled++
 	d.number, d.vm, d.runs = s.scheduled, s.vms[s.random.IntN(len(s.vms))], 0
@@ -170,6 +176,7 @@
 	s.send(d)
 }
 
+// send sends a draft to a random replica that is up, if enough are.
 func (s *simulation) send(d *simDraft) {
 	up := s.up()
 	if len(up) == 0 {
@@ -181,7 +188,7 @@
 		return
 	}
 	r := up[s.random.IntN(len(up))]
-	if at, ended := s.thresholdAt[d.digest]; ended && d.culprit && s.now.Sub(at) > propagationTime {
+	if at, reached := s.thresholdAt[d.digest]; reached && d.culprit && s.now.Sub(at) > propagationTime {
 		s.lateSends[d.digest]++
 	}
 	d.send++
@@ -236,9 +243,9 @@
 	r.runs = map[*simDraft]bool{}
 	s.schedule(simRestartTime, func() { r.down, r.restarts = false, r.restarts+1 })
 	for _, d := range sortedByNumber(broken) {
-		young := d.begun.IsZero() || s.now.Sub(d.begun) < DefaultSettings.CrashWindow
+		inCrashWindow := d.begun.IsZero() || s.now.Sub(d.begun) < DefaultSettings.CrashWindow
 		d.at = nil
-		if young && d.vm.ledger.RecordCrash(d.digest, key, s.now) {
+		if inCrashWindow && d.vm.ledger.RecordCrash(d.digest, key, s.now) {
 			s.shareReport(d.vm, d.digest)
 		}
 		s.schedule(time.Millisecond, func() { s.next(d) })
