--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -27,23 +27,23 @@
 )
 
 const (
-	// leaseTTL is how long the placement rests after its holder died, a bit more than
-	// discovery takes to notice a dead replica.
+	// leaseTTL is how long no VM holds the placement lease after its holder has died. It is
+	// a bit more than discovery takes to notice a dead replica.
 	leaseTTL = 4 * time.Second
-	// usualVMs is how many VMs are assumed before the list of them was read.
-	usualVMs = 6
-	// usualDataCentres is over how many data centres they are taken to be spread.
-	usualDataCentres = 3
+	// assumedVMs is the fleet size assumed until the list of VMs has been read.
+	assumedVMs = 6
+	// assumedDataCentres is the number of data centres over which assumedVMs are spread.
+	assumedDataCentres = 3
 )
 
-func (p *Process) buildControl() {
+func (p *Process) buildControlPlane() {
 	s := p.Settings
 	p.store = accounted.New(p.Adapter.Table, p.Adapter.Feed, p.metrics.Scope)
 	p.table = resilient.New(p.store, nil, nil, resilient.Settings{
-		VMs: usualVMs, WritesPerSecond: s.Platform.WritesPerSecond, ReadsPerSecond: s.Platform.ReadsPerSecond,
+		VMs: assumedVMs, WritesPerSecond: s.Platform.WritesPerSecond, ReadsPerSecond: s.Platform.ReadsPerSecond,
 	})
 	p.peers = mirror.NewClient(p.PeersAddress(), s.Peers.Seeds, p.Logger)
-	p.mirror = mirror.NewServer(p.since, p.take, p.Logger)
+	p.mirror = mirror.NewServer(p.changesSince, p.applyOffer, p.Logger)
 	p.pushback = pushback.NewLedger(p.Logger)
 	p.pushbackSharing = pushbacksharing.New(p.pushback, p.peers, p.Logger)
 	p.admission = admission.New(admission.Settings{}, p.invariants)
@@ -52,28 +52,28 @@
 	p.pools = relay.NewPools()
 	p.pools.SetGate(gate)
 	p.budgets = relay.NewBudgets(relay.BudgetSettings{Share: s.Relay.RetryShare, Slack: s.Relay.RetrySlack, Window: s.Relay.RetryWindow})
-	p.pools.SetSharers(layers.Sharers{DataCentre: s.VM.DataCentre, All: usualVMs, Home: usualVMs / usualDataCentres})
+	p.pools.SetSharers(layers.Sharers{DataCentre: s.VM.DataCentre, All: assumedVMs, Home: assumedVMs / assumedDataCentres})
 	p.view = &view{
 		adapter: p.Adapter, pools: p.pools, balancer: p.balancer, invariants: p.invariants, logger: p.Logger,
-		listing: newListing(p.Adapter.DecodeReplica, p.Logger, p.onRestart),
-		unfit:   newUnusableEntries(p.Logger),
-		leaving: p.pushback.Leaving,
+		replicaSet: newReplicaSet(p.Adapter.DecodeReplica, p.Logger, p.onRestart),
+		mismatched: newUnusableEntries(p.Logger),
+		isLeaving:  p.pushback.Leaving,
 	}
 	p.pushback.OnLeaving(p.view.onLeaving)
 	p.tries = follow.NewTries()
-	p.view.operator = p.follower(p.Adapter.OperatorTable, p.view.onConfig)
-	p.view.replicas = p.follower(p.Adapter.ReplicaTable, p.view.onReplicas)
+	p.view.operatorTable = p.follower(p.Adapter.OperatorTable, p.view.onConfig)
+	p.view.replicaTable = p.follower(p.Adapter.ReplicaTable, p.view.onReplicas)
 	own := census.VM{Name: s.VM.Name, Address: p.PeersAddress(), DataCentre: s.VM.DataCentre, Cores: s.VM.Cores}
 	p.census = census.New(p.table, own, p.onVMs, p.Logger)
 	p.board = loads.NewBoard(p.view.onLoads, p.Logger)
 	p.board.Attach(p.pushbackSharing)
 	p.keeper = loads.NewKeeper(loads.Options{
-		Board: p.board, Replicas: p.Adapter.Engines, Peers: p.peers, Tenure: func() (uint64, bool) { return p.tenure.now() }, Listed: p.view.engines, Logger: p.Logger,
+		Board: p.board, Replicas: p.Adapter.Engines, Peers: p.peers, Tenure: func() (uint64, bool) { return p.tenure.current() }, Listed: p.view.modelReplicas, Logger: p.Logger,
 		MayAsk: func(k incarnation.Key) bool { return p.pushback.MayAsk(k, time.Now()) },
 	})
 	p.leases = lease.NewManager(lease.Options{
 		Table: p.table, VM: s.VM.Name, Duties: []string{placer.Duty}, TTL: leaseTTL,
-		VMs: func() int { return min(contenders, len(p.census.VMs())) }, Invariants: p.invariants, Logger: p.Logger,
+		VMs: func() int { return min(maxCandidates, len(p.census.VMs())) }, Invariants: p.invariants, Logger: p.Logger,
 	})
 	p.quarantine = quarantine.NewLedger(quarantine.DefaultSettings, time.Now())
 	p.sharing = sharing.New(sharing.Options{
@@ -84,8 +84,8 @@
 	p.tenure = &tenure{leases: p.leases, board: p.board, logger: p.Logger}
 }
 
-// onRestart drops what is left of a replica's earlier incarnation: kept connections to it
-// ended with it, and the first call on each would fail.
+// onRestart discards the idle connections to a replica's earlier incarnation. They ended with
+// it, and the first call on each would fail.
 func (p *Process) onRestart(r relay.Replica) { p.Pool.Suspect(r.Address) }
 
 func (p *Process) buildRequestPath() {
@@ -93,7 +93,7 @@
 		DataCentre: p.Settings.VM.DataCentre, Source: p.view, Codec: p.Adapter.Codec, Gate: p.gate,
 		Admission: p.admission, Balancer: p.balancer, Pools: p.pools, Budgets: p.budgets,
 		Engines: p.Adapter.Engines, Pool: p.Pool, Observer: p.recorder, Invariants: p.invariants, Logger: p.Logger,
-		Quarantine: p.quarantine, News: p.sharing, Pushback: p.pushback, Incarnations: p.view.listing.incarnations,
+		Quarantine: p.quarantine, News: p.sharing, Pushback: p.pushback, Incarnations: p.view.replicaSet.incarnations,
 	})
 }
 
@@ -103,6 +103,6 @@
 		Handler: p.handler, ReadHeaderTimeout: s.Callers.ReadTimeout, IdleTimeout: s.Callers.IdleTimeout,
 		MaxHeaderBytes: s.Callers.MaxHeaderBytes, ConnContext: listener.ConnContext, ErrorLog: zap.NewStdLog(p.Logger.WithOptions(zap.IncreaseLevel(zap.WarnLevel))),
 	}
-	p.probes = &http.Server{Handler: http.HandlerFunc(p.answerProbe), ReadHeaderTimeout: s.Callers.ReadTimeout}
+	p.probes = &http.Server{Handler: http.HandlerFunc(p.serveReadiness), ReadHeaderTimeout: s.Callers.ReadTimeout}
 	p.admin = &http.Server{Handler: p.adminHandler(), ReadHeaderTimeout: s.Callers.ReadTimeout}
 }
--- a/internal/entry/decoding_test.go
+++ b/internal/entry/decode_panics_test.go
@@ -6,17 +6,17 @@
 	"geraniumcroft/internal/relay"
 )
 
-// Guards against a row of the operator's tables that ends each VM which reads it.
+// Guards against a row of the operator's tables that crashes each VM that reads it.
 func TestDecoderThatPanicsFails(t *testing.T) {
-	w := withoutPanics(Adapter{
+	a := withPanicsAsErrors(Adapter{
 		DecodeConfig:  func(rows map[string][]byte) (*relay.Config, error) { return nil, nilMap(rows) },
 		DecodeReplica: func(string, []byte) (relay.Replica, error) { panic("a row") },
 	})
-	if _, err := w.DecodeConfig(nil); err == nil {
-		t.Error("a configuration was decoded")
+	if _, err := a.DecodeConfig(nil); err == nil {
+		t.Error("no error from DecodeConfig")
 	}
-	if _, err := w.DecodeReplica("a", nil); err == nil {
-		t.Error("an entry was decoded")
+	if _, err := a.DecodeReplica("a", nil); err == nil {
+		t.Error("no error from DecodeReplica")
 	}
 }
 
--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -1,8 +1,8 @@
-// Package entry is one process of a VM that relays requests for an operator whose
-// configuration, list of replicas and rows lie in the platform's store.
+// Package entry implements the process that runs on a VM and relays requests for an operator
+// whose configuration, replica list and rows are in the platform's store.
 //
-// It puts the parts together and decides the order of start and stop. The process
-// keeps nothing: after a start it reads the configuration and the replicas from the
-// store or from peers, and only then takes requests. A stop makes it unready first,
-// then waits for what it has in hand.
+// It connects the components and defines the order of start and stop. The process keeps no
+// state of its own: after a start it reads the configuration and the replicas from the store
+// or from peers, and only then takes requests. A stop makes it unready first and then waits
+// for the requests in progress.
 package entry
--- a/internal/entry/fit.go
+++ b/internal/entry/entry_check.go
@@ -6,20 +6,19 @@
 	"geraniumcroft/internal/relay"
 )
 
-// fits reports whether an entry names a replica that the configuration has a use for, with
-// what is wrong if not. Entries may come from another writer: a range beyond the model's
-// layers ended the process that placed them, and one on a card that nobody knows would have
-// no memory.
-func fits(c *relay.Config, r relay.Replica) *relay.EntryError {
+// checkEntry returns an error if the configuration can't use the replica of an entry, nil if it
+// can. Entries may come from another writer: a layer range beyond the model crashed the process
+// that placed layers, and a replica of an unknown kind of card would count as one without memory.
+func checkEntry(c *relay.Config, r relay.Replica) *relay.EntryError {
 	service := c.Services[r.Service]
 	switch {
 	case service == nil:
-		return &relay.EntryError{Field: "service", Found: strconv.QuoteToASCII(shortID(r.Service)), Want: "one that the configuration names"}
+		return &relay.EntryError{Field: "service", Found: strconv.QuoteToASCII(shortID(r.Service)), Want: "a service of the configuration"}
 	case service.Model == nil:
 		return nil
 	}
 	if _, known := service.Model.Kinds[r.Kind]; !known {
-		return &relay.EntryError{Field: "kind", Found: strconv.QuoteToASCII(shortID(r.Kind)), Want: "one that the service names"}
+		return &relay.EntryError{Field: "kind", Found: strconv.QuoteToASCII(shortID(r.Kind)), Want: "a kind of the service"}
 	}
 	if !service.Model.Holds(r.Held) {
 		return &relay.EntryError{Field: "layers", Found: r.Held.String(), Want: "layers of the model"}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -18,25 +18,26 @@
 	return follow.New(follow.Options{Table: table, Feed: p.store, Peers: p.peers, Logger: p.Logger, Follows: p.followsFeed, VMs: func() int { return len(p.census.VMs()) }, Tries: p.tries, OnChange: onChange})
 }
 
-// followsFeed reports whether this VM is one of those that follow the store's feed.
+// followsFeed reports whether this VM is one of those that read the store's feed themselves.
 func (p *Process) followsFeed() bool { return p.census.Follows() }
 
-// since is what peers are given.
-func (p *Process) since(table string, after uint64) (platform.TableChange, time.Duration, bool) {
+// changesSince returns the changes of a table after a revision, with their age, for a peer that
+// asks.
+func (p *Process) changesSince(table string, after uint64) (platform.TableChange, time.Duration, bool) {
 	switch table {
 	case loads.TableName:
 		return p.board.Since(after)
 	case quarantine.TableName:
 		return p.sharing.Since(after)
 	case p.Adapter.ReplicaTable:
-		return p.view.replicas.Since(after)
+		return p.view.replicaTable.Since(after)
 	}
-	return p.view.operator.Since(after)
+	return p.view.operatorTable.Since(after)
 }
 
-// take is given what peers offer. The operator's tables are not offered but asked for, so that a
-// VM knows how old its answer is.
-func (p *Process) take(table string, change platform.TableChange, age time.Duration) {
+// applyOffer applies a table change that a peer has pushed. Changes of the operator's tables are
+// not pushed but fetched, so that a VM knows the age of the answer.
+func (p *Process) applyOffer(table string, change platform.TableChange, age time.Duration) {
 	switch table {
 	case loads.TableName:
 		p.board.Take(change, age)
@@ -52,11 +53,11 @@
 	p.pools.SetSharers(p.sharers(vms))
 	p.budgets.SetVMs(len(vms))
 	p.pushback.SetFleet(p.fleet(vms), time.Now())
-	p.peers.SetPeers(p.peersAmong(vms))
+	p.peers.SetPeers(p.selectPeers(vms))
 }
 
-// peersAmong says whom of the VMs this one asks.
-func (p *Process) peersAmong(vms []census.VM) mirror.Peers {
+// selectPeers returns the VMs that this one fetches tables from.
+func (p *Process) selectPeers(vms []census.VM) mirror.Peers {
 	peers := mirror.Peers{Others: append(addressesOf(vms), p.Settings.Peers.Seeds...)}
 	for dataCentre, followers := range p.census.Followers() {
 		if dataCentre == p.Settings.VM.DataCentre {
@@ -76,8 +77,8 @@
 	return addresses
 }
 
-// noteCounted takes up this VM's part of what the fleet shares once the others count it.
-func (p *Process) noteCounted() {
+// updateCounted claims this VM's share of the replicas' rate limits once the other VMs count it.
+func (p *Process) updateCounted() {
 	if now := time.Now(); !p.counted && p.census.Counted(now) {
 		p.counted = true
 		p.pushback.SetFleet(p.fleet(p.census.VMs()), now)
--- a/internal/entry/placement.go
+++ b/internal/entry/placement.go
@@ -10,49 +10,51 @@
 	"geraniumcroft/internal/sleep"
 )
 
-// contend competes for the placement while this VM is among the few that do, or while
-// there seems to be no holder. With all of a large fleet reading the lease's row, most
-// calls to the store would be that.
-func (p *Process) contend() {
+// competeForPlacement competes for the placement lease while this VM is a candidate. In a large
+// fleet only few VMs are: if all read the lease's row, these reads would be most of the calls to
+// the store.
+func (p *Process) competeForPlacement() {
 	for p.ctx.Err() == nil {
 		if p.IsCandidate() {
-			p.contendForNow()
+			p.runLeases()
 		}
-		sleep.For(p.ctx, settleInterval)
+		sleep.For(p.ctx, maintenanceInterval)
 	}
 }
 
-// Contends reports whether this VM competes for the placement now. A holder goes on, whoever is
-// counted. A VM that has not read the list of VMs holds itself for the only one: of 195 that
-// start together all would read the lease, where the few first ones are enough.
+// IsCandidate reports whether this VM competes for the placement lease now: it is among the first
+// maxCandidates VMs, it holds the placement already, whatever the list of VMs says, or no holder
+// has renewed the loads for holderTimeout. A VM that has not read the list of VMs knows only
+// itself and would be among the first, so that of 195 VMs that start together all would read the
+// lease; it is no candidate by its place.
 func (p *Process) IsCandidate() bool {
-	first := p.census.Known() && p.census.Among(contenders)
-	return p.Holds() || first || p.board.Age(p.started) > holderSilence
+	first := p.census.Known() && p.census.Among(maxCandidates)
+	return p.Holds() || first || p.board.Age(p.started) > holderTimeout
 }
 
-func (p *Process) contendForNow() {
+func (p *Process) runLeases() {
 	ctx, cancel := context.WithCancel(p.ctx)
 	var competing sync.WaitGroup
 	competing.Go(func() { p.leases.Run(ctx) })
-	for p.IsCandidate() && sleep.For(ctx, settleInterval) {
+	for p.IsCandidate() && sleep.For(ctx, maintenanceInterval) {
 	}
 	cancel()
 	competing.Wait()
 }
 
-// place gives the replicas of a model's service their layers.
-func (p *Process) place(service string) {
+// runPlacer assigns layers to the replicas of a model's service while this VM holds the placement.
+func (p *Process) runPlacer(service string) {
 	placer.New(placer.Options{
 		Engines: p.Adapter.Engines, Holder: p, Logger: p.Logger,
-		Model: func() (*layers.Spec, []layers.Replica) { return p.living(service) },
-		Heard: p.view.heardOf, Reported: p.board.Reported,
+		Model: func() (*layers.Spec, []layers.Replica) { return p.respondingReplicas(service) },
+		Heard: p.view.observeReport, Reported: p.board.Reported,
 	}).Run(p.ctx)
 }
 
-// living returns a model's description and the replicas that answered the holder of the
-// placement. Discovery drops a dead one after three missing heartbeats only, some 5 s in
-// which its layers may be nobody's.
-func (p *Process) living(service string) (*layers.Spec, []layers.Replica) {
+// respondingReplicas returns a model's specification and its replicas without those that did not
+// answer the holder of the placement. Discovery drops a dead replica only after three missing
+// heartbeats, some 5 s in which possibly no other replica holds its layers.
+func (p *Process) respondingReplicas(service string) (*layers.Spec, []layers.Replica) {
 	spec, replicas := p.view.model(service)
 	down := p.board.Down()
 	return spec, slices.DeleteFunc(replicas, func(r layers.Replica) bool { return down[r.Key()] })
@@ -60,6 +62,6 @@
 
 // Holds implements placer.Holder.
 func (p *Process) Holds() bool {
-	_, ok := p.tenure.now()
+	_, ok := p.tenure.current()
 	return ok
 }
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -34,35 +34,36 @@
 )
 
 const (
-	// settleInterval is the pause between two looks at replicas that vanished, and at
-	// models that the configuration added.
-	settleInterval = 250 * time.Millisecond
-	// contenders is how many VMs compete for the placement, in the order of a hash of
-	// their names.
-	contenders = 3
-	// holderSilence is the age of the board of loads, which the holder renews each second,
-	// from which all VMs compete: the contenders may all have died at once.
-	holderSilence = 8 * time.Second
+	// maintenanceInterval is the pause between two checks for vanished replicas, for models
+	// that the configuration added, and for whether this VM is a candidate for the placement.
+	maintenanceInterval = 250 * time.Millisecond
+	// maxCandidates is how many VMs compete for the placement lease: the first ones in the
+	// order of a hash of their names.
+	maxCandidates = 3
+	// holderTimeout is the age of the board of loads above which all VMs compete. The holder
+	// renews the board each second, and all candidates may have died at once.
+	holderTimeout = 8 * time.Second
 )
 
-// Options are what a Process is made from.
+// Options configures a Process.
 type Options struct {
 	Settings *settings.Settings
 	Adapter  Adapter
 	Pool     *transport.Pool
 	Logger   *zap.Logger
-	// LogDropped returns how many lines of the log were lost.
+	// LogDropped returns the number of log lines dropped since the start.
 	LogDropped func() uint64
 }
 
-// Process is one relaying VM's process. Start it once and Stop it once.
+// Process relays requests on one VM. Start and Stop may each be called once.
 type Process struct {
 	Options
 	metrics    *telemetry.Metrics
 	recorder   *telemetry.Recorder
 	invariants *invariant.Registry
 	gate       *router.Gate
-	// store counts the calls that reach the platform; table bounds those to the own rows.
+	// store counts the calls that reach the platform's store. table limits the rate of calls
+	// for the VMs' own rows.
 	store     *accounted.Store
 	table     *resilient.Client
 	view      *view
@@ -72,7 +73,7 @@
 	balancer  *balance.Balancer
 	admission *admission.Controller
 	census    *census.Census
-	// tries are shared by the copies of the operator's tables.
+	// tries is shared by the followers of the operator's tables.
 	tries  *follow.Tries
 	leases *lease.Manager
 	tenure *tenure
@@ -80,10 +81,11 @@
 	keeper *loads.Keeper
 	mirror *mirror.Server
 	peers  *mirror.Client
-	// quarantine knows requests that crash replicas, and sharing exchanges it with other VMs.
+	// quarantine records requests that crash replicas. sharing exchanges the records with
+	// other VMs.
 	quarantine *quarantine.Ledger
 	sharing    *sharing.Sharing
-	// pushback keeps what replicas ask of those who send to them.
+	// pushback records the rate limits, back-off times and announced departures of replicas.
 	pushback        *pushback.Ledger
 	pushbackSharing *pushbacksharing.Sharing
 
@@ -92,20 +94,20 @@
 	probes    *http.Server
 	admin     *http.Server
 
-	ctx     context.Context
-	cancel  context.CancelFunc
-	started time.Time
-	work    sync.WaitGroup
-	placed  map[string]bool
-	// counted says that the other VMs count this one. Only lookAround uses it.
+	ctx           context.Context
+	cancel        context.CancelFunc
+	started       time.Time
+	work          sync.WaitGroup
+	placerStarted map[string]bool
+	// counted reports whether the other VMs count this one. Only runMaintenance uses it.
 	counted bool
 }
 
-// New puts a process together and opens its listeners, so that their addresses are
-// known. Nothing runs until Start.
+// New builds a process and opens its listeners, so that their addresses are known. Nothing
+// runs until Start.
 func New(o Options) (*Process, error) {
-	o.Adapter = withoutPanics(o.Adapter)
-	p := &Process{Options: o, gate: &router.Gate{}, started: time.Now(), placed: map[string]bool{}}
+	o.Adapter = withPanicsAsErrors(o.Adapter)
+	p := &Process{Options: o, gate: &router.Gate{}, started: time.Now(), placerStarted: map[string]bool{}}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	if err := p.listen(); err != nil {
 		return nil, err
@@ -113,7 +115,7 @@
 	p.metrics = telemetry.NewMetrics(o.Settings.Metrics.Prefix)
 	p.recorder = telemetry.NewRecorder(p.metrics.Scope, telemetry.RecorderOptions{})
 	p.invariants = invariant.NewRegistry(p.onViolation)
-	p.buildControl()
+	p.buildControlPlane()
 	p.buildRequestPath()
 	p.buildServers()
 	return p, nil
@@ -138,21 +140,21 @@
 func (p *Process) closeListeners() {
 	for _, listener := range []net.Listener{p.listeners.callers, p.listeners.ready, p.listeners.metrics, p.listeners.peers} {
 		if listener != nil {
-			_ = listener.Close() // nothing was served on it
+			_ = listener.Close() // no connection was served on it
 		}
 	}
 }
 
-// CallersAddress returns IP:port of the callers' listener.
+// CallersAddress returns the IP:port of the callers' listener.
 func (p *Process) CallersAddress() string { return p.listeners.callers.Addr().String() }
 
-// ReadyAddress returns IP:port at which the balancer asks.
+// ReadyAddress returns the IP:port of the readiness listener, for the platform's load balancer.
 func (p *Process) ReadyAddress() string { return p.listeners.ready.Addr().String() }
 
-// MetricsAddress returns IP:port of the metrics and the dump.
+// MetricsAddress returns the IP:port of the listener for metrics and the dump.
 func (p *Process) MetricsAddress() string { return p.listeners.metrics.Addr().String() }
 
-// PeersAddress returns IP:port of the listener for peers.
+// PeersAddress returns the IP:port of the listener for peers.
 func (p *Process) PeersAddress() string { return p.listeners.peers.Addr().String() }
 
 func (p *Process) onViolation(v invariant.Violation) {
@@ -160,39 +162,39 @@
 	p.Logger.Error("invariant violated", zap.String("invariant", string(v.Name)), zap.String("detail", v.Detail))
 }
 
-func (p *Process) answerProbe(w http.ResponseWriter, _ *http.Request) {
+func (p *Process) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !p.gate.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// Start begins all work. Requests are served once the configuration and the replicas
-// were read.
+// Start starts the listeners and all background work and returns. Requests are served once the
+// configuration and the replicas have been read.
 func (p *Process) Start() {
-	boundHeap(p.Settings.VM)
+	setHeapLimit(p.Settings.VM)
 	accepting := listener.New(p.listeners.callers.(*net.TCPListener), maxConnections(p.Settings.VM))
-	p.spawn(func() { _ = p.callers.Serve(accepting) }) // these end when their servers are closed
+	p.spawn(func() { _ = p.callers.Serve(accepting) }) // the errors only say that the servers were closed
 	p.spawn(func() { _ = p.probes.Serve(p.listeners.ready) })
 	p.spawn(func() { _ = p.admin.Serve(p.listeners.metrics) })
 	p.spawn(func() { _ = p.mirror.Serve(p.listeners.peers) })
-	p.spawn(func() { p.view.operator.Run(p.ctx) })
-	p.spawn(func() { p.view.replicas.Run(p.ctx) })
+	p.spawn(func() { p.view.operatorTable.Run(p.ctx) })
+	p.spawn(func() { p.view.replicaTable.Run(p.ctx) })
 	p.spawn(func() { p.census.Run(p.ctx) })
-	p.spawn(p.contend)
+	p.spawn(p.competeForPlacement)
 	p.spawn(func() { p.keeper.Run(p.ctx) })
 	p.spawn(func() { p.sharing.Run(p.ctx) })
 	p.spawn(func() { p.pushbackSharing.Run(p.ctx) })
-	p.spawn(p.becomeReady)
-	p.spawn(p.lookAround)
-	p.spawn(p.tellState)
+	p.spawn(p.waitUntilReady)
+	p.spawn(p.runMaintenance)
+	p.spawn(p.runStateLog)
 	p.Logger.Info("started", zap.String("dataCentre", p.Settings.VM.DataCentre), zap.String("callers", p.CallersAddress()),
 		zap.Int("maxConnections", maxConnections(p.Settings.VM)))
 }
 
 func (p *Process) spawn(f func()) { p.work.Go(f) }
 
-// becomeReady waits for the configuration and the replicas.
-func (p *Process) becomeReady() {
+// waitUntilReady opens the gate once the configuration and the replicas have been read.
+func (p *Process) waitUntilReady() {
 	const pause = 20 * time.Millisecond
 	for !p.view.ready() {
 		if !sleep.For(p.ctx, pause) {
@@ -203,15 +205,15 @@
 	p.Logger.Info("ready", zap.Uint64("configVersion", p.view.Config().Version))
 }
 
-// lookAround does what no event brings about.
-func (p *Process) lookAround() {
-	for sleep.For(p.ctx, settleInterval) {
-		p.view.settle()
-		p.noteCounted()
-		for _, name := range p.view.modelNames() {
-			if !p.placed[name] {
-				p.placed[name] = true
-				p.spawn(func() { p.place(name) })
+// runMaintenance does the periodic work that no event triggers.
+func (p *Process) runMaintenance() {
+	for sleep.For(p.ctx, maintenanceInterval) {
+		p.view.dropExpired()
+		p.updateCounted()
+		for _, name := range p.view.modelServices() {
+			if !p.placerStarted[name] {
+				p.placerStarted[name] = true
+				p.spawn(func() { p.runPlacer(name) })
 			}
 		}
 	}
--- a/internal/entry/reload.go
+++ b/internal/entry/reload.go
@@ -7,7 +7,7 @@
 	"geraniumcroft/internal/settings"
 )
 
-// Reload takes over what may change while the process runs: the peers to ask first.
+// Reload applies the settings that may change while the process runs: the seed peers.
 func (p *Process) Reload(s *settings.Settings) {
 	p.peers.SetPeers(mirror.Peers{Others: s.Peers.Seeds})
 	p.Logger.Info("settings reloaded", zap.Strings("seeds", s.Peers.Seeds))
--- a/internal/entry/room_test.go
+++ b/internal/entry/resource_limits_test.go
@@ -6,19 +6,19 @@
 	"geraniumcroft/internal/settings"
 )
 
-// Guards against a VM that takes more connections than it has handles or memory for.
+// Guards against a VM that accepts more connections than its handles or memory allow.
 func TestConnectionsFitTheVM(t *testing.T) {
 	for name, c := range map[string]struct {
 		vm   settings.VM
-		most int
+		want int
 	}{
-		"unknown":            {settings.VM{}, mostConnections},
+		"unknown":            {settings.VM{}, connectionsCap},
 		"few handles":        {settings.VM{MaxHandles: 1400, MemoryMB: 4096}, 500},
 		"little memory":      {settings.VM{MaxHandles: 100_000, MemoryMB: 128}, 1024},
-		"less than reserved": {settings.VM{MaxHandles: 100, MemoryMB: 1}, leastConnections},
+		"less than reserved": {settings.VM{MaxHandles: 100, MemoryMB: 1}, minConnections},
 	} {
-		if got := maxConnections(c.vm); got != c.most {
-			t.Errorf("%s: %d connections, expected %d", name, got, c.most)
+		if got := maxConnections(c.vm); got != c.want {
+			t.Errorf("%s: %d connections, want %d", name, got, c.want)
 		}
 	}
 }
--- a/internal/entry/tenure.go
+++ b/internal/entry/tenure.go
@@ -10,39 +10,40 @@
 	"geraniumcroft/internal/placer"
 )
 
-// tenure says whether this VM has the duty of placement, which includes keeping the
-// board of loads.
+// tenure tracks whether this VM holds the placement duty, which includes keeping the board of
+// loads, and under which number: the fencing number of its last lease.
 //
-// While the store is away no lease can be renewed, and nobody else can take one. The
-// last holder goes on then: cards that die would else leave holes, and VMs would send
-// requests to them, until the store is back. Should the store have turned away this VM
-// alone, another one takes the lease, and its boards, which bear a later number, end the
-// tenure here within some two seconds. Two holders do no harm meanwhile: each order says
-// what a replica is to hold, and on which earlier orders it builds.
+// During a store outage no lease can be renewed, and no other VM can acquire one. The last
+// holder then continues without a lease: otherwise the layers of replicas that die would be
+// missing, and VMs would send requests to these replicas, until the store is back. If the store
+// refuses only this VM, another one acquires the lease, and its boards of loads, which carry a
+// higher number, end the tenure here within some two seconds. Two holders at the same time do no
+// harm: each order states the layers that a replica has to hold and the earlier orders that it
+// builds on.
 type tenure struct {
 	leases *lease.Manager
 	board  *loads.Board
 	logger *zap.Logger
 
-	mu     sync.Mutex // guards the fields below
-	last   uint64     // the number of this VM's last lease, 0 before the first
-	acting bool
+	mu          sync.Mutex // guards the fields below
+	lastFencing uint64     // fencing number of this VM's last lease, 0 before the first
+	acting      bool
 }
 
-// now returns the number of this VM's tenure, if it has the duty.
-func (t *tenure) now() (uint64, bool) {
+// current returns the number of this VM's last tenure, and whether it holds the duty now.
+func (t *tenure) current() (uint64, bool) {
 	held, ok := t.leases.Held(placer.Duty)
 	ok = ok && held.Check() == nil
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if ok {
-		t.last = held.Fencing
+		t.lastFencing = held.Fencing
 	}
-	acting := !ok && t.last > 0 && t.leases.TableAway() && t.board.Tenure() <= t.last
+	acting := !ok && t.lastFencing > 0 && t.leases.TableAway() && t.board.Tenure() <= t.lastFencing
 	if acting != t.acting {
 		t.acting = acting
-		t.logger.Info("placement without a lease", zap.Bool("acting", acting), zap.Uint64("tenure", t.last),
+		t.logger.Info("placement without a lease", zap.Bool("acting", acting), zap.Uint64("tenure", t.lastFencing),
 			zap.Bool("held", ok), zap.Uint64("boardTenure", t.board.Tenure()))
 	}
-	return t.last, ok || acting
+	return t.lastFencing, ok || acting
 }
--- a/internal/entry/unusable_entries.go
+++ b/internal/entry/unusable_entries.go
@@ -4,55 +4,56 @@
 	"go.uber.org/zap"
 )
 
-// maxUnusableLines bounds the lines about entries of one change of the table: whoever writes
-// rows that are none could fill the log otherwise.
+// maxUnusableLines bounds the log lines about entries for one change of the table. Otherwise
+// whoever writes invalid rows could fill the log.
 const maxUnusableLines = 20
 
-// unusableEntries are the entries of discovery that name no replica to use, and why. Each is
-// told of when it turns unusable and when it turns usable again.
+// unusableEntries holds the discovery entries that can't be used, with the reason for each. An
+// entry is logged when it becomes unusable and when it is usable again or deleted.
 type unusableEntries struct {
-	logger *zap.Logger
-	why    map[string]error
-	// turned counts the entries that have turned unusable since the start.
-	turned uint64
+	logger  *zap.Logger
+	reasons map[string]error
+	// total counts the entries that became unusable since the start.
+	total uint64
 }
 
 func newUnusableEntries(logger *zap.Logger) unusableEntries {
-	return unusableEntries{logger: logger, why: map[string]error{}}
+	return unusableEntries{logger: logger, reasons: map[string]error{}}
 }
 
-// replace takes over which entries can't be used now, and by which table or configuration.
-func (u *unusableEntries) replace(why map[string]error, by zap.Field) {
+// replace sets the entries that can't be used now, by id. Cause is a log field with the revision
+// or configuration version that led to the change.
+func (u *unusableEntries) replace(reasons map[string]error, cause zap.Field) {
 	lines := 0
-	for id, err := range why {
-		if _, already := u.why[id]; already {
+	for id, err := range reasons {
+		if _, known := u.reasons[id]; known {
 			continue
 		}
-		u.turned++
+		u.total++
 		if lines++; lines <= maxUnusableLines {
 			field, found := entryFault(err)
 			u.logger.Warn("entry names no replica to use", zap.String("replica", shortID(id)), zap.String("field", field),
-				zap.String("found", found), by, zap.Error(err))
+				zap.String("found", found), cause, zap.Error(err))
 		}
 	}
-	for id := range u.why {
-		if _, still := why[id]; still {
+	for id := range u.reasons {
+		if _, unusable := reasons[id]; unusable {
 			continue
 		}
 		if lines++; lines <= maxUnusableLines {
-			u.logger.Info("entry is usable again, or gone", zap.String("replica", shortID(id)), by)
+			u.logger.Info("entry is usable again, or gone", zap.String("replica", shortID(id)), cause)
 		}
 	}
 	if lines > maxUnusableLines {
-		u.logger.Warn("more entries turned usable or unusable", zap.Int("entries", lines-maxUnusableLines), zap.Int("unusable", len(why)))
+		u.logger.Warn("more entries became usable or unusable", zap.Int("entries", lines-maxUnusableLines), zap.Int("unusable", len(reasons)))
 	}
-	u.why = why
+	u.reasons = reasons
 }
 
-// dump returns why entries can't be used, by id.
+// dump returns the reasons for at most maxUnusableLines entries, by id.
 func (u *unusableEntries) dump() map[string]string {
-	dump := make(map[string]string, min(len(u.why), maxUnusableLines))
-	for id, err := range u.why {
+	dump := make(map[string]string, min(len(u.reasons), maxUnusableLines))
+	for id, err := range u.reasons {
 		if len(dump) == maxUnusableLines {
 			break
 		}
@@ -61,11 +62,11 @@
 	return dump
 }
 
-// shortID bounds what is shown of a key that anybody may have written.
+// shortID truncates an id for logs and errors; any writer may have chosen it.
 func shortID(id string) string {
-	const most = 60
-	if len(id) > most {
-		return id[:most] + "..."
+	const maxLength = 60
+	if len(id) > maxLength {
+		return id[:maxLength] + "..."
 	}
 	return id
 }
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -19,29 +19,31 @@
 	"geraniumcroft/internal/relay"
 )
 
-// view is what this VM believes of the configuration and the replicas. It turns the
-// copies of the operator's tables into what the request path and the placement use.
+// view holds this VM's current knowledge of the configuration and the replicas. It derives the
+// data of the request path and the placement from copies of the operator's tables. It is safe
+// for concurrent use.
 type view struct {
-	adapter    Adapter
-	pools      *relay.Pools
-	balancer   *balance.Balancer
-	invariants *invariant.Registry
-	logger     *zap.Logger
-	operator   *follow.Follower
-	replicas   *follow.Follower
+	adapter       Adapter
+	pools         *relay.Pools
+	balancer      *balance.Balancer
+	invariants    *invariant.Registry
+	logger        *zap.Logger
+	operatorTable *follow.Follower
+	replicaTable  *follow.Follower
 
 	config atomic.Pointer[relay.Config]
 
-	mu      sync.Mutex // guards the fields below
-	version uint64     // of the balancer's snapshots
-	listing *listing
-	// leaving reports whether a replica has said in an answer that it leaves.
-	leaving func(incarnation.Key) bool
-	loaded  bool
-	// models are the replicas of each model's service that can be used.
+	mu         sync.Mutex // guards the fields below
+	version    uint64     // of the balancer's last snapshot
+	replicaSet *replicaSet
+	// isLeaving reports whether a replica has announced in an answer that it leaves.
+	isLeaving func(incarnation.Key) bool
+	// loaded is true once the list of replicas has been read.
+	loaded bool
+	// models holds the usable replicas of each service that serves a model.
 	models map[string][]layers.Replica
-	// unfit are the entries that the configuration has no use for.
-	unfit unusableEntries
+	// mismatched holds the entries that don't fit the configuration.
+	mismatched unusableEntries
 }
 
 var _ relay.Source = (*view)(nil)
@@ -49,7 +51,7 @@
 // Config implements relay.Source.
 func (v *view) Config() *relay.Config { return v.config.Load() }
 
-// configVersion is that of the configuration in force, 0 before the first.
+// configVersion returns the version of the configuration in force, 0 before the first.
 func (v *view) configVersion() uint64 {
 	if c := v.Config(); c != nil {
 		return c.Version
@@ -58,9 +60,9 @@
 }
 
 // ConfigAge implements relay.Source.
-func (v *view) ConfigAge() time.Duration { return v.operator.Age() }
+func (v *view) ConfigAge() time.Duration { return v.operatorTable.Age() }
 
-// onConfig puts a configuration in force.
+// onConfig puts the configuration of a table in force if it is newer than the current one.
 func (v *view) onConfig(table platform.TableView) {
 	next, err := v.adapter.DecodeConfig(table.Rows)
 	if err != nil {
@@ -82,17 +84,17 @@
 	v.apply()
 }
 
-// onReplicas takes over the list of replicas.
+// onReplicas applies the list of replicas.
 func (v *view) onReplicas(table platform.TableView) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.listing.take(table.Rows, table.Revision, v.replicas.Settling(), time.Now())
+	v.replicaSet.update(table.Rows, table.Revision, v.replicaTable.Settling(), time.Now())
 	v.loaded = true
 	v.apply()
 }
 
-// onLoads takes over what replicas reported. A replica that has started again tells so
-// before discovery does; what its earlier incarnation reported is dropped.
+// onLoads applies the loads that replicas reported. Reports show the restart of a replica before
+// discovery does. Loads that an earlier incarnation reported are dropped.
 func (v *view) onLoads(loads map[incarnation.Key]layers.Load) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -103,10 +105,10 @@
 			current[k] = load
 			continue
 		}
-		heard, restarted := v.listing.heardOf(k, time.Now())
-		changed = changed || restarted
-		if !heard.Earlier {
-			current[heard.Key] = load
+		observed, setChanged := v.replicaSet.observeReport(k, time.Now())
+		changed = changed || setChanged
+		if !observed.Earlier {
+			current[observed.Key] = load
 		}
 	}
 	if changed {
@@ -115,32 +117,33 @@
 	v.pools.SetLoads(current)
 }
 
-// heardOf takes the word of one incarnation that answered.
-func (v *view) heardOf(k incarnation.Key) {
+// observeReport applies the incarnation that a replica named in an answer.
+func (v *view) observeReport(k incarnation.Key) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if _, changed := v.listing.heardOf(k, time.Now()); changed {
+	if _, changed := v.replicaSet.observeReport(k, time.Now()); changed {
 		v.apply()
 	}
 }
 
-// onLeaving takes that a replica says that it leaves: it is draining, whatever discovery shows.
+// onLeaving runs after a replica has announced that it leaves: it counts as draining, whatever its
+// entry says.
 func (v *view) onLeaving(incarnation.Key) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.apply()
 }
 
-// settle drops what waited for news that did not come.
-func (v *view) settle() {
+// dropExpired drops vanished replicas and silent successors, see replicaSet.dropExpired.
+func (v *view) dropExpired() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.listing.settle(v.replicas.Settling(), time.Now()) {
+	if v.replicaSet.dropExpired(v.replicaTable.Settling(), time.Now()) {
 		v.apply()
 	}
 }
 
-// apply hands the replicas to those who choose among them. v.mu is held.
+// apply passes the replicas to the balancer and the pools. v.mu is held.
 func (v *view) apply() {
 	c := v.config.Load()
 	if c == nil || !v.loaded {
@@ -150,21 +153,21 @@
 	snapshot := config.NewSnapshot()
 	snapshot.Version = v.version
 	v.models = map[string][]layers.Replica{}
-	unfit := map[string]error{}
-	for _, r := range v.listing.present() {
-		r.Draining = r.Draining || v.leaving(r.Key())
-		if err := fits(c, r); err != nil {
-			unfit[r.ID] = err
+	mismatched := map[string]error{}
+	for _, r := range v.replicaSet.current() {
+		r.Draining = r.Draining || v.isLeaving(r.Key())
+		if err := checkEntry(c, r); err != nil {
+			mismatched[r.ID] = err
 			continue
 		}
 		if c.Services[r.Service].Model != nil {
 			v.models[r.Service] = append(v.models[r.Service], r.Replica)
 			continue
 		}
-		t := asTarget(r)
+		t := targetOf(r)
 		snapshot.Targets[t.Name] = t
 	}
-	v.unfit.replace(unfit, zap.Uint64("configVersion", c.Version))
+	v.mismatched.replace(mismatched, zap.Uint64("configVersion", c.Version))
 	v.balancer.Update(snapshot)
 	for name, service := range c.Services {
 		if service.Model != nil {
@@ -173,7 +176,7 @@
 	}
 }
 
-func asTarget(r relay.Replica) *config.Target {
+func targetOf(r relay.Replica) *config.Target {
 	t := &config.Target{
 		Name: r.Key().String(), Address: r.Address, DataCentre: r.DataCentre, Kind: config.KindService,
 		Service: r.Service, Slots: max(1, r.Slots), State: config.StateActive,
@@ -184,14 +187,16 @@
 	return t
 }
 
-// ready reports whether requests can be judged and sent.
+// ready reports whether requests can be checked and sent: the configuration and the replicas have
+// been read.
 func (v *view) ready() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.config.Load() != nil && v.loaded
 }
 
-// model returns the description and the replicas of a model's service.
+// model returns the specification and the replicas of a model's service, nil if the configuration
+// has no such service.
 func (v *view) model(name string) (*layers.Spec, []layers.Replica) {
 	c := v.config.Load()
 	if c == nil || c.Services[name] == nil || c.Services[name].Model == nil {
@@ -202,18 +207,18 @@
 	return c.Services[name].Model, slices.Clone(v.models[name])
 }
 
-// engines returns the replicas of all models.
-func (v *view) engines() []layers.Replica {
+// modelReplicas returns the replicas of all models.
+func (v *view) modelReplicas() []layers.Replica {
 	var all []layers.Replica
-	for _, name := range v.modelNames() {
+	for _, name := range v.modelServices() {
 		_, replicas := v.model(name)
 		all = append(all, replicas...)
 	}
 	return all
 }
 
-// modelNames names the services that serve a model.
-func (v *view) modelNames() []string {
+// modelServices returns the names of the services that serve a model.
+func (v *view) modelServices() []string {
 	c := v.config.Load()
 	if c == nil {
 		return nil
@@ -227,20 +232,20 @@
 	return names
 }
 
-// unusableEntries returns why entries of discovery name no replica to use, some of them by
-// id, and how many have turned so since the start.
-func (v *view) unusableEntries() (why map[string]string, turned uint64) {
+// unusableEntries returns the reasons why discovery entries can't be used, for some of them by
+// id, and the number of entries that became unusable since the start.
+func (v *view) unusableEntries() (reasons map[string]string, total uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	why = v.listing.unusable.dump()
-	maps.Copy(why, v.unfit.dump())
-	return why, v.listing.unusable.turned + v.unfit.turned
+	reasons = v.replicaSet.unusable.dump()
+	maps.Copy(reasons, v.mismatched.dump())
+	return reasons, v.replicaSet.unusable.total + v.mismatched.total
 }
 
-// unusableCounts returns how many entries name no replica to use now, and how many have
-// turned so since the start.
-func (v *view) unusableCounts() (now int, turned uint64) {
+// unusableCounts returns the number of entries that can't be used now, and of those that became
+// unusable since the start.
+func (v *view) unusableCounts() (current int, total uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return len(v.listing.unusable.why) + len(v.unfit.why), v.listing.unusable.turned + v.unfit.turned
+	return len(v.replicaSet.unusable.reasons) + len(v.mismatched.reasons), v.replicaSet.unusable.total + v.mismatched.total
 }
