--- a/internal/entry/adapter.go
+++ b/internal/entry/adapter.go
@@ -29,5 +29,5 @@
 type Engines interface {
 	relay.Engines
 	placer.Engines
-	loads.Replicas
+	loads.Client
 }
--- a/internal/entry/entry_check.go
+++ b/internal/entry/entry_check.go
@@ -17,10 +17,10 @@
 	case service.Model == nil:
 		return nil
 	}
-	if _, known := service.Model.Kinds[r.Kind]; !known {
+	if _, known := service.Model.Accelerators[r.Kind]; !known {
 		return &relay.EntryError{Field: "kind", Found: strconv.QuoteToASCII(shortID(r.Kind)), Want: "a kind of the service"}
 	}
-	if !service.Model.Holds(r.Held) {
+	if !service.Model.ValidRange(r.Held) {
 		return &relay.EntryError{Field: "layers", Found: r.Held.String(), Want: "layers of the model"}
 	}
 	return nil
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -69,25 +69,25 @@
 	view      *view
 	handler   *relay.Handler
 	pools     *relay.Pools
-	budgets   *relay.Budgets
+	budgets   *relay.RetryBudgets
 	balancer  *balance.Balancer
 	admission *admission.Controller
 	census    *census.Census
 	// tries is shared by the followers of the operator's tables.
-	tries  *follow.Tries
+	tries  *follow.RetryGroup
 	leases *lease.Manager
 	tenure *tenure
-	board  *loads.Board
-	keeper *loads.Keeper
+	board  *loads.Cache
+	keeper *loads.Collector
 	mirror *mirror.Server
 	peers  *mirror.Client
 	// quarantine records requests that crash replicas. sharing exchanges the records with
 	// other VMs.
 	quarantine *quarantine.Ledger
-	sharing    *sharing.Sharing
+	sharing    *sharing.Syncer
 	// pushback records the rate limits, back-off times and announced departures of replicas.
 	pushback        *pushback.Ledger
-	pushbackSharing *pushbacksharing.Sharing
+	pushbackSharing *pushbacksharing.Syncer
 
 	listeners struct{ callers, ready, metrics, peers net.Listener }
 	callers   *http.Server
--- a/internal/entry/replica_set.go
+++ b/internal/entry/replica_set.go
@@ -64,7 +64,7 @@
 // not describe its successor, which is listed as before, or as its reports describe it.
 func (s *replicaSet) applyEntry(r relay.Replica, before map[string]relay.Replica, now time.Time) {
 	observed := s.observe(r.Key(), "entry", now)
-	if !observed.Earlier {
+	if !observed.Superseded {
 		r.Born = observed.Key.Born
 		s.listed[r.ID] = r
 		return
@@ -73,21 +73,21 @@
 	successor, known := before[r.ID]
 	if !known {
 		successor = r
-		successor.Replica = r.Replica.StartedAgain(observed.Key)
+		successor.Replica = r.Replica.NextIncarnation(observed.Key)
 	}
 	s.listed[r.ID] = successor
 }
 
 // observe passes an incarnation that an entry or a report named to the tracker, and logs faulty
 // starts and restarts. From names the source for the log.
-func (s *replicaSet) observe(k incarnation.Key, from string, now time.Time) incarnation.Heard {
-	observed := s.incarnations.Hear(k, now)
-	if observed.FirstTime {
+func (s *replicaSet) observe(k incarnation.Key, from string, now time.Time) incarnation.Observation {
+	observed := s.incarnations.Observe(k, now)
+	if observed.FirstReport {
 		s.logger.Warn("start of a replica not as it should be", zap.Stringer("replica", k), zap.String("from", from),
 			zap.String("fault", string(observed.Fault)), zap.Stringer("takenFor", observed.Key))
 	}
 	if observed.Restarted {
-		s.logger.Info("replica has started again", zap.Stringer("replica", observed.Key), zap.Stringer("before", observed.Before), zap.String("from", from))
+		s.logger.Info("replica has started again", zap.Stringer("replica", observed.Key), zap.Stringer("before", observed.Previous), zap.String("from", from))
 	}
 	return observed
 }
@@ -95,7 +95,7 @@
 // observeReport applies the incarnation that a replica's own report named; it may be seconds
 // ahead of the entry. It returns the incarnation for which the report counts, whether that one is
 // superseded, and whether the set has changed.
-func (s *replicaSet) observeReport(k incarnation.Key, now time.Time) (observed incarnation.Heard, changed bool) {
+func (s *replicaSet) observeReport(k incarnation.Key, now time.Time) (observed incarnation.Observation, changed bool) {
 	observed = s.observe(k, "report", now)
 	for _, replicas := range []map[string]relay.Replica{s.listed, s.vanished} {
 		r, ok := replicas[k.ID]
@@ -103,7 +103,7 @@
 			continue
 		}
 		if observed.Key.Succeeds(r.Key()) || observed.Restarted {
-			r.Replica = r.Replica.StartedAgain(observed.Key)
+			r.Replica = r.Replica.NextIncarnation(observed.Key)
 			s.onRestart(r)
 		} else {
 			r.Born = observed.Key.Born // the entry gave no start
@@ -128,7 +128,7 @@
 		clear(s.vanished)
 	}
 	for id, r := range s.superseded {
-		if observed := s.observe(r.Key(), "entry", now); !observed.Earlier {
+		if observed := s.observe(r.Key(), "entry", now); !observed.Superseded {
 			r.Born = observed.Key.Born
 			s.listed[id] = r
 			delete(s.superseded, id)
--- a/internal/entry/replica_set_test.go
+++ b/internal/entry/replica_set_test.go
@@ -114,12 +114,12 @@
 	p.write(bornAt(0), 10, "ready")
 	p.advance(3 * time.Second)
 	observed, changed := p.observeReport(incarnation.Key{ID: "r", Born: bornAt(2)}, p.now)
-	if !changed || observed.Earlier {
+	if !changed || observed.Superseded {
 		t.Errorf("%+v, changed %t", observed, changed)
 	}
 	p.expect(t, bornAt(2), 0, false)
 	p.advance(time.Second)
-	if observed, changed := p.observeReport(incarnation.Key{ID: "r", Born: bornAt(0)}, p.now); changed || !observed.Earlier {
+	if observed, changed := p.observeReport(incarnation.Key{ID: "r", Born: bornAt(0)}, p.now); changed || !observed.Superseded {
 		t.Errorf("report of the earlier incarnation: %+v, changed %t", observed, changed)
 	}
 	p.expect(t, bornAt(2), 0, false)
@@ -288,7 +288,7 @@
 // Guards against well-formed entries that the configuration can't use. A range beyond the model's
 // layers crashed the process that placed layers, on one VM after the other.
 func TestEntryThatTheConfigurationHasNoUseFor(t *testing.T) {
-	spec := &layers.Spec{Layers: 20, Kinds: map[string]layers.Kind{"big": {MemoryMB: 36000}}}
+	spec := &layers.Spec{Layers: 20, Accelerators: map[string]layers.Accelerator{"big": {MemoryMB: 36000}}}
 	c := relay.NewConfig(1, nil, nil, map[string]*relay.Service{"engines": {Name: "engines", Model: spec}, "desk": {Name: "desk"}}, relay.Limits{})
 	for name, r := range map[string]relay.Replica{
 		"service": {Service: "nobody's"},
--- a/internal/entry/tenure.go
+++ b/internal/entry/tenure.go
@@ -22,7 +22,7 @@
 // builds on.
 type tenure struct {
 	leases *lease.Manager
-	board  *loads.Board
+	board  *loads.Cache
 	logger *zap.Logger
 
 	mu          sync.Mutex // guards the fields below
@@ -39,7 +39,7 @@
 	if ok {
 		t.lastFencing = held.Fencing
 	}
-	acting := !ok && t.lastFencing > 0 && t.leases.TableAway() && t.board.Tenure() <= t.lastFencing
+	acting := !ok && t.lastFencing > 0 && t.leases.TableUnavailable() && t.board.Tenure() <= t.lastFencing
 	if acting != t.acting {
 		t.acting = acting
 		t.logger.Info("placement without a lease", zap.Bool("acting", acting), zap.Uint64("tenure", t.lastFencing),
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -46,9 +46,9 @@
 	mismatched unusableEntries
 }
 
-var _ relay.Source = (*view)(nil)
+var _ relay.ConfigSource = (*view)(nil)
 
-// Config implements relay.Source.
+// Config implements relay.ConfigSource.
 func (v *view) Config() *relay.Config { return v.config.Load() }
 
 // configVersion returns the version of the configuration in force, 0 before the first.
@@ -59,7 +59,7 @@
 	return 0
 }
 
-// ConfigAge implements relay.Source.
+// ConfigAge implements relay.ConfigSource.
 func (v *view) ConfigAge() time.Duration { return v.operatorTable.Age() }
 
 // onConfig puts the configuration of a table in force if it is newer than the current one.
@@ -78,7 +78,7 @@
 		return
 	}
 	v.config.Store(next)
-	v.logger.Info("configuration in force", zap.Uint64("configVersion", next.Version), zap.Uint64("revision", table.Revision), zap.Int("profiles", next.Profiles()))
+	v.logger.Info("configuration in force", zap.Uint64("configVersion", next.Version), zap.Uint64("revision", table.Revision), zap.Int("profiles", next.NumProfiles()))
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.apply()
@@ -107,7 +107,7 @@
 		}
 		observed, setChanged := v.replicaSet.observeReport(k, time.Now())
 		changed = changed || setChanged
-		if !observed.Earlier {
+		if !observed.Superseded {
 			current[observed.Key] = load
 		}
 	}
