--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -117,7 +117,7 @@
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	case !p.sharing.Lift(digest):
-		http.Error(w, "no quarantine record of this request", http.StatusNotFound)
+		http.Error(w, "nothing is held against this request", http.StatusNotFound)
 	default:
 		w.WriteHeader(http.StatusNoContent)
 	}
--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -51,7 +51,7 @@
 	p.balancer = balance.New(balance.Settings{Gate: relay.TargetGate{ReplicaGate: gate}}, p.invariants)
 	p.pools = relay.NewPools()
 	p.pools.SetGate(gate)
-	p.budgets = relay.NewRetryBudgets(relay.RetryBudgetSettings{Share: s.Relay.RetryShare, Slack: s.Relay.RetrySlack, Window: s.Relay.RetryWindow})
+	p.retryBudgets = relay.NewRetryBudgets(relay.RetryBudgetSettings{Share: s.Relay.RetryShare, Slack: s.Relay.RetrySlack, Window: s.Relay.RetryWindow})
 	p.pools.SetSharers(layers.VMCounts{DataCentre: s.VM.DataCentre, Fleet: assumedVMs, Local: assumedVMs / assumedDataCentres})
 	p.view = &view{
 		adapter: p.Adapter, pools: p.pools, balancer: p.balancer, invariants: p.invariants, logger: p.Logger,
@@ -60,15 +60,15 @@
 		isLeaving:  p.pushback.Leaving,
 	}
 	p.pushback.OnLeaving(p.view.onLeaving)
-	p.tries = follow.NewRetryGroup()
+	p.retryGroup = follow.NewRetryGroup()
 	p.view.operatorTable = p.follower(p.Adapter.OperatorTable, p.view.onConfig)
 	p.view.replicaTable = p.follower(p.Adapter.ReplicaTable, p.view.onReplicas)
 	own := census.VM{Name: s.VM.Name, Address: p.PeersAddress(), DataCentre: s.VM.DataCentre, Cores: s.VM.Cores}
 	p.census = census.New(p.table, own, p.onVMs, p.Logger)
-	p.board = loads.NewCache(p.view.onLoads, p.Logger)
-	p.board.Attach(p.pushbackSharing)
-	p.keeper = loads.NewCollector(loads.Options{
-		Cache: p.board, Client: p.Adapter.Engines, Peers: p.peers, Tenure: func() (uint64, bool) { return p.tenure.current() }, ListReplicas: p.view.modelReplicas, Logger: p.Logger,
+	p.loadCache = loads.NewCache(p.view.onLoads, p.Logger)
+	p.loadCache.Attach(p.pushbackSharing)
+	p.loadCollector = loads.NewCollector(loads.Options{
+		Cache: p.loadCache, Client: p.Adapter.Engines, Peers: p.peers, Tenure: func() (uint64, bool) { return p.tenure.current() }, ListReplicas: p.view.modelReplicas, Logger: p.Logger,
 		MayAsk: func(k incarnation.Key) bool { return p.pushback.AllowLoadQuery(k, time.Now()) },
 	})
 	p.leases = lease.NewManager(lease.Options{
@@ -81,7 +81,7 @@
 		ShouldLoad: func() bool { return p.census.Known() && p.census.Follows() },
 	})
 	p.peers.OnNews, p.mirror.News = p.sharing.ObserveRevision, p.quarantine.Revision
-	p.tenure = &tenure{leases: p.leases, board: p.board, logger: p.Logger}
+	p.tenure = &tenure{leases: p.leases, loadCache: p.loadCache, logger: p.Logger}
 }
 
 // onRestart discards the idle connections to a replica's earlier incarnation. They ended with
@@ -91,7 +91,7 @@
 func (p *Process) buildRequestPath() {
 	p.handler = relay.New(relay.Options{
 		DataCentre: p.Settings.VM.DataCentre, ConfigSource: p.view, Codec: p.Adapter.Codec, Gate: p.gate,
-		Admission: p.admission, Balancer: p.balancer, Pools: p.pools, RetryBudgets: p.budgets,
+		Admission: p.admission, Balancer: p.balancer, Pools: p.pools, RetryBudgets: p.retryBudgets,
 		Engines: p.Adapter.Engines, Pool: p.Pool, Observer: p.recorder, Invariants: p.invariants, Logger: p.Logger,
 		Quarantine: p.quarantine, QuarantineNotifier: p.sharing, Pushback: p.pushback, Incarnations: p.view.replicaSet.incarnations,
 	})
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -15,7 +15,7 @@
 )
 
 func (p *Process) follower(table string, onChange func(platform.TableView)) *follow.Follower {
-	return follow.New(follow.Options{Table: table, Feed: p.store, Peers: p.peers, Logger: p.Logger, FollowsFeed: p.followsFeed, VMs: func() int { return len(p.census.VMs()) }, RetryGroup: p.tries, OnChange: onChange})
+	return follow.New(follow.Options{Table: table, Feed: p.store, Peers: p.peers, Logger: p.Logger, FollowsFeed: p.followsFeed, VMs: func() int { return len(p.census.VMs()) }, RetryGroup: p.retryGroup, OnChange: onChange})
 }
 
 // followsFeed reports whether this VM is one of those that read the store's feed themselves.
@@ -26,7 +26,7 @@
 func (p *Process) changesSince(table string, after uint64) (platform.TableChange, time.Duration, bool) {
 	switch table {
 	case loads.TableName:
-		return p.board.Since(after)
+		return p.loadCache.Since(after)
 	case quarantine.TableName:
 		return p.sharing.Since(after)
 	case p.Adapter.ReplicaTable:
@@ -40,7 +40,7 @@
 func (p *Process) applyOffer(table string, change platform.TableChange, age time.Duration) {
 	switch table {
 	case loads.TableName:
-		p.board.Take(change, age)
+		p.loadCache.Take(change, age)
 	case quarantine.TableName:
 		p.sharing.Apply(change, age)
 	case pushbacksharing.TableName:
@@ -50,8 +50,8 @@
 
 func (p *Process) onVMs(vms []census.VM) {
 	p.table.SetVMs(len(vms))
-	p.pools.SetSharers(p.sharers(vms))
-	p.budgets.SetVMs(len(vms))
+	p.pools.SetSharers(p.vmCounts(vms))
+	p.retryBudgets.SetVMs(len(vms))
 	p.pushback.SetFleet(p.fleet(vms), time.Now())
 	p.peers.SetPeers(p.selectPeers(vms))
 }
@@ -93,7 +93,7 @@
 	return fleet
 }
 
-func (p *Process) sharers(vms []census.VM) layers.VMCounts {
+func (p *Process) vmCounts(vms []census.VM) layers.VMCounts {
 	s := layers.VMCounts{DataCentre: p.Settings.VM.DataCentre, Fleet: len(vms)}
 	for _, vm := range vms {
 		if vm.DataCentre == s.DataCentre {
--- a/internal/entry/placement.go
+++ b/internal/entry/placement.go
@@ -29,7 +29,7 @@
 // lease; it is no candidate by its place.
 func (p *Process) IsCandidate() bool {
 	first := p.census.Known() && p.census.Among(maxCandidates)
-	return p.Holds() || first || p.board.Age(p.started) > holderTimeout
+	return p.Holds() || first || p.loadCache.Age(p.started) > holderTimeout
 }
 
 func (p *Process) runLeases() {
@@ -47,7 +47,7 @@
 	placer.New(placer.Options{
 		Engines: p.Adapter.Engines, Holder: p, Logger: p.Logger,
 		Model: func() (*layers.Spec, []layers.Replica) { return p.respondingReplicas(service) },
-		Heard: p.view.observeReport, Reported: p.board.Reported,
+		Heard: p.view.observeReport, Reported: p.loadCache.Reported,
 	}).Run(p.ctx)
 }
 
@@ -56,7 +56,7 @@
 // heartbeats, some 5 s in which possibly no other replica holds its layers.
 func (p *Process) respondingReplicas(service string) (*layers.Spec, []layers.Replica) {
 	spec, replicas := p.view.model(service)
-	down := p.board.Down()
+	down := p.loadCache.Down()
 	return spec, slices.DeleteFunc(replicas, func(r layers.Replica) bool { return down[r.Key()] })
 }
 
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -40,8 +40,8 @@
 	// maxCandidates is how many VMs compete for the placement lease: the first ones in the
 	// order of a hash of their names.
 	maxCandidates = 3
-	// holderTimeout is the age of the board of loads above which all VMs compete. The holder
-	// renews the board each second, and all candidates may have died at once.
+	// holderTimeout is the age of the loads above which all VMs compete. The holder of the
+	// placement renews them each second, and all candidates may have died at once.
 	holderTimeout = 8 * time.Second
 )
 
@@ -64,23 +64,23 @@
 	gate       *router.Gate
 	// store counts the calls that reach the platform's store. table limits the rate of calls
 	// for the VMs' own rows.
-	store     *accounted.Store
-	table     *resilient.Client
-	view      *view
-	handler   *relay.Handler
-	pools     *relay.Pools
-	budgets   *relay.RetryBudgets
-	balancer  *balance.Balancer
-	admission *admission.Controller
-	census    *census.Census
-	// tries is shared by the followers of the operator's tables.
-	tries  *follow.RetryGroup
-	leases *lease.Manager
-	tenure *tenure
-	board  *loads.Cache
-	keeper *loads.Collector
-	mirror *mirror.Server
-	peers  *mirror.Client
+	store        *accounted.Store
+	table        *resilient.Client
+	view         *view
+	handler      *relay.Handler
+	pools        *relay.Pools
+	retryBudgets *relay.RetryBudgets
+	balancer     *balance.Balancer
+	admission    *admission.Controller
+	census       *census.Census
+	// retryGroup is shared by the followers of the operator's tables.
+	retryGroup    *follow.RetryGroup
+	leases        *lease.Manager
+	tenure        *tenure
+	loadCache     *loads.Cache
+	loadCollector *loads.Collector
+	mirror        *mirror.Server
+	peers         *mirror.Client
 	// quarantine records requests that crash replicas. sharing exchanges the records with
 	// other VMs.
 	quarantine *quarantine.Ledger
@@ -181,7 +181,7 @@
 	p.spawn(func() { p.view.replicaTable.Run(p.ctx) })
 	p.spawn(func() { p.census.Run(p.ctx) })
 	p.spawn(p.competeForPlacement)
-	p.spawn(func() { p.keeper.Run(p.ctx) })
+	p.spawn(func() { p.loadCollector.Run(p.ctx) })
 	p.spawn(func() { p.sharing.Run(p.ctx) })
 	p.spawn(func() { p.pushbackSharing.Run(p.ctx) })
 	p.spawn(p.waitUntilReady)
--- a/internal/entry/tenure.go
+++ b/internal/entry/tenure.go
@@ -10,20 +10,20 @@
 	"geraniumcroft/internal/placer"
 )
 
-// tenure tracks whether this VM holds the placement duty, which includes keeping the board of
+// tenure tracks whether this VM holds the placement duty, which includes collecting the replicas'
 // loads, and under which number: the fencing number of its last lease.
 //
 // During a store outage no lease can be renewed, and no other VM can acquire one. The last
 // holder then continues without a lease: otherwise the layers of replicas that die would be
 // missing, and VMs would send requests to these replicas, until the store is back. If the store
-// refuses only this VM, another one acquires the lease, and its boards of loads, which carry a
+// refuses only this VM, another one acquires the lease, and the loads that it sends, which carry a
 // higher number, end the tenure here within some two seconds. Two holders at the same time do no
 // harm: each order states the layers that a replica has to hold and the earlier orders that it
 // builds on.
 type tenure struct {
-	leases *lease.Manager
-	board  *loads.Cache
-	logger *zap.Logger
+	leases    *lease.Manager
+	loadCache *loads.Cache
+	logger    *zap.Logger
 
 	mu          sync.Mutex // guards the fields below
 	lastFencing uint64     // fencing number of this VM's last lease, 0 before the first
@@ -39,11 +39,11 @@
 	if ok {
 		t.lastFencing = held.Fencing
 	}
-	acting := !ok && t.lastFencing > 0 && t.leases.TableUnavailable() && t.board.Tenure() <= t.lastFencing
+	acting := !ok && t.lastFencing > 0 && t.leases.TableUnavailable() && t.loadCache.Tenure() <= t.lastFencing
 	if acting != t.acting {
 		t.acting = acting
 		t.logger.Info("placement without a lease", zap.Bool("acting", acting), zap.Uint64("tenure", t.lastFencing),
-			zap.Bool("held", ok), zap.Uint64("boardTenure", t.board.Tenure()))
+			zap.Bool("held", ok), zap.Uint64("boardTenure", t.loadCache.Tenure()))
 	}
 	return t.lastFencing, ok || acting
 }
