--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -62,7 +62,8 @@
 // ConfigAge implements relay.ConfigSource.
 func (v *view) ConfigAge() time.Duration { return v.operatorTable.Age() }
 
-// onConfig puts the configuration of a table in force if it is newer than the current one.
+// onConfig puts the configuration of a table in force if it is newer than the current one. An older one
+// is reported as an invariant violation.
 func (v *view) onConfig(table platform.TableView) {
 	next, err := v.adapter.DecodeConfig(table.Rows)
 	if err != nil {
