--- a/internal/entry/decode_panics.go
+++ b/internal/entry/decode_panics.go
@@ -26,7 +26,7 @@
 func catchPanic[T any](decode func() (T, error)) (value T, err error) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
-			err = errors.Newf("decoder panicked: %v\n%s", panicked, debug.Stack())
+			err = errors.Newf("the decoder panicked: %v\n%s", panicked, debug.Stack())
 		}
 	}()
 	return decode()
--- a/internal/entry/entry_check.go
+++ b/internal/entry/entry_check.go
@@ -13,12 +13,12 @@
 	service := c.Services[r.Service]
 	switch {
 	case service == nil:
-		return &relay.EntryError{Field: "service", Found: strconv.QuoteToASCII(shortID(r.Service)), Want: "a service of the configuration"}
+		return &relay.EntryError{Field: "service", Found: strconv.QuoteToASCII(shortID(r.Service)), Want: "one that the configuration names"}
 	case service.Model == nil:
 		return nil
 	}
 	if _, known := service.Model.Accelerators[r.Kind]; !known {
-		return &relay.EntryError{Field: "kind", Found: strconv.QuoteToASCII(shortID(r.Kind)), Want: "a kind of the service"}
+		return &relay.EntryError{Field: "kind", Found: strconv.QuoteToASCII(shortID(r.Kind)), Want: "one that the service names"}
 	}
 	if !service.Model.ValidRange(r.Held) {
 		return &relay.EntryError{Field: "layers", Found: r.Held.String(), Want: "layers of the model"}
