--- a/internal/follow/confirm.go
+++ b/internal/follow/confirm.go
@@ -13,81 +13,82 @@
 )
 
 const (
-	// confirmLeast and confirmMost are the ages of a copy between which the store is asked
-	// whether it is still the newest. A call to the feed that waits looks the same whether
-	// nothing has changed or the store lost it, and a change makes all VMs call at the same
-	// moment, so all may lose theirs in one short silence: nobody had a change for up to 9 s
-	// then, the time limit of the call. With the question a change is in force 1.6 s after
-	// its acknowledgement at most (confirmMost, confirmLook, freshPeerTimeout), or 1.2 s
-	// after the end of an outage (readTimeout, retryPause), of the 2 s that the operator is
-	// promised; TestHeldCallsDoNotHideAChange plays both.
+	// confirmMinAge and confirmMaxAge are the ages of a copy between which the store is asked
+	// whether the copy is current. A pending feed call looks the same whether nothing has changed
+	// or the store has lost the call. A change makes all VMs call the feed again at the same
+	// moment, so one short silence of the store can lose the calls of all of them; no VM then saw
+	// a change for up to 9 s, the timeout of the call. With this check a change is in force at
+	// most 1.6 s after it was acknowledged (confirmMaxAge, confirmInterval, confirmPeerTimeout),
+	// or 1.2 s after the end of an outage (readTimeout, retryDelay). The operator is promised 2 s.
+	// TestHeldCallsDoNotHideAChange covers both cases.
 	//
-	// The age is drawn anew each time, and peers are asked first, so that one VM's question
-	// serves the others: six VMs make 2.8 calls a second for a table in calm times, in place
-	// of 7 if each asked (TestCalmFleetSharesItsQuestions).
-	confirmLeast = 600 * time.Millisecond
-	confirmMost  = 1200 * time.Millisecond
-	// confirmLook is the pause between two looks at the age.
-	confirmLook = 100 * time.Millisecond
-	// freshPeerTimeout bounds the question to peers for a fresher copy.
-	freshPeerTimeout = 300 * time.Millisecond
+	// The age is random each time and peers are asked first, so that the request of one VM serves
+	// the others as well: without faults six VMs make 2.8 calls a second for a table, instead of 7
+	// if each VM asked (TestCalmFleetSharesItsQuestions).
+	confirmMinAge = 600 * time.Millisecond
+	confirmMaxAge = 1200 * time.Millisecond
+	// confirmInterval is the time between two checks of the age.
+	confirmInterval = 100 * time.Millisecond
+	// confirmPeerTimeout bounds a request to peers for a newer copy.
+	confirmPeerTimeout = 300 * time.Millisecond
 )
 
-// errOvertaken ends a call to the feed that did not bring a change which a later call has
-// brought.
-var errOvertaken = errors.New("a later call brought the change")
+// errSuperseded is the cause with which a feed call is cancelled that missed a change which a
+// later call returned.
+var errSuperseded = errors.New("feed call superseded by a later call")
 
-// keepConfirmed asks the store for news without waiting, whenever neither the store nor a
-// peer has confirmed the copy for a while.
-func (f *Follower) keepConfirmed(ctx context.Context) {
-	for limit := confirmLimit(); sleep.For(ctx, confirmLook); {
-		if f.learnsByPeers() || f.View() == nil || f.lostStore() || f.leavesToFollowers() || f.Age() < limit {
+// confirmLoop polls the store without waiting whenever neither the store nor a peer has confirmed
+// the copy for a while. It returns when ctx ends.
+func (f *Follower) confirmLoop(ctx context.Context) {
+	for limit := randomConfirmAge(); sleep.For(ctx, confirmInterval); {
+		if f.copiesFromPeers() || f.View() == nil || f.storeUnavailable() || f.defersToFeedPeers() || f.Age() < limit {
 			continue
 		}
-		if f.askPeers(ctx, freshPeerTimeout); f.Age() >= limit {
-			f.confirmByStore(ctx)
+		if f.fetchFromPeers(ctx, confirmPeerTimeout); f.Age() >= limit {
+			f.confirmWithStore(ctx)
 		}
-		limit = confirmLimit()
+		limit = randomConfirmAge()
 	}
 }
 
-// leavesToFollowers reports whether a VM that follows the feed is heard, so that this one asks the
-// store in its turn only.
-func (f *Follower) leavesToFollowers() bool { return !f.FollowsFeed() && f.hearsFollowers() }
+// defersToFeedPeers reports whether this VM leaves the store to peers that follow the feed,
+// because it does not follow the feed itself and such a peer has answered recently. It then asks
+// the store only in its turn.
+func (f *Follower) defersToFeedPeers() bool { return !f.FollowsFeed() && f.hasFeedPeer() }
 
-func confirmLimit() time.Duration {
-	return confirmLeast + rand.N(confirmMost-confirmLeast)
+func randomConfirmAge() time.Duration {
+	return confirmMinAge + rand.N(confirmMaxAge-confirmMinAge)
 }
 
-// confirmByStore makes one call that the store answers at once. If it fails, the call to the
-// feed that is under way is not to be trusted either.
-func (f *Follower) confirmByStore(ctx context.Context) {
+// confirmWithStore polls the feed without waiting. If that fails, the pending feed call is not
+// reliable either and the table is read again.
+func (f *Follower) confirmWithStore(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(platform.WithPurpose(ctx, platform.PurposeConfirm), readTimeout)
 	defer cancel()
-	changed, err := f.readFeed(ctx, 0)
+	changed, err := f.pollFeed(ctx, 0)
 	switch {
 	case err != nil:
-		f.doubtStore(err)
+		f.requestReread(err)
 	case changed:
 		f.Logger.Warn("feed did not bring a change", zap.String("table", f.Table), zap.Uint64("revision", f.revision()))
-		f.endFeedCall(errOvertaken)
+		f.cancelFeedCall(errSuperseded)
 	}
 }
 
-// doubtStore makes the table be read anew at once.
-func (f *Follower) doubtStore(err error) {
-	f.note(err)
+// requestReread records a failed call and makes Run read the whole table at once.
+func (f *Follower) requestReread(err error) {
+	f.recordStoreResult(err)
 	f.mu.Lock()
-	f.doubted = true
+	f.rereadWanted = true
 	f.mu.Unlock()
-	f.endFeedCall(err)
+	f.cancelFeedCall(err)
 }
 
-// takeDoubt reports whether the store was doubted since the last time.
-func (f *Follower) takeDoubt() bool {
+// takeReread reports whether a reread was requested since the last call, and clears the request.
+func (f *Follower) takeReread() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	doubted := f.doubted
-	f.doubted = false
-	return doubted
+	rereadWanted := f.rereadWanted
+	f.rereadWanted = false
+	return rereadWanted
 }
--- a/internal/follow/fake_feed_test.go
+++ b/internal/follow/fake_feed_test.go
@@ -8,21 +8,21 @@
 	"geraniumcroft/internal/platform"
 )
 
-// fakeFeed gives out the changes of one table.
+// fakeFeed is a platform.Feed of one table.
 type fakeFeed struct {
-	mu      sync.Mutex // guards the fields below
-	view    platform.TableView
-	err     error
-	forgot  bool
-	changed chan struct{}
-	// reads counts the readings of the whole table.
+	mu          sync.Mutex // guards the fields below
+	view        platform.TableView
+	err         error
+	historyGone bool
+	changed     chan struct{}
+	// reads counts the reads of the whole table.
 	reads int
-	// calls counts all calls.
+	// calls counts all calls, reads included.
 	calls int
-	// newest is the store's revision where other tables have moved it on, and kept the one
-	// behind which it knows the changes.
-	newest, kept uint64
-	// silent holds every call without an answer, also once the store answers others again.
+	// newest is the store's revision if other tables have changed later than this one; oldestKept
+	// is the oldest revision from which changes are still available.
+	newest, oldestKept uint64
+	// silent makes calls wait until their context ends, even if the store becomes available again.
 	silent bool
 }
 
@@ -39,16 +39,16 @@
 }
 
 func (f *fakeFeed) ReadAll(ctx context.Context, _ string) (platform.TableView, error) {
-	f.hold(ctx)
+	f.countCall(ctx)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.forgot = false
+	f.historyGone = false
 	f.reads++
 	return platform.TableView{Revision: max(f.view.Revision, f.newest), Rows: f.view.Rows}, f.err
 }
 
-// hold counts a call, and waits for its end if it is made while the store is silent.
-func (f *fakeFeed) hold(ctx context.Context) {
+// countCall counts a call. If the store is silent it waits until ctx ends.
+func (f *fakeFeed) countCall(ctx context.Context) {
 	f.mu.Lock()
 	f.calls++
 	silent := f.silent
@@ -58,24 +58,24 @@
 	}
 }
 
-func (f *fakeFeed) readings() int {
+func (f *fakeFeed) readCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.reads
 }
 
-func (f *fakeFeed) called() int {
+func (f *fakeFeed) callCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
 func (f *fakeFeed) Changes(ctx context.Context, _ string, after uint64, wait time.Duration) (platform.TableChange, error) {
-	f.hold(ctx)
+	f.countCall(ctx)
 	until := time.After(wait)
 	for {
 		f.mu.Lock()
-		view, err, forgot, changed := f.view, f.err, f.forgot || after < f.kept, f.changed
+		view, err, historyGone, changed := f.view, f.err, f.historyGone || after < f.oldestKept, f.changed
 		newest := max(after, f.newest)
 		f.mu.Unlock()
 		switch {
@@ -83,14 +83,14 @@
 			return platform.TableChange{}, ctx.Err()
 		case err != nil:
 			return platform.TableChange{}, err
-		case forgot:
+		case historyGone:
 			return platform.TableChange{}, platform.ErrHistoryGone
 		case view.Revision > after:
 			return platform.TableChange{Revision: view.Revision, Written: view.Rows}, nil
 		}
 		if wait <= 0 {
-			// No timer that is due at once: several in one synctest bubble share state in the race
-			// detector and crash it.
+			// No timer here: several timers that are due at once in one synctest bubble share
+			// state in the race detector and crash it.
 			return platform.TableChange{Revision: newest}, nil
 		}
 		select {
--- a/internal/follow/fake_peers_test.go
+++ b/internal/follow/fake_peers_test.go
@@ -12,21 +12,21 @@
 	"geraniumcroft/internal/platform"
 )
 
-// fakePeers have one copy.
+// fakePeers is a Peers whose peers all have the same copy.
 type fakePeers struct {
 	mu   sync.Mutex // guards the fields below
 	view platform.TableView
 	age  time.Duration
 	ok   bool
-	// settling is what the peer says of itself.
+	// settling is what the peers report about themselves.
 	settling bool
-	// silent makes every question wait for its time limit.
+	// silent makes each request wait until its context ends.
 	silent bool
-	// byFeed says that the peer follows the feed.
+	// byFeed says that the peers follow the feed.
 	byFeed bool
 }
 
-func (p *fakePeers) settle(settling bool) {
+func (p *fakePeers) setSettling(settling bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.settling = settling
@@ -49,13 +49,13 @@
 	return change, p.age, p.ok
 }
 
-func (p *fakePeers) have(revision uint64, value string) {
+func (p *fakePeers) setCopy(revision uint64, value string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view, p.ok = platform.TableView{Revision: revision, Rows: map[string][]byte{"a": []byte(value)}}, true
 }
 
-// optionsOf are those of a VM that follows the feed and counts itself alone.
+// optionsOf returns the options of a VM that follows the feed in a fleet of one.
 func optionsOf(feed platform.Feed, peers Peers) Options {
 	return Options{
 		Table: "t", Feed: feed, Peers: peers, Logger: zap.NewNop(), FollowsFeed: func() bool { return true },
@@ -63,8 +63,8 @@
 	}
 }
 
-// following runs a follower in virtual time and gives the test its newest value.
-func following(t *testing.T, test func(feed *fakeFeed, peers *fakePeers, f *Follower, value func() string)) {
+// runFollower runs a follower in virtual time. The test can read the newest value of the row.
+func runFollower(t *testing.T, test func(feed *fakeFeed, peers *fakePeers, f *Follower, value func() string)) {
 	synctest.Test(t, func(t *testing.T) {
 		feed, peers := newFakeFeed(), &fakePeers{}
 		f := New(optionsOf(feed, peers))
@@ -78,8 +78,8 @@
 	})
 }
 
-// learnByPeers runs a follower of a VM that does not follow the feed, until stop is called.
-func learnByPeers(t *testing.T, feed *fakeFeed, peers *fakePeers) (f *Follower, stop func()) {
+// startPeerFollower runs the follower of a VM that does not follow the feed until stop is called.
+func startPeerFollower(t *testing.T, feed *fakeFeed, peers *fakePeers) (f *Follower, stop func()) {
 	o := optionsOf(feed, peers)
 	o.FollowsFeed = func() bool { return false }
 	f = New(o)
--- a/internal/follow/feed.go
+++ b/internal/follow/feed.go
@@ -9,8 +9,8 @@
 	"geraniumcroft/internal/platform"
 )
 
-// step makes one call to the store.
-func (f *Follower) step(ctx context.Context, reread bool) error {
+// readStore makes one call to the store: a read of the whole table, or a feed call.
+func (f *Follower) readStore(ctx context.Context, reread bool) error {
 	if reread {
 		return f.readAll(ctx)
 	}
@@ -20,28 +20,28 @@
 func (f *Follower) readAll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	asked := time.Now()
+	askedAt := time.Now()
 	view, err := f.Feed.ReadAll(platform.WithPurpose(ctx, platform.PurposeReadAll), f.Table)
 	if err != nil {
 		return err
 	}
-	f.publish(view, "store", asked)
+	f.publish(view, "store", askedAt)
 	return nil
 }
 
-// waitForChange calls the feed until something changes, for FeedWait at most. The call may be
-// ended by endFeedCall.
+// waitForChange calls the feed and returns when something has changed, after at most FeedWait.
+// cancelFeedCall ends the call early.
 func (f *Follower) waitForChange(ctx context.Context) error {
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
-	f.beginFeedCall(end)
-	defer f.beginFeedCall(nil)
+	f.setFeedCall(end)
+	defer f.setFeedCall(nil)
 	timed, cancel := context.WithTimeout(platform.WithPurpose(ctx, platform.PurposeFeed), feedTimeout)
 	defer cancel()
-	_, err := f.readFeed(timed, FeedWait)
+	_, err := f.pollFeed(timed, FeedWait)
 	cause := context.Cause(ctx)
 	switch {
-	case err == nil || errors.Is(cause, errOvertaken):
+	case err == nil || errors.Is(cause, errSuperseded):
 		return nil
 	case cause != nil:
 		return cause
@@ -49,50 +49,51 @@
 	return err
 }
 
-// readFeed takes over what has changed since the last answer of the feed, and reports whether
-// there was anything.
-func (f *Follower) readFeed(ctx context.Context, wait time.Duration) (changed bool, err error) {
+// pollFeed applies what has changed since the last answer of the feed. It reports whether it has
+// applied a change.
+func (f *Follower) pollFeed(ctx context.Context, wait time.Duration) (changed bool, err error) {
 	at := f.View()
-	change, err := f.Feed.Changes(ctx, f.Table, f.position(at.Revision), wait)
+	change, err := f.Feed.Changes(ctx, f.Table, f.feedPosition(at.Revision), wait)
 	if err != nil {
 		return false, err
 	}
 	if change.Empty() {
-		f.unchangedUpTo(change.Revision)
-		f.confirm(time.Now())
+		f.raiseUnchangedUpTo(change.Revision)
+		f.markConfirmed(time.Now())
 		return false, nil
 	}
-	return f.applyTo(at.Revision, change, "store", time.Now()), nil
+	return f.applyChange(at.Revision, change, "store", time.Now()), nil
 }
 
-// position is the revision from which the feed is to go on, given the copy's. The store keeps
-// some 20 s of changes: a table that changes seldom would be asked from before them each time,
-// and be read whole.
-func (f *Follower) position(revision uint64) uint64 {
+// feedPosition returns the revision after which the feed is asked for changes, for a copy of the
+// given revision. The store keeps changes for about 20 s: for a table that changes rarely, a
+// request from the copy's own revision would reach back too far and the whole table would be read
+// each time.
+func (f *Follower) feedPosition(revision uint64) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return max(revision, f.unchanged)
+	return max(revision, f.unchangedUpTo)
 }
 
-func (f *Follower) unchangedUpTo(revision uint64) {
+func (f *Follower) raiseUnchangedUpTo(revision uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.unchanged = max(f.unchanged, revision)
+	f.unchangedUpTo = max(f.unchangedUpTo, revision)
 }
 
-// beginFeedCall notes how the call to the feed that is under way can be ended, nil if there
-// is none.
-func (f *Follower) beginFeedCall(end context.CancelCauseFunc) {
+// setFeedCall stores the function that cancels the pending feed call; nil means that there is
+// none.
+func (f *Follower) setFeedCall(end context.CancelCauseFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.feedCall = end
+	f.cancelFeed = end
 }
 
-// endFeedCall ends the call to the feed that is under way, if there is one.
-func (f *Follower) endFeedCall(cause error) {
+// cancelFeedCall cancels the pending feed call, if there is one.
+func (f *Follower) cancelFeedCall(cause error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.feedCall != nil {
-		f.feedCall(cause)
+	if f.cancelFeed != nil {
+		f.cancelFeed(cause)
 	}
 }
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -14,49 +14,49 @@
 )
 
 const (
-	// feedPause spaces the calls to the feed. Replicas come and go in bursts, and without
-	// the pause each one's change would cost every VM a call; with it changes are seen
-	// within half a second, a quarter of the time in which they have to be in force.
-	feedPause = 500 * time.Millisecond
-	// peersStale is the age of the copy from which a VM that learns by its peers turns to
-	// the store: those that follow the feed may all be gone or cut off. With a look and a
-	// reading a change is then in force after 2.8 s, of the 3 s that are promised for some 85
-	// VMs. In calm times no copy of 6 to 320 VMs was older than 1.9 s (mirror,
+	// feedInterval is the pause between two feed calls. Replicas come and go in bursts, and
+	// without the pause the change of each replica would cost every VM a call. With it, changes
+	// are seen within half a second, a quarter of the time within which they have to be in force.
+	feedInterval = 500 * time.Millisecond
+	// maxPeerCopyAge is the age of the copy at which a VM that copies from its peers turns to the
+	// store: all peers that follow the feed may have failed or be cut off. Including one role
+	// check and one read, a change is then in force after 2.8 s; 3 s are promised for about 85
+	// VMs. Without faults no copy of 6 to 320 VMs was older than 1.9 s (package mirror,
 	// TestCalmFleetSharesItsQuestions).
-	peersStale = 2500 * time.Millisecond
-	// followLook is the pause between two looks at whether to follow the feed.
-	followLook = 200 * time.Millisecond
-	// retryPause is the wait after a failed read of the store and its peers.
-	retryPause = 200 * time.Millisecond
-	// calmRetryPause is the same, at least, for a VM that has a copy and learns by its peers
-	// as long as they hear from the store. In an outage all of a large fleet would turn to the
-	// store, where the few that follow the feed find out as well that it is back.
-	calmRetryPause = 2 * time.Second
-	// readTimeout bounds a read of a whole table.
+	maxPeerCopyAge = 2500 * time.Millisecond
+	// roleCheckInterval is the time between two checks of whether this VM is to follow the feed.
+	roleCheckInterval = 200 * time.Millisecond
+	// retryDelay is the wait after a failed read of the store and its peers.
+	retryDelay = 200 * time.Millisecond
+	// peerRetryDelay is the minimum of that wait for a VM that has a copy and copies from its
+	// peers as long as the store answers them. In an outage a whole large fleet would otherwise
+	// turn to the store, although the few VMs that follow the feed also detect that it is back.
+	peerRetryDelay = 2 * time.Second
+	// readTimeout bounds the read of a whole table.
 	readTimeout = time.Second
-	// feedTimeout bounds one call to the feed, which itself waits for changes up to
-	// FeedWait.
+	// feedTimeout bounds one feed call, which itself waits for changes up to FeedWait.
 	feedTimeout = FeedWait + time.Second
-	// peersSettleRoom is for how much longer than a peer this VM holds that rows may come back,
-	// as it learns of them later. With retryPause, in which the peer finds the store back, and
-	// settleTime, a replica that leaves as soon as the store is back is left after 2.8 s, of the
-	// 3 s that some 85 VMs are given.
-	peersSettleRoom = 400 * time.Millisecond
-	// settleTime is how long after an outage of the store a row that vanished may still
-	// come back, as its writer has to reach the store first.
-	settleTime = 2200 * time.Millisecond
+	// peerSettlingMargin is how much longer than a peer this VM assumes that rows may come back,
+	// since it learns of them later. Together with settlingTime, and with retryDelay, within which
+	// the peer detects that the store is back, a replica that leaves as soon as the store is back
+	// gets no more requests after 2.8 s; 3 s are allowed for about 85 VMs.
+	peerSettlingMargin = 400 * time.Millisecond
+	// settlingTime is how long after an outage of the store a row that is missing may still come
+	// back, as its writer has to reach the store first.
+	settlingTime = 2200 * time.Millisecond
 )
 
-// FeedWait is how long a call to the feed waits for a change. That the store has lost it
-// meanwhile is noticed by calls beside it (confirmMost), and a connection that went silent
-// by the kernel's probes as well.
+// FeedWait is how long a feed call waits for a change. A call that the store has lost is detected
+// by concurrent calls (confirmMaxAge); a connection that went silent is also detected by the
+// kernel's probes.
 const FeedWait = 8 * time.Second
 
-// Peers asks other VMs for their copy of a table.
+// Peers fetches the copies that other VMs have of a table.
 type Peers interface {
-	// Fetch returns what a peer's copy has beyond the revision, 0 asks for the whole table, and
-	// up to which revision that copy is the newest, its own at least. Ok is false when no peer
-	// answered. The age is the time since the peer's copy was confirmed to be the newest.
+	// Fetch returns what a peer's copy has beyond the revision after; 0 asks for the whole table.
+	// The change's UnchangedUpTo is the revision up to which that copy is current, at least the
+	// copy's own. age is the time since the peer's copy was confirmed to be current. ok is false
+	// if no peer answered.
 	Fetch(ctx context.Context, table string, after uint64) (change platform.TableChange, age time.Duration, ok bool)
 }
 
@@ -66,51 +66,51 @@
 	Feed   platform.Feed
 	Peers  Peers
 	Logger *zap.Logger
-	// FollowsFeed says whether this VM follows the store's feed. In a large fleet a few do,
-	// and the others copy from them: each change would otherwise cost a call of every VM.
+	// FollowsFeed reports whether this VM follows the store's feed. In a large fleet only a few
+	// VMs do and the others copy from them; otherwise each change would cost a call of every VM.
 	FollowsFeed func() bool
-	// VMs returns how many VMs there are, at least 1.
+	// VMs returns the number of VMs in the fleet, at least 1.
 	VMs func() int
-	// RetryGroup are shared by the tables of this VM.
+	// RetryGroup is shared by the tables of this VM.
 	RetryGroup *RetryGroup
-	// OnChange is called with each new view, one at a time.
+	// OnChange is called with each new view, one call at a time.
 	OnChange func(platform.TableView)
 }
 
-// Follower keeps a copy of one table.
+// Follower keeps a copy of one table. It is safe for concurrent use.
 type Follower struct {
 	Options
 	view atomic.Pointer[platform.TableView]
-	// confirmed is when the store or a peer last answered that the view is current.
-	confirmed atomic.Pointer[time.Time]
-	// askSoon makes the peers be asked without waiting for their turn.
-	askSoon chan struct{}
-
-	publishing sync.Mutex // one view at a time; guards the field below
-	history    history
-
-	mu        sync.Mutex // guards the fields below
-	storeDown bool
-	regained  time.Time
-	// peersSettled is until when a peer settles, by its last word of that.
-	peersSettled time.Time
-	// followerHeard is when a peer that follows the feed last answered.
-	followerHeard time.Time
-	// unchanged is the revision up to which the feed had nothing beyond the copy.
-	unchanged uint64
-	// feedCall ends the call to the feed that is under way, nil if there is none.
-	feedCall context.CancelCauseFunc
-	// doubted says that a call failed while another was waiting.
-	doubted bool
+	// confirmedAt is when the store or a peer last confirmed that the view is current.
+	confirmedAt atomic.Pointer[time.Time]
+	// askPeersNow makes the gossip loop ask peers at once.
+	askPeersNow chan struct{}
+
+	publishMu sync.Mutex // serializes publish; guards the field below
+	history   history
+
+	mu          sync.Mutex // guards the fields below
+	storeDown   bool
+	storeBackAt time.Time
+	// peersSettledAt is when peers stop settling, according to the latest answer that said so.
+	peersSettledAt time.Time
+	// lastFeedPeerAnswer is when a peer that follows the feed last answered.
+	lastFeedPeerAnswer time.Time
+	// unchangedUpTo is the store's revision up to which the copy is known to be current.
+	unchangedUpTo uint64
+	// cancelFeed cancels the pending feed call; nil if there is none.
+	cancelFeed context.CancelCauseFunc
+	// rereadWanted says that a concurrent call failed and the table has to be read again.
+	rereadWanted bool
 }
 
-// New returns a follower without a copy; Run fills it.
-func New(o Options) *Follower { return &Follower{Options: o, askSoon: make(chan struct{}, 1)} }
+// New returns a Follower without a copy. Run fetches it and keeps it current.
+func New(o Options) *Follower { return &Follower{Options: o, askPeersNow: make(chan struct{}, 1)} }
 
-// View returns the newest copy, or nil before the first.
+// View returns the newest copy, or nil if there is none yet.
 func (f *Follower) View() *platform.TableView { return f.view.Load() }
 
-// revision is that of the newest copy, 0 before the first.
+// revision returns the revision of the newest copy, or 0 if there is none yet.
 func (f *Follower) revision() uint64 {
 	if at := f.View(); at != nil {
 		return at.Revision
@@ -118,77 +118,78 @@
 	return 0
 }
 
-// Age is the time since the store or a peer last confirmed the copy.
+// Age returns the time since the store or a peer last confirmed the copy, and the longest possible
+// duration if none has.
 func (f *Follower) Age() time.Duration {
-	at := f.confirmed.Load()
+	at := f.confirmedAt.Load()
 	if at == nil {
 		return time.Duration(1<<63 - 1)
 	}
-	// A VM that was frozen finds its monotonic clock where it was.
+	// The monotonic clock may stop while the VM is frozen, so the wall clock counts too.
 	now := time.Now()
 	return max(now.Sub(*at), now.Round(0).Sub(at.Round(0)))
 }
 
-// Run follows the table until ctx ends.
+// Run keeps the copy current until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	var beside sync.WaitGroup
-	beside.Go(func() { f.gossip(ctx) })
-	beside.Go(func() { f.keepConfirmed(ctx) })
-	defer beside.Wait()
-	failed, tried := false, false
+	var background sync.WaitGroup
+	background.Go(func() { f.gossip(ctx) })
+	background.Go(func() { f.confirmLoop(ctx) })
+	defer background.Wait()
+	failed, retrying := false, false
 	for ctx.Err() == nil {
-		if f.learnsByPeers() {
-			f.forgetStore()
-			tried = false
-			sleep.For(ctx, followLook)
+		if f.copiesFromPeers() {
+			f.resetStoreState()
+			retrying = false
+			sleep.For(ctx, roleCheckInterval)
 			continue
 		}
-		if !tried && !f.awaitTurn(ctx) {
+		if !retrying && !f.awaitTurn(ctx) {
 			continue
 		}
-		// After a failure the whole table is read: the answer comes at once and tells that
-		// the store is back, where the feed would wait for the next change.
-		reread := f.takeDoubt() || failed || f.View() == nil
-		err := f.step(ctx, reread)
+		// After a failure the whole table is read. That call is answered at once and shows that
+		// the store is back, whereas the feed would wait for the next change.
+		reread := f.takeReread() || failed || f.View() == nil
+		err := f.readStore(ctx, reread)
 		if ctx.Err() != nil {
 			return
 		}
-		failed, tried = err != nil, err != nil
-		f.note(err)
+		failed, retrying = err != nil, err != nil
+		f.recordStoreResult(err)
 		switch {
 		case err == nil:
-			sleep.For(ctx, feedPause)
+			sleep.For(ctx, feedInterval)
 		case !errors.Is(err, platform.ErrHistoryGone):
-			f.restAfterFailure(ctx)
+			f.waitAfterFailure(ctx)
 		}
 	}
 }
 
-// restAfterFailure waits after a failed read of the store. Peers are asked beside it: those
-// that are silent take 2.5 s at most, in which the store may be back.
-func (f *Follower) restAfterFailure(ctx context.Context) {
+// waitAfterFailure waits after a failed read of the store. Peers are asked concurrently: silent
+// ones take up to 2.5 s, and the store may be back before that.
+func (f *Follower) waitAfterFailure(ctx context.Context) {
 	select {
-	case f.askSoon <- struct{}{}:
-	default: // they are to be asked already
+	case f.askPeersNow <- struct{}{}:
+	default: // a request is already pending
 	}
 	if f.View() != nil && !f.FollowsFeed() {
 		f.RetryGroup.leave(f)
-		f.waitCalmly(ctx, f.turnPause())
+		f.waitForPeers(ctx, f.storeRetryDelay())
 		return
 	}
-	if !f.waitForOther(ctx) {
-		sleep.For(ctx, retryPause)
+	if !f.waitForLeader(ctx) {
+		sleep.For(ctx, retryDelay)
 	}
 }
 
-// learnsByPeers reports whether this VM may leave the store alone for now.
-func (f *Follower) learnsByPeers() bool {
-	return f.View() != nil && !f.FollowsFeed() && f.Age() < peersStale
+// copiesFromPeers reports whether this VM needs no call to the store for now.
+func (f *Follower) copiesFromPeers() bool {
+	return f.View() != nil && !f.FollowsFeed() && f.Age() < maxPeerCopyAge
 }
 
-// applyTo publishes a change of the copy of a revision, unless the copy has moved on. It
-// reports whether it did.
-func (f *Follower) applyTo(revision uint64, change platform.TableChange, from string, at time.Time) bool {
+// applyChange publishes a change to the copy of the given revision. It reports false, and does
+// nothing, if the copy has a different revision by now.
+func (f *Follower) applyChange(revision uint64, change platform.TableChange, from string, at time.Time) bool {
 	now := f.View()
 	if now == nil || now.Revision != revision {
 		return false
@@ -197,37 +198,38 @@
 	return true
 }
 
-// Since returns what a copy of a revision lacks of this VM's, nothing before this VM
-// has one, and the time since this VM's was confirmed to be the newest.
+// Since returns what a copy of revision after lacks compared with this VM's copy, and the time
+// since this VM's copy was confirmed to be current. ok is false if this VM has no copy yet.
 func (f *Follower) Since(after uint64) (change platform.TableChange, age time.Duration, ok bool) {
-	f.publishing.Lock()
-	defer f.publishing.Unlock()
+	f.publishMu.Lock()
+	defer f.publishMu.Unlock()
 	view := f.View()
 	if view == nil {
 		return platform.TableChange{}, 0, false
 	}
 	change = f.history.since(*view, after)
-	change.UnchangedUpTo = f.position(view.Revision)
-	change.SettlingLeft = f.tellsSettling()
+	change.UnchangedUpTo = f.feedPosition(view.Revision)
+	change.SettlingLeft = f.reportedSettling()
 	change.Settling = change.SettlingLeft > 0
 	change.ByFeed = f.FollowsFeed()
 	return change, f.Age(), true
 }
 
-// confirm notes that this VM's copy was the newest at that time.
-func (f *Follower) confirm(at time.Time) {
+// markConfirmed records that this VM's copy was current at the given time.
+func (f *Follower) markConfirmed(at time.Time) {
 	for {
-		old := f.confirmed.Load()
-		if f.View() == nil || old != nil && at.Before(*old) || f.confirmed.CompareAndSwap(old, &at) {
+		old := f.confirmedAt.Load()
+		if f.View() == nil || old != nil && at.Before(*old) || f.confirmedAt.CompareAndSwap(old, &at) {
 			return
 		}
 	}
 }
 
-// publish takes over a newer view, which was the newest at that time.
+// publish replaces the copy by a view that was current at the given time. It refuses an older
+// view; a peer's view of the same revision only confirms the copy.
 func (f *Follower) publish(view platform.TableView, from string, at time.Time) {
-	f.publishing.Lock()
-	defer f.publishing.Unlock()
+	f.publishMu.Lock()
+	defer f.publishMu.Unlock()
 	old := f.view.Load()
 	if old != nil && view.Revision < old.Revision {
 		f.Logger.Info("older copy of a table refused", zap.String("table", f.Table), zap.String("from", from),
@@ -235,14 +237,14 @@
 		return
 	}
 	if old != nil && view.Revision == old.Revision && from == "peer" {
-		f.confirm(at)
+		f.markConfirmed(at)
 		return
 	}
 	if old != nil {
 		f.history.add(*old, view)
 	}
 	f.view.Store(&view)
-	f.confirm(at)
+	f.markConfirmed(at)
 	if from == "peer" {
 		f.Logger.Info("table learned from a peer", zap.String("table", f.Table), zap.Uint64("revision", view.Revision))
 	}
--- a/internal/follow/follower_test.go
+++ b/internal/follow/follower_test.go
@@ -10,36 +10,36 @@
 	"geraniumcroft/internal/platform"
 )
 
-func TestChangesAreSeenWithinTheBound(t *testing.T) {
-	following(t, func(feed *fakeFeed, _ *fakePeers, _ *Follower, value func() string) {
+func TestChangeIsSeenWithinFeedInterval(t *testing.T) {
+	runFollower(t, func(feed *fakeFeed, _ *fakePeers, _ *Follower, value func() string) {
 		feed.set(func() { feed.view = platform.TableView{Revision: 2, Rows: map[string][]byte{"a": []byte("2")}} })
-		time.Sleep(feedPause + time.Millisecond)
+		time.Sleep(feedInterval + time.Millisecond)
 		if value() != "2" {
 			t.Errorf("value %q", value())
 		}
 	})
 }
 
-// The store turns this VM away and serves the others. A change reaches it by a peer
-// within the pause between two questions.
-func TestPeersBringWhatTheStoreKeepsBack(t *testing.T) {
-	following(t, func(feed *fakeFeed, peers *fakePeers, _ *Follower, value func() string) {
+// The store rejects this VM and serves the others. A change arrives from a peer within one gossip
+// interval.
+func TestPeerSendsChangeWhileStoreRejectsVM(t *testing.T) {
+	runFollower(t, func(feed *fakeFeed, peers *fakePeers, _ *Follower, value func() string) {
 		feed.set(func() { feed.err = errors.New("turned away") })
 		time.Sleep(3 * time.Second)
-		peers.have(5, "5")
-		time.Sleep(gossipPause + time.Millisecond)
+		peers.setCopy(5, "5")
+		time.Sleep(gossipInterval + time.Millisecond)
 		if value() != "5" {
 			t.Errorf("value %q", value())
 		}
 	})
 }
 
-// The store holds the call without ever answering. Nothing fails, and still the change
-// is here within the pause between two questions to peers.
-func TestPeersBringWhatASilentStoreHides(t *testing.T) {
-	following(t, func(_ *fakeFeed, peers *fakePeers, _ *Follower, value func() string) {
-		peers.have(7, "7")
-		time.Sleep(gossipPause + time.Millisecond)
+// The store keeps the call open and never answers. No call fails, and the change still arrives
+// from a peer within one gossip interval.
+func TestPeerSendsChangeWhileStoreIsSilent(t *testing.T) {
+	runFollower(t, func(_ *fakeFeed, peers *fakePeers, _ *Follower, value func() string) {
+		peers.setCopy(7, "7")
+		time.Sleep(gossipInterval + time.Millisecond)
 		if value() != "7" {
 			t.Errorf("value %q", value())
 		}
@@ -48,10 +48,10 @@
 
 // A peer has an older copy than this VM. It must not replace the newer one.
 func TestOlderCopyIsRefused(t *testing.T) {
-	following(t, func(feed *fakeFeed, peers *fakePeers, _ *Follower, value func() string) {
+	runFollower(t, func(feed *fakeFeed, peers *fakePeers, _ *Follower, value func() string) {
 		feed.set(func() { feed.view = platform.TableView{Revision: 9, Rows: map[string][]byte{"a": []byte("9")}} })
 		time.Sleep(time.Second)
-		peers.have(4, "4")
+		peers.setCopy(4, "4")
 		feed.set(func() { feed.err = errors.New("down") })
 		time.Sleep(5 * time.Second)
 		if value() != "9" {
@@ -60,11 +60,11 @@
 	})
 }
 
-func TestForgottenHistoryIsReadAnew(t *testing.T) {
-	following(t, func(feed *fakeFeed, _ *fakePeers, _ *Follower, value func() string) {
+func TestTableIsReadAgainWhenHistoryIsGone(t *testing.T) {
+	runFollower(t, func(feed *fakeFeed, _ *fakePeers, _ *Follower, value func() string) {
 		feed.set(func() {
 			feed.view = platform.TableView{Revision: 3, Rows: map[string][]byte{"a": []byte("3")}}
-			feed.forgot = true
+			feed.historyGone = true
 		})
 		time.Sleep(2 * time.Second)
 		if value() != "3" {
@@ -73,13 +73,13 @@
 	})
 }
 
-// A VM of a large fleet learns by its peers and asks the store nothing. When they fall
-// silent it turns to the store by itself.
-func TestFewFollowTheFeed(t *testing.T) {
+// A VM of a large fleet copies from its peers and does not call the store. When they stop
+// answering, it turns to the store.
+func TestVMWithoutFeedTurnsToStoreWhenPeersAreSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed, peers := newFakeFeed(), &fakePeers{}
-		peers.have(1, "1")
-		f, stop := learnByPeers(t, feed, peers)
+		peers.setCopy(1, "1")
+		f, stop := startPeerFollower(t, feed, peers)
 		defer stop()
 		time.Sleep(10 * time.Second)
 		feed.set(func() { feed.view = platform.TableView{Revision: 5, Rows: map[string][]byte{"a": []byte("store")}} })
@@ -90,9 +90,9 @@
 		peers.mu.Lock()
 		peers.ok = false
 		peers.mu.Unlock()
-		time.Sleep(peersStale + 2*time.Second)
+		time.Sleep(maxPeerCopyAge + 2*time.Second)
 		if value := string(f.View().Rows["a"]); value != "store" {
-			t.Errorf("value %q after the peers fell silent", value)
+			t.Errorf("value %q after the peers stopped answering", value)
 		}
 	})
 }
--- a/internal/follow/history.go
+++ b/internal/follow/history.go
@@ -6,24 +6,24 @@
 	"geraniumcroft/internal/platform"
 )
 
-// keptChanges is how many changes of a table are remembered for peers, about a minute's
-// on a busy day. A peer that is further behind gets the whole table.
-const keptChanges = 64
+// maxHistory is how many changes of a table are kept for peers, about those of a minute on a busy
+// day. A peer that is further behind gets the whole table.
+const maxHistory = 64
 
-// history remembers which rows changed lately, so that a peer is sent those alone. A
-// whole table of a hundred replicas is some 60 KB; 80 VMs that copy it each second from
-// a few others fill the 20 Mbit/s of a small machine's link.
+// history records which rows changed recently, so that a peer is sent only those. The whole table
+// of a hundred replicas is about 60 KB; 80 VMs that copy it from a few others each second fill the
+// 20 Mbit/s link of a small machine.
 type history struct {
-	changes []changed
+	changes []changedRows
 }
 
-// changed names the rows that changed from one revision to a later one.
-type changed struct {
+// changedRows holds the keys of the rows that changed between two revisions.
+type changedRows struct {
 	from, to uint64
 	keys     []string
 }
 
-// add notes the step from one view to the next.
+// add records the step from one view to the next.
 func (h *history) add(old, next platform.TableView) {
 	var keys []string
 	for key, value := range next.Rows {
@@ -36,14 +36,14 @@
 			keys = append(keys, key)
 		}
 	}
-	if len(h.changes) == keptChanges {
+	if len(h.changes) == maxHistory {
 		h.changes = h.changes[1:]
 	}
-	h.changes = append(h.changes, changed{from: old.Revision, to: next.Revision, keys: keys})
+	h.changes = append(h.changes, changedRows{from: old.Revision, to: next.Revision, keys: keys})
 }
 
-// since returns what a copy of a revision lacks of the view. It may hold rows that the
-// copy has already.
+// since returns what a copy of revision after lacks compared with the view. The change may contain
+// rows that the copy already has.
 func (h *history) since(view platform.TableView, after uint64) platform.TableChange {
 	if after >= view.Revision {
 		return platform.TableChange{Revision: view.Revision}
--- a/internal/follow/history_test.go
+++ b/internal/follow/history_test.go
@@ -10,8 +10,8 @@
 	"geraniumcroft/internal/platform"
 )
 
-// A peer asks from any earlier revision, and what it is sent makes its copy the same as
-// the sender's.
+// A peer asks for changes from any earlier revision. The change must make its copy equal to the
+// sender's.
 func TestChangesMakeCopiesEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h history
--- a/internal/follow/tries_test.go
+++ b/internal/follow/retry_test.go
@@ -12,64 +12,64 @@
 	"geraniumcroft/internal/platform"
 )
 
-// The store is away, so the peers hear nothing new either, and a whole large fleet turns
-// to it. The VMs that do not follow the feed ask it seldom, and have what is new within
-// two seconds of its return.
+// While the store is unavailable, the peers have nothing new either, and a whole large fleet turns
+// to the store. VMs that do not follow the feed must call it rarely, and still have a change
+// within two seconds of its return.
 func TestFleetAsksAStoreThatIsAwaySeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed, peers := newFakeFeed(), &fakePeers{}
-		peers.have(1, "1")
-		f, stop := learnByPeers(t, feed, peers)
+		peers.setCopy(1, "1")
+		f, stop := startPeerFollower(t, feed, peers)
 		defer stop()
 		time.Sleep(2 * time.Second)
 		feed.set(func() { feed.err = errors.New("down") })
 		peers.mu.Lock()
 		peers.age = time.Minute
 		peers.mu.Unlock()
-		time.Sleep(peersStale + time.Second)
-		asked := feed.readings()
+		time.Sleep(maxPeerCopyAge + time.Second)
+		asked := feed.readCount()
 		time.Sleep(20 * time.Second)
-		if n := feed.readings() - asked; n < 8 || n > 11 {
-			t.Errorf("%d questions to the store in 20 s", n)
+		if n := feed.readCount() - asked; n < 8 || n > 11 {
+			t.Errorf("%d calls to the store in 20 s", n)
 		}
 		feed.set(func() {
 			feed.err = nil
 			feed.view = platform.TableView{Revision: 5, Rows: map[string][]byte{"a": []byte("store")}}
 		})
-		time.Sleep(calmRetryPause + time.Second/2)
+		time.Sleep(peerRetryDelay + time.Second/2)
 		if value := string(f.View().Rows["a"]); value != "store" {
 			t.Errorf("value %q after the store's return", value)
 		}
 	})
 }
 
-// The store is away for 8 s and refuses every call. A VM's two tables are followed by calls of
-// their own; each asking by itself doubled what the store was asked. One asks for both, and
-// when the store is back both have its news at once.
+// The store is unavailable for 8 s and refuses every call. Each of a VM's two tables is followed
+// by its own calls; when each retried by itself, the load on the store doubled. One table must
+// retry for both, and both must have the store's changes as soon as it is back.
 func TestTablesOfAVMShareTheirTries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const outage = 8 * time.Second
 		feeds := []*fakeFeed{newFakeFeed(), newFakeFeed()}
-		tries := NewRetryGroup()
+		retries := NewRetryGroup()
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		var followers []*Follower
 		for _, feed := range feeds {
 			o := optionsOf(feed, &fakePeers{})
-			o.RetryGroup = tries
+			o.RetryGroup = retries
 			f := New(o)
 			followers = append(followers, f)
 			running.Go(func() { f.Run(ctx) })
 		}
 		time.Sleep(2 * time.Second)
-		asked := feeds[0].readings() + feeds[1].readings()
+		asked := feeds[0].readCount() + feeds[1].readCount()
 		for _, feed := range feeds {
 			feed.set(func() { feed.err = errors.New("down") })
 		}
 		time.Sleep(outage)
-		most := int(outage/retryPause) + int(outage/sharedTryMost) + 2
-		if n := feeds[0].readings() + feeds[1].readings() - asked; n > most {
-			t.Errorf("%d questions to the store in %s", n, outage)
+		most := int(outage/retryDelay) + int(outage/maxSharedWait) + 2
+		if n := feeds[0].readCount() + feeds[1].readCount() - asked; n > most {
+			t.Errorf("%d calls to the store in %s", n, outage)
 		}
 		for _, feed := range feeds {
 			feed.set(func() {
@@ -77,7 +77,7 @@
 				feed.view = platform.TableView{Revision: 5, Rows: map[string][]byte{"a": []byte("store")}}
 			})
 		}
-		time.Sleep(retryPause + 10*time.Millisecond)
+		time.Sleep(retryDelay + 10*time.Millisecond)
 		for i, f := range followers {
 			if value := string(f.View().Rows["a"]); value != "store" {
 				t.Errorf("table %d: value %q after the store's return", i, value)
@@ -88,17 +88,17 @@
 	})
 }
 
-// The table that asks for both is turned away for good, or its follower leaves off as it
-// learns by peers. The other one must not wait for it.
-func TestTableDoesNotWaitForOneThatLeftOff(t *testing.T) {
+// The table that retries for both keeps being rejected, or its follower stops retrying because it
+// copies from peers. The other table must not wait for it.
+func TestTableDoesNotWaitForStoppedLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bad, good := newFakeFeed(), newFakeFeed()
-		tries := NewRetryGroup()
+		retries := NewRetryGroup()
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		run := func(feed *fakeFeed) *Follower {
 			o := optionsOf(feed, &fakePeers{})
-			o.RetryGroup = tries
+			o.RetryGroup = retries
 			f := New(o)
 			running.Go(func() { f.Run(ctx) })
 			return f
@@ -110,7 +110,7 @@
 		f := run(good)
 		time.Sleep(time.Second)
 		good.set(func() { good.err = nil })
-		time.Sleep(sharedTryMost + retryPause)
+		time.Sleep(maxSharedWait + retryDelay)
 		if f.View() == nil {
 			t.Error("no copy, though the store answers for this table")
 		}
@@ -119,9 +119,10 @@
 	})
 }
 
-// All of a large fleet hear that the few that follow the feed get nothing from the store. They
-// leave it to those: each asks in its turn, which is the longer the more VMs there are, and not
-// all at the moment in which all copies turn old.
+// All VMs of a large fleet learn that the few VMs that follow the feed get no answer from the
+// store. They must leave the retries to those: each calls the store in its turn, the less often
+// the more VMs there are, and not all of them at the moment at which all copies reach the maximum
+// age.
 func TestVMsThatHearFollowersAskInTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
@@ -130,7 +131,7 @@
 			outage = 10 * time.Second
 		)
 		feed, peers := newFakeFeed(), &fakePeers{byFeed: true}
-		peers.have(1, "1")
+		peers.setCopy(1, "1")
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		for range vms {
@@ -144,11 +145,11 @@
 		peers.mu.Lock()
 		peers.age = time.Minute
 		peers.mu.Unlock()
-		asked := feed.called()
+		asked := feed.callCount()
 		time.Sleep(outage)
-		turn := fleet * turnPerVM
-		if n, most := feed.called()-asked, int(2*vms*outage/turn); n > most || n < vms/2 {
-			t.Errorf("%d VMs of %d asked %d times in %s, %d at most", vms, fleet, n, outage, most)
+		turn := fleet * retryDelayPerVM
+		if n, most := feed.callCount()-asked, int(2*vms*outage/turn); n > most || n < vms/2 {
+			t.Errorf("%d VMs of %d made %d calls in %s, %d at most", vms, fleet, n, outage, most)
 		}
 		cancel()
 		running.Wait()
--- a/internal/follow/settling.go
+++ b/internal/follow/settling.go
@@ -9,8 +9,8 @@
 	"geraniumcroft/internal/platform"
 )
 
-// note remembers whether the store answers this VM.
-func (f *Follower) note(err error) {
+// recordStoreResult records whether the store answers this VM. ErrHistoryGone counts as an answer.
+func (f *Follower) recordStoreResult(err error) {
 	down := err != nil && !errors.Is(err, platform.ErrHistoryGone)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -19,7 +19,7 @@
 			zap.Duration("copyAge", f.Age()), zap.Error(err))
 	}
 	if !down && f.storeDown {
-		f.regained = time.Now()
+		f.storeBackAt = time.Now()
 		f.Logger.Info("store regained", zap.String("table", f.Table), zap.Uint64("have", f.revision()))
 	}
 	f.storeDown = down
@@ -28,74 +28,74 @@
 	}
 }
 
-// lostStore reports whether the store did not answer this VM when it was last asked.
-func (f *Follower) lostStore() bool {
+// storeUnavailable reports whether the last call of this VM to the store failed.
+func (f *Follower) storeUnavailable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.storeDown
 }
 
-// forgetStore ends what this VM knows of the store itself, once it learns by peers: they
-// say whether the store is away.
-func (f *Follower) forgetStore() {
+// resetStoreState discards what this VM knows about the store's state, once it copies from peers:
+// their answers say whether the store is unavailable.
+func (f *Follower) resetStoreState() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.storeDown {
 		f.Logger.Info("table followed by peers", zap.String("table", f.Table))
 	}
-	f.storeDown, f.regained = false, time.Time{}
+	f.storeDown, f.storeBackAt = false, time.Time{}
 	f.RetryGroup.leave(f)
 }
 
-// peersSettle notes a peer's word that rows may come back for so long after it was asked. One that
-// does not say how long is asked again after a pause.
-func (f *Follower) peersSettle(asked time.Time, left time.Duration) {
+// recordPeerSettling records a peer's answer that rows may come back for the duration left after
+// askedAt. If the peer did not give a duration, the answer counts until peers are asked again.
+func (f *Follower) recordPeerSettling(askedAt time.Time, left time.Duration) {
 	if left <= 0 {
-		left = gossipPause
+		left = gossipInterval
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.peersSettled = asked.Add(left)
+	f.peersSettledAt = askedAt.Add(left)
 }
 
-// Settling reports whether rows that are missing may still come back after an outage
-// of the store, as this VM or a peer saw it.
+// Settling reports whether missing rows may still come back after an outage of the store that this
+// VM or a peer observed.
 func (f *Follower) Settling() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ownSettlingLeft() > 0 || f.peersSettlingLeft()+peersSettleRoom > 0
+	return f.ownSettlingLeft() > 0 || f.peersSettlingLeft()+peerSettlingMargin > 0
 }
 
-// ownSettlingLeft is for how long rows may still come back, as this VM saw the store. While the
-// store is away that is as long as after its return. The caller holds f.mu.
+// ownSettlingLeft returns for how long rows may still come back, going by this VM's own calls to
+// the store. During an outage that is the full settling time. The caller holds f.mu.
 func (f *Follower) ownSettlingLeft() time.Duration {
 	switch {
 	case f.storeDown:
-		return settleTime
-	case f.regained.IsZero():
+		return settlingTime
+	case f.storeBackAt.IsZero():
 		return 0
 	}
-	return max(0, settleTime-time.Since(f.regained))
+	return max(0, settlingTime-time.Since(f.storeBackAt))
 }
 
-// peersSettlingLeft is for how long a peer goes on settling; below 0 it has ended. The caller
-// holds f.mu.
+// peersSettlingLeft returns for how long peers are still settling; it is negative once they are
+// done. The caller holds f.mu.
 func (f *Follower) peersSettlingLeft() time.Duration {
-	if f.FollowsFeed() || f.peersSettled.IsZero() {
-		return -peersSettleRoom
+	if f.FollowsFeed() || f.peersSettledAt.IsZero() {
+		return -peerSettlingMargin
 	}
-	return time.Until(f.peersSettled)
+	return time.Until(f.peersSettledAt)
 }
 
-// tellsSettling returns for how long rows may come back, as peers are told; 0 if they may not. It
-// leaves out the room for this VM's own later news: passed on from VM to VM it would add up. A VM
-// that the store turns away, but that learns by peers, has what is in force: were it to say that
-// rows may come back, the others would go on with replicas that have left, 3 s after that was
-// known everywhere.
-func (f *Follower) tellsSettling() time.Duration {
+// reportedSettling returns for how long rows may come back, as reported to peers; 0 if they may
+// not. It does not include peerSettlingMargin, which would add up from VM to VM. A VM that the
+// store rejects but that copies from peers has the current table and reports 0. If it reported
+// that rows may come back, the others would go on using replicas that have left, 3 s after that
+// was known to all.
+func (f *Follower) reportedSettling() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.storeDown && f.Age() < peersStale {
+	if f.storeDown && f.Age() < maxPeerCopyAge {
 		return 0
 	}
 	return max(0, f.ownSettlingLeft(), f.peersSettlingLeft())
--- a/internal/follow/settling_test.go
+++ b/internal/follow/settling_test.go
@@ -8,12 +8,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The store goes out and entries lapse meanwhile. Until their writers have had the time
-// to write them again, what is missing may not be taken for gone.
+// Rows expire during an outage of the store. Until their writers have had the time to write them
+// again, a missing row must not be taken for deleted.
 func TestSettlingAfterAnOutage(t *testing.T) {
-	following(t, func(feed *fakeFeed, _ *fakePeers, f *Follower, _ func() string) {
+	runFollower(t, func(feed *fakeFeed, _ *fakePeers, f *Follower, _ func() string) {
 		if f.Settling() {
-			t.Error("settling in calm times")
+			t.Error("settling without an outage")
 		}
 		feed.set(func() { feed.err = errors.New("down") })
 		time.Sleep(time.Second)
@@ -21,7 +21,7 @@
 			t.Error("not settling during an outage")
 		}
 		feed.set(func() { feed.err = nil })
-		time.Sleep(settleTime - time.Second)
+		time.Sleep(settlingTime - time.Second)
 		if !f.Settling() {
 			t.Error("not settling right after the outage")
 		}
@@ -32,21 +32,21 @@
 	})
 }
 
-// A VM that learns by its peers lost the store before. Its own old outage must not count
-// on: what vanished would be kept for good. A peer that is settling counts.
+// A VM that copies from its peers lost the store earlier. Its own past outage must not count any
+// more, or missing rows would be kept for good. A peer that is settling does count.
 func TestSettlingOfAVMThatLearnsByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed, peers := newFakeFeed(), &fakePeers{}
 		feed.err = errors.New("down")
-		f, stop := learnByPeers(t, feed, peers)
+		f, stop := startPeerFollower(t, feed, peers)
 		defer stop()
 		time.Sleep(3 * time.Second)
-		peers.have(1, "1")
+		peers.setCopy(1, "1")
 		time.Sleep(2 * time.Second)
 		if f.Settling() {
-			t.Error("still settling, though it learns by its peers")
+			t.Error("still settling, though it copies from its peers")
 		}
-		peers.settle(true)
+		peers.setSettling(true)
 		time.Sleep(time.Second)
 		if !f.Settling() {
 			t.Error("not settling, though its peers are")
@@ -54,24 +54,24 @@
 	})
 }
 
-// The store turns this VM away and serves the others, from which it learns. It must not tell
-// peers that rows may come back: a replica that has left stayed among those that may, and
-// callers' requests reached it 3.2 s after all knew that it was gone. Once nobody hears from
-// the store it does tell, as rows run out unseen meanwhile.
+// The store rejects this VM and serves the others, from which it copies. It must not report to
+// peers that rows may come back: they kept using a replica that had left, and requests reached it
+// 3.2 s after all VMs knew that it was gone. Once no VM gets an answer from the store it does
+// report so, as rows expire unseen then.
 func TestTurnedAwayVMDoesNotSettleOthers(t *testing.T) {
-	following(t, func(feed *fakeFeed, peers *fakePeers, f *Follower, _ func() string) {
-		peers.have(1, "1")
+	runFollower(t, func(feed *fakeFeed, peers *fakePeers, f *Follower, _ func() string) {
+		peers.setCopy(1, "1")
 		feed.set(func() { feed.err = errors.New("turned away") })
 		time.Sleep(10 * time.Second)
 		if change, age, ok := f.Since(1); !ok || change.Settling {
-			t.Errorf("turned away: tells %+v, its copy is %s old", change, age)
+			t.Errorf("rejected by the store: reports %+v, its copy is %s old", change, age)
 		}
 		peers.mu.Lock()
 		peers.age = time.Minute
 		peers.mu.Unlock()
-		time.Sleep(2 * peersStale)
+		time.Sleep(2 * maxPeerCopyAge)
 		if change, age, ok := f.Since(1); !ok || !change.Settling {
-			t.Errorf("nobody hears from the store: tells %+v, its copy is %s old", change, age)
+			t.Errorf("no VM gets an answer from the store: reports %+v, its copy is %s old", change, age)
 		}
 	})
 }
