--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -28,7 +28,7 @@
 		return p.board.Since(after)
 	case quarantine.TableName:
 		return p.sharing.Since(after)
-	case p.Wiring.ReplicaTable:
+	case p.Adapter.ReplicaTable:
 		return p.view.replicas.Since(after)
 	}
 	return p.view.operator.Since(after)
@@ -41,9 +41,9 @@
 	case loads.TableName:
 		p.board.Take(change, age)
 	case quarantine.TableName:
-		p.sharing.Take(change, age)
+		p.sharing.Apply(change, age)
 	case pushbacksharing.TableName:
-		p.pushbackSharing.Take(change, age)
+		p.pushbackSharing.Apply(change, age)
 	}
 }
 
@@ -92,11 +92,11 @@
 	return fleet
 }
 
-func (p *Process) sharers(vms []census.VM) layers.Sharers {
-	s := layers.Sharers{DataCentre: p.Settings.VM.DataCentre, All: len(vms)}
+func (p *Process) sharers(vms []census.VM) layers.VMCounts {
+	s := layers.VMCounts{DataCentre: p.Settings.VM.DataCentre, Fleet: len(vms)}
 	for _, vm := range vms {
 		if vm.DataCentre == s.DataCentre {
-			s.Home++
+			s.Local++
 		}
 	}
 	return s
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -48,7 +48,7 @@
 // Options are what a Process is made from.
 type Options struct {
 	Settings *settings.Settings
-	Wiring   Wiring
+	Adapter  Adapter
 	Pool     *transport.Pool
 	Logger   *zap.Logger
 	// LogDropped returns how many lines of the log were lost.
@@ -68,7 +68,7 @@
 	view      *view
 	handler   *relay.Handler
 	pools     *relay.Pools
-	budgets   *relay.Budgets
+	budgets   *relay.RetryBudgets
 	balancer  *balance.Balancer
 	admission *admission.Controller
 	census    *census.Census
@@ -76,16 +76,16 @@
 	tries  *follow.RetryGroup
 	leases *lease.Manager
 	tenure *tenure
-	board  *loads.Board
-	keeper *loads.Keeper
+	board  *loads.Cache
+	keeper *loads.Collector
 	mirror *mirror.Server
 	peers  *mirror.Client
 	// quarantine knows requests that crash replicas, and sharing exchanges it with other VMs.
 	quarantine *quarantine.Ledger
-	sharing    *sharing.Sharing
+	sharing    *sharing.Syncer
 	// pushback keeps what replicas ask of those who send to them.
 	pushback        *pushback.Ledger
-	pushbackSharing *pushbacksharing.Sharing
+	pushbackSharing *pushbacksharing.Syncer
 
 	listeners struct{ callers, ready, metrics, peers net.Listener }
 	callers   *http.Server
@@ -104,7 +104,7 @@
 // New puts a process together and opens its listeners, so that their addresses are
 // known. Nothing runs until Start.
 func New(o Options) (*Process, error) {
-	o.Wiring = withoutPanics(o.Wiring)
+	o.Adapter = withoutPanics(o.Adapter)
 	p := &Process{Options: o, gate: &router.Gate{}, started: time.Now(), placed: map[string]bool{}}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	if err := p.listen(); err != nil {
--- a/internal/relay/stall_look.go
+++ b/internal/relay/stall_look.go
@@ -44,14 +44,14 @@
 	h := w.g.h
 	suspicion := h.watches.suspects(w)
 	asked, dialled := h.prober.ask(suspicion.Suspects)
-	stopped := addressesOf(stall.Stopped(asked, suspicion.Passed))
+	stopped := addressesOf(stall.StoppedStages(asked, suspicion.Passed))
 	if dialled > 0 || len(stopped) > 0 {
 		h.Logger.Info("stages asked", zap.String("requestId", w.g.q.RequestID), zap.Duration("stood", p.stood),
 			zap.Int("asked", dialled), zap.Int("known", len(asked)-dialled), zap.Int("passed", len(suspicion.Passed)), zap.Strings("stopped", stopped))
 	}
 	var gone []string
 	for _, a := range asked {
-		if a.Answer == stall.AnswerRefused {
+		if a.ProbeResult == stall.ProbeRefused {
 			gone = append(gone, a.Address)
 		}
 	}
@@ -98,7 +98,7 @@
 		w.elsewhere(p, first, "it has started again")
 		return askAgain
 	}
-	w.g.table.Pace(first, report.Pace)
+	w.g.table.SetPace(first, report.Pace)
 	for _, s := range report.Stalled {
 		if s.RequestID == w.g.q.RequestID {
 			return w.move(p, []string{s.Address})
