--- a/internal/mirror/client.go
+++ b/internal/mirror/client.go
@@ -12,56 +12,59 @@
 	"geraniumcroft/internal/platform"
 )
 
-// tried is how many peers are asked one after the other until one answers.
-const tried = 3
+// maxAttempts is how many peers FetchOne asks in turn.
+const maxAttempts = 3
 
-// Client asks peers. It is safe for concurrent use.
+// Client fetches copies from peers and offers copies to them. It is safe for concurrent use.
 type Client struct {
-	own    string
+	self   string
 	logger *zap.Logger
-	// asker asks a peer; tests put a network of their own in its place.
-	asker func(ctx context.Context, address string, q question) *answer
-	// OnNews is told the revision of what a peer tells beside tables whenever an answer carries
-	// one. It must not block, and is set before the first question.
+	// roundTrip sends a request to a peer. Tests replace it by a simulated network.
+	roundTrip func(ctx context.Context, address string, req fetchRequest) *fetchResponse
+	// OnNews is called with the peer's address and its News revision (see Server.News) when an
+	// answer carries one. It must not block, and must be set before the first request.
 	OnNews func(address string, revision uint64)
 
 	mu    sync.Mutex // guards the fields below
 	peers Peers
-	// silent says until when a peer that did not answer is asked only if no other is left.
-	silent map[string]time.Time
-	conns  map[string]*grpc.ClientConn
+	// silentUntil holds, for each peer that did not answer, until when it is asked only if no
+	// other peer is left.
+	silentUntil map[string]time.Time
+	conns       map[string]*grpc.ClientConn
 }
 
-// NewClient returns a client of a VM whose own address is never asked.
+// NewClient returns a client for the VM with the address own, which is never asked. The seeds are
+// asked until SetPeers is called.
 func NewClient(own string, seeds []string, logger *zap.Logger) *Client {
-	c := &Client{own: own, logger: logger, silent: map[string]time.Time{}, conns: map[string]*grpc.ClientConn{}}
-	c.asker = c.askPeer
+	c := &Client{self: own, logger: logger, silentUntil: map[string]time.Time{}, conns: map[string]*grpc.ClientConn{}}
+	c.roundTrip = c.callPeer
 	c.SetPeers(Peers{Fallback: seeds})
 	return c
 }
 
-// SetPeers replaces the addresses that are asked.
+// SetPeers replaces the peers that are asked.
 func (c *Client) SetPeers(peers Peers) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.peers = peers.withoutAny(map[string]time.Time{c.own: {}})
+	c.peers = peers.exclude(map[string]time.Time{c.self: {}})
 }
 
-// Fetch asks two peers for their revisions, one of them of another data centre if there is
-// one, as the store may turn the first one away. What the newer copy has beyond this VM's
-// is then fetched from the nearer peer that has it. It returns that with the time since the
-// copy was confirmed. Ok is false when no peer answered.
+// Fetch asks two peers for their revisions, one of them in another data centre if possible, since
+// the store may reject the first one. It then fetches from the peer with the newer copy, or from
+// the first peer if both are equally new, what that copy has beyond the revision after. It returns
+// the change and the time since that copy was confirmed to be current. ok is false if no peer
+// answered.
 func (c *Client) Fetch(ctx context.Context, table string, after uint64) (change platform.TableChange, age time.Duration, ok bool) {
-	peers := c.known()
+	peers := c.availablePeers()
 	order := peers.order()
 	if len(order) == 0 {
 		return change, 0, false
 	}
-	brief := question{Table: table, After: after, Brief: true}
+	brief := fetchRequest{Table: table, After: after, Brief: true}
 	second := peers.second(order[0])
-	answers := make(chan *answer, 1)
-	go func() { answers <- c.ask(ctx, second, brief) }()
-	newest, from := c.ask(ctx, order[0], brief), order[0]
+	answers := make(chan *fetchResponse, 1)
+	go func() { answers <- c.do(ctx, second, brief) }()
+	newest, from := c.do(ctx, order[0], brief), order[0]
 	other := <-answers
 	byFeed := newest != nil && newest.ByFeed || other != nil && other.ByFeed
 	switch {
@@ -69,42 +72,42 @@
 		return c.FetchOne(ctx, table, after)
 	case newest == nil || other != nil && other.Revision > newest.Revision:
 		newest, from = other, second
-	case other != nil && other.Revision == newest.Revision && other.saysMore(newest, after):
-		newest = other // the nearer one has the same copy
+	case other != nil && other.Revision == newest.Revision && other.fresherThan(newest, after):
+		newest = other // the first peer has the same copy
 	}
 	newest.ByFeed = byFeed
 	if newest.Revision <= after {
-		return c.opened(newest)
+		return c.unpackAnswer(newest)
 	}
-	whole := c.askEither(ctx, from, second, question{Table: table, After: after})
-	if whole != nil && whole.Revision == newest.Revision && newest.AgeMS < whole.AgeMS {
-		newest.UnchangedUpTo = max(whole.UnchangedUpTo, newest.UnchangedUpTo)
-		whole.standing = newest.standing
+	full := c.hedgedFetch(ctx, from, second, fetchRequest{Table: table, After: after})
+	if full != nil && full.Revision == newest.Revision && newest.AgeMS < full.AgeMS {
+		newest.UnchangedUpTo = max(full.UnchangedUpTo, newest.UnchangedUpTo)
+		full.copyStatus = newest.copyStatus
 	}
-	return c.opened(whole)
+	return c.unpackAnswer(full)
 }
 
-// FetchOne asks one peer after another until one answers. It is for copies that change all
-// the time, of which any recent one will do.
+// FetchOne asks one peer after another until one answers, up to maxAttempts. It is for copies that
+// change continuously, of which any recent one is good enough.
 func (c *Client) FetchOne(ctx context.Context, table string, after uint64) (change platform.TableChange, age time.Duration, ok bool) {
-	order := c.known().order()
-	for _, address := range order[:min(tried, len(order))] {
-		brief := c.ask(ctx, address, question{Table: table, After: after, Brief: true})
+	order := c.availablePeers().order()
+	for _, address := range order[:min(maxAttempts, len(order))] {
+		brief := c.do(ctx, address, fetchRequest{Table: table, After: after, Brief: true})
 		if brief == nil {
 			continue
 		}
 		if brief.Revision <= after {
-			return c.opened(brief) // there is nothing to fetch
+			return c.unpackAnswer(brief) // nothing to fetch
 		}
-		if a := c.ask(ctx, address, question{Table: table, After: after}); a != nil {
-			return c.opened(a)
+		if a := c.do(ctx, address, fetchRequest{Table: table, After: after}); a != nil {
+			return c.unpackAnswer(a)
 		}
 	}
 	return change, 0, false
 }
 
-// opened unpacks an answer, if there is one.
-func (c *Client) opened(a *answer) (platform.TableChange, time.Duration, bool) {
+// unpackAnswer converts an answer to a change and its age; ok is false if there is no answer.
+func (c *Client) unpackAnswer(a *fetchResponse) (platform.TableChange, time.Duration, bool) {
 	change := platform.TableChange{}
 	if a == nil {
 		return change, 0, false
@@ -112,7 +115,7 @@
 	if len(a.Change) > 0 {
 		unpacked, err := unpack(a.Change)
 		if err != nil {
-			c.logger.Warn("peer's answer not read", zap.Error(err))
+			c.logger.Warn("peer's answer not decoded", zap.Error(err))
 			return change, 0, false
 		}
 		change = unpacked
@@ -123,43 +126,43 @@
 	return change, time.Duration(a.AgeMS) * time.Millisecond, true
 }
 
-// FetchFrom asks one peer for what it has beyond a revision.
+// FetchFrom asks one peer for what its copy has beyond the revision after.
 func (c *Client) FetchFrom(ctx context.Context, address, table string, after uint64) (change platform.TableChange, age time.Duration, ok bool) {
-	return c.opened(c.ask(ctx, address, question{Table: table, After: after}))
+	return c.unpackAnswer(c.do(ctx, address, fetchRequest{Table: table, After: after}))
 }
 
-// Offer hands a copy to one follower of each data centre, from which the others learn it.
-// A VM that makes something need not be one of those that are asked.
+// Offer sends a copy to one follower of each data centre, from which the other VMs fetch it. This
+// VM need not be one that the others ask.
 func (c *Client) Offer(ctx context.Context, table string, change platform.TableChange, age time.Duration) {
-	c.offer(ctx, c.known().onePerDataCentre(), table, change, age)
+	c.offer(ctx, c.availablePeers().onePerDataCentre(), table, change, age)
 }
 
-// OfferAll hands a change to all followers, and to all other VMs of a fleet that has few. It
-// returns how many took it.
+// OfferAll sends a change to all followers, and in a small fleet to all VMs. It returns how many
+// accepted it.
 func (c *Client) OfferAll(ctx context.Context, table string, change platform.TableChange, age time.Duration) int {
-	return c.offer(ctx, c.known().offeredAll(), table, change, age)
+	return c.offer(ctx, c.availablePeers().offerTargets(), table, change, age)
 }
 
 func (c *Client) offer(ctx context.Context, addresses []string, table string, change platform.TableChange, age time.Duration) int {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	packed, err := pack(change)
 	if err != nil {
-		c.logger.Error("copy not offered", zap.String("table", table), zap.Error(err))
+		c.logger.Error("offer not packed", zap.String("table", table), zap.Error(err))
 		return 0
 	}
-	o := offered{Table: table, answer: answer{Revision: change.Revision, standing: standing{AgeMS: age.Milliseconds()}, Change: packed}}
-	var offering sync.WaitGroup
-	var taken atomic.Int32
+	o := offerRequest{Table: table, fetchResponse: fetchResponse{Revision: change.Revision, copyStatus: copyStatus{AgeMS: age.Milliseconds()}, Change: packed}}
+	var wg sync.WaitGroup
+	var accepted atomic.Int32
 	for _, address := range addresses {
-		offering.Go(func() {
+		wg.Go(func() {
 			if _, err := c.invoke(ctx, address, offerMethod, o); err != nil {
-				c.logger.Debug("copy not taken", zap.String("table", table), zap.String("peer", address), zap.Error(err))
+				c.logger.Debug("offer not accepted", zap.String("table", table), zap.String("peer", address), zap.Error(err))
 				return
 			}
-			taken.Add(1)
+			accepted.Add(1)
 		})
 	}
-	offering.Wait()
-	return int(taken.Load())
+	wg.Wait()
+	return int(accepted.Load())
 }
--- a/internal/mirror/conns.go
+++ b/internal/mirror/conns.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	// maxRetryDelay bounds the pause before a peer that was away is dialled again.
-	maxRetryDelay = time.Second
-	// idleTimeout closes connections to peers that are not asked any more.
+	// maxRedialDelay bounds the delay before an unreachable peer is dialled again.
+	maxRedialDelay = time.Second
+	// idleTimeout is when the connection to a peer that is no longer asked is closed.
 	idleTimeout = 30 * time.Second
-	// maxMessage bounds an answer; the store itself holds no more in a table's answer.
-	maxMessage = 8 << 20
+	// maxMessageBytes bounds an answer; the store itself returns no more for a table.
+	maxMessageBytes = 8 << 20
 )
 
-// invoke calls a peer's method. An error of code NotFound is the peer's own answer; any other
-// means that it was not heard.
+// invoke calls a method of a peer. An error with code NotFound is the peer's own answer; with any
+// other error the peer counts as not having answered.
 func (c *Client) invoke(ctx context.Context, address, method string, request any) (*wrapperspb.BytesValue, error) {
 	conn, err := c.conn(address)
 	if err != nil {
-		c.logger.Warn("peer not dialled", zap.String("peer", address), zap.Error(err))
+		c.logger.Warn("connection to peer not created", zap.String("peer", address), zap.Error(err))
 		return nil, err
 	}
 	body, err := json.Marshal(request)
 	if err != nil {
-		c.logger.Error("call of a peer not encoded", zap.Error(err))
+		c.logger.Error("request to peer not encoded", zap.Error(err))
 		return nil, err
 	}
 	reply := &wrapperspb.BytesValue{}
 	if err := conn.Invoke(ctx, method, wrapperspb.Bytes(body), reply); err != nil {
-		c.logger.Debug("peer not heard", zap.String("peer", address), zap.Error(err))
+		c.logger.Debug("request to peer failed", zap.String("peer", address), zap.Error(err))
 		if status.Code(err) != codes.NotFound {
-			c.drop(address, conn)
+			c.dropConn(address, conn)
 		}
 		return nil, err
 	}
@@ -53,22 +53,22 @@
 	if conn := c.conns[address]; conn != nil {
 		return conn, nil
 	}
-	delays := backoff.DefaultConfig
-	delays.MaxDelay = maxRetryDelay
+	backoffConfig := backoff.DefaultConfig
+	backoffConfig.MaxDelay = maxRedialDelay
 	conn, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithConnectParams(grpc.ConnectParams{Backoff: delays, MinConnectTimeout: maxRetryDelay}),
+		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoffConfig, MinConnectTimeout: maxRedialDelay}),
 		grpc.WithIdleTimeout(idleTimeout),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)))
 	if err == nil {
 		c.conns[address] = conn
 	}
 	return conn, err
 }
 
-// drop closes a connection that did not bring an answer, since it may have gone silent
-// while a new one works.
-func (c *Client) drop(address string, conn *grpc.ClientConn) {
+// dropConn closes a connection on which a request failed: it may have gone silent while a new one
+// would work.
+func (c *Client) dropConn(address string, conn *grpc.ClientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conns[address] == conn {
@@ -79,7 +79,7 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/mirror/doc.go
+++ b/internal/mirror/doc.go
@@ -1,13 +1,16 @@
 // Package mirror lets VMs read each other's copies of the platform's tables.
 //
-// It serves VMs that leave the feed to others, and those that the store does not answer:
-// the store may be down, or turn this VM away while it serves the others. Two peers are asked
-// for the revisions of their copies; what the newer one has beyond this VM's is fetched,
-// packed, from the nearer that has it. Whoever asks keeps the newer copy. The messages are
-// the well-known wrapper types around JSON, so nothing has to be generated.
+// It serves VMs that do not follow the store's feed themselves, and those that the store does not
+// answer: the store may be down, or may reject this VM while it serves the others. Two peers are
+// asked for the revisions of their copies. What the newer copy has beyond this VM's copy is then
+// fetched, compressed, from the peer that has it, the nearer one if both do. Replacing the copy by
+// the newer one is up to the caller. The messages are well-known wrapper types around JSON, so
+// that no code has to be generated.
 //
-// What fails. A peer that does not answer is passed over for a while, unless all were
-// silent. One that the store turns away has an older copy, which the other's revision
-// shows. A large copy may take longer than a question for a revision, so each has a time
-// limit of its own.
+// A follower is a VM that follows the store's feed; package follow calls such a peer a feed peer.
+//
+// Failures: a peer that does not answer is skipped for a while, unless no peer has answered. A
+// peer that the store rejects has an older copy, which the revision of the other peer shows. A
+// large copy may take longer than a request for a revision, so each kind of request has its own
+// timeout.
 package mirror
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -13,27 +13,27 @@
 	"geraniumcroft/internal/platform"
 )
 
-// shelf is a VM's copy of one table, served to peers.
-type shelf struct {
+// tableCopy is a VM's copy of one table, served to peers.
+type tableCopy struct {
 	mu     sync.Mutex // guards the fields below
 	change platform.TableChange
 	age    time.Duration
 }
 
-func (s *shelf) since(string, uint64) (platform.TableChange, time.Duration, bool) {
+func (s *tableCopy) since(string, uint64) (platform.TableChange, time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.change, s.age, s.change.Whole
 }
 
-func (s *shelf) take(_ string, change platform.TableChange, age time.Duration) {
+func (s *tableCopy) take(_ string, change platform.TableChange, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.change, s.age = change, age
 }
 
-// serve starts a VM's server and returns its address.
-func serve(t *testing.T, s *shelf) string {
+// serve starts the server of a VM and returns its address.
+func serve(t *testing.T, s *tableCopy) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,10 +53,10 @@
 	return lis.Addr().String()
 }
 
-// What one VM offers to a preferred peer, another one gets by asking that peer, with its
-// age. A peer that has nothing to give does not answer, and another one is asked.
+// A copy that one VM offers to a follower must be available, with its age, to a VM that asks this
+// follower. A peer that has no copy returns nothing, and another one is asked.
 func TestOfferedCopyIsFetched(t *testing.T) {
-	empty, kept := &shelf{}, &shelf{}
+	empty, kept := &tableCopy{}, &tableCopy{}
 	emptyAt, keptAt := serve(t, empty), serve(t, kept)
 
 	maker := NewClient("", nil, zap.NewNop())
@@ -74,8 +74,8 @@
 	}
 }
 
-// offer offers until the peer has it: a busy machine may let one round time out.
-func offer(t *testing.T, c *Client, at *shelf, change platform.TableChange) {
+// offer repeats the offer until the peer has it: on a busy machine an attempt may time out.
+func offer(t *testing.T, c *Client, at *tableCopy, change platform.TableChange) {
 	t.Helper()
 	for range 100 {
 		c.Offer(context.Background(), "loads", change, time.Second)
@@ -83,7 +83,7 @@
 			return
 		}
 	}
-	t.Fatal("the peer never got what was offered")
+	t.Fatal("the peer did not receive the offer")
 }
 
 func fetch(t *testing.T, c *Client) (platform.TableChange, time.Duration, bool) {
@@ -97,22 +97,22 @@
 	return platform.TableChange{}, 0, false
 }
 
-// A peer is dead and still listed. It is asked once; for a while the others are asked in its
-// place, so that it does not cost each question its time limit.
+// A peer is dead and still listed. It must be asked once and then be skipped for a while, so that
+// it does not cost each request its timeout.
 func TestSilentPeerIsPassedOver(t *testing.T) {
-	kept := &shelf{change: platform.TableChange{Revision: 3, Whole: true, Written: map[string][]byte{"all": []byte("loads")}}}
+	kept := &tableCopy{change: platform.TableChange{Revision: 3, Whole: true, Written: map[string][]byte{"all": []byte("loads")}}}
 	keptAt := serve(t, kept)
 	asked := map[string]int{}
 	c := NewClient("", nil, zap.NewNop())
 	defer c.Close()
 	c.SetPeers(Peers{LocalFollowers: []string{"dead"}, Fallback: []string{keptAt}})
-	askPeer := c.asker
-	c.asker = func(ctx context.Context, address string, q question) *answer {
+	callPeer := c.roundTrip
+	c.roundTrip = func(ctx context.Context, address string, req fetchRequest) *fetchResponse {
 		asked[address]++
 		if address == "dead" {
 			return nil
 		}
-		return askPeer(ctx, address, q)
+		return callPeer(ctx, address, req)
 	}
 	for range 5 {
 		if _, _, ok := c.FetchOne(context.Background(), "loads", 0); !ok {
@@ -124,17 +124,17 @@
 	}
 }
 
-// The store turns one of two peers away, which therefore says that rows may be missing for a
-// moment; the other is served and says they are not. A VM that asks both must believe the
-// one whose copy is fresher: otherwise it keeps a replica that has left among those that may
-// come back, and callers' requests reach it seconds later than they may.
+// The store rejects one of two peers, which therefore reports that rows may come back; it serves
+// the other peer, which reports that they may not. A VM that asks both must use the status of the
+// more recently confirmed copy. Otherwise it keeps using a replica that has left, and requests
+// reach it seconds after they may.
 func TestFresherPeerSaysWhetherRowsMayComeBack(t *testing.T) {
-	turnedAway := &shelf{change: platform.TableChange{Revision: 5, Whole: true, Settling: true}, age: 3 * time.Second}
-	served := &shelf{change: platform.TableChange{Revision: 5, Whole: true}, age: time.Second / 2}
-	turnedAwayAt, servedAt := serve(t, turnedAway), serve(t, served)
+	rejected := &tableCopy{change: platform.TableChange{Revision: 5, Whole: true, Settling: true}, age: 3 * time.Second}
+	served := &tableCopy{change: platform.TableChange{Revision: 5, Whole: true}, age: time.Second / 2}
+	rejectedAt, servedAt := serve(t, rejected), serve(t, served)
 	for name, peers := range map[string]Peers{
-		"the near one is turned away": {LocalFollowers: []string{turnedAwayAt}, RemoteFollowers: [][]string{{servedAt}}},
-		"the far one is turned away":  {LocalFollowers: []string{servedAt}, RemoteFollowers: [][]string{{turnedAwayAt}}},
+		"the local peer is rejected":  {LocalFollowers: []string{rejectedAt}, RemoteFollowers: [][]string{{servedAt}}},
+		"the remote peer is rejected": {LocalFollowers: []string{servedAt}, RemoteFollowers: [][]string{{rejectedAt}}},
 	} {
 		for after, what := range map[uint64]string{4: "news", 5: "no news"} {
 			c := NewClient("", nil, zap.NewNop())
@@ -142,7 +142,7 @@
 			for range 100 {
 				change, age, ok := c.Fetch(context.Background(), "servers", after)
 				if !ok || age >= 3*time.Second {
-					continue // a busy machine let a question time out
+					continue // a request timed out on a busy machine
 				}
 				if change.Settling {
 					t.Errorf("%s, %s: settling, at an age of %s", name, what, age)
@@ -154,46 +154,46 @@
 	}
 }
 
-// This VM was cut off, and each of its few peers was silent. When the cut ends it must hear
-// from them with its next question, not after the time for which silent peers are passed over.
+// This VM was cut off, and none of its few peers answered. Afterwards it must reach them with its
+// next request, and not only after the time for which silent peers are skipped.
 func TestAllPeersSilentAreAskedAgain(t *testing.T) {
-	kept := &shelf{change: platform.TableChange{Revision: 3, Whole: true, Written: map[string][]byte{"all": []byte("loads")}}}
+	kept := &tableCopy{change: platform.TableChange{Revision: 3, Whole: true, Written: map[string][]byte{"all": []byte("loads")}}}
 	keptAt := serve(t, kept)
 	c := NewClient("", nil, zap.NewNop())
 	defer c.Close()
 	c.SetPeers(Peers{LocalFollowers: []string{keptAt}, RemoteFollowers: [][]string{{"dead"}}})
-	askPeer := c.asker
-	c.asker = func(context.Context, string, question) *answer { return nil }
+	callPeer := c.roundTrip
+	c.roundTrip = func(context.Context, string, fetchRequest) *fetchResponse { return nil }
 	for range 3 {
 		if _, _, ok := c.Fetch(context.Background(), "loads", 0); ok {
 			t.Fatal("an answer while cut off")
 		}
 	}
-	c.asker = func(ctx context.Context, address string, q question) *answer {
+	c.roundTrip = func(ctx context.Context, address string, req fetchRequest) *fetchResponse {
 		if address == "dead" {
 			return nil
 		}
-		return askPeer(ctx, address, q)
+		return callPeer(ctx, address, req)
 	}
 	if change, _, _ := fetch(t, c); change.Revision != 3 {
 		t.Errorf("%+v", change)
 	}
 }
 
-// A VM learns from a peer that there is news, and the peer stops before it has handed it
-// over. The change is here as soon as another peer was asked, half a second later: waiting
-// for the first one's time limit, callers were refused by the older configuration for 2 s.
+// A VM learns from a peer that there is a change, and the peer stops before it has sent it. The VM
+// must have the change as soon as another peer has been asked, half a second later. When it waited
+// for the timeout of the first peer, requests were refused by the older configuration for 2 s.
 func TestPeerThatStopsBetweenTwoQuestions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClient("", nil, zap.NewNop())
 		c.SetPeers(Peers{LocalFollowers: []string{"stops"}, RemoteFollowers: [][]string{{"lives"}}})
-		c.asker = func(ctx context.Context, address string, q question) *answer {
-			if !q.Brief && address == "stops" {
+		c.roundTrip = func(ctx context.Context, address string, req fetchRequest) *fetchResponse {
+			if !req.Brief && address == "stops" {
 				<-ctx.Done()
 				return nil
 			}
-			a := &answer{Revision: 7}
-			if address == "lives" && q.Brief {
+			a := &fetchResponse{Revision: 7}
+			if address == "lives" && req.Brief {
 				a.Revision = 6 // so that the one that stops is asked first
 			}
 			return a
@@ -203,50 +203,50 @@
 		if !ok || change.Revision != 7 {
 			t.Errorf("%+v, %t", change, ok)
 		}
-		if took := time.Since(began); took != secondAfter {
+		if took := time.Since(began); took != hedgeDelay {
 			t.Errorf("it took %s", took)
 		}
 	})
 }
 
-// A question that its asker gave up says nothing about the peer, which must not be passed
-// over for it: the asker would go without its news for ten seconds.
-func TestPeerThatWasNotWaitedForIsNotSilent(t *testing.T) {
+// A request that the caller has cancelled says nothing about the peer. The peer must not be
+// skipped for it, or the caller would have no updates for ten seconds.
+func TestPeerOfCancelledRequestIsNotSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClient("", nil, zap.NewNop())
 		c.SetPeers(Peers{LocalFollowers: []string{"slow"}, RemoteFollowers: [][]string{{"other"}}})
-		c.asker = func(ctx context.Context, _ string, _ question) *answer {
+		c.roundTrip = func(ctx context.Context, _ string, _ fetchRequest) *fetchResponse {
 			<-ctx.Done()
 			return nil
 		}
-		ctx, cancel := context.WithTimeout(t.Context(), askTimeout/2)
+		ctx, cancel := context.WithTimeout(t.Context(), requestTimeout/2)
 		defer cancel()
 		c.Fetch(ctx, "op", 5)
 		synctest.Wait()
-		if known := c.known().order(); len(known) != 2 || len(c.silent) != 0 {
-			t.Errorf("asked next: %v, silent: %v", known, c.silent)
+		if known := c.availablePeers().order(); len(known) != 2 || len(c.silentUntil) != 0 {
+			t.Errorf("asked next: %v, silent: %v", known, c.silentUntil)
 		}
 	})
 }
 
-// All power is lost and all VMs start together. For the first seconds nobody has a board of
-// loads, and VMs that ask for one are told so. When the placement has a holder again, its board
-// must reach the others at once: for 10 s it was offered to nobody and asked of nobody, as all
-// followers that had had none passed for silent, so that VMs knew no load and no dead replica,
-// and after 8 s all of them read the lease. Evidence: 195 VMs started within 0.2 s, one had the
-// lease 4.5 s later and its first board a second after that; 10 s after the start no other VM
-// had a board.
+// The whole fleet starts together after a power loss. For the first seconds no VM has a load
+// board, and VMs that ask for one are told so. Once the placement has a holder again, its board
+// must reach the others at once. When followers without a board counted as silent, the board was
+// neither offered to nor requested from any of them for 10 s: VMs knew no load and no dead
+// replica, and after 8 s all of them read the lease. With 195 VMs started within 0.2 s, one had
+// the lease after 4.5 s and its first board a second later; 10 s after the start no other VM had a
+// board.
 func TestPeerWithoutACopyIsNotSilent(t *testing.T) {
-	near, far, maker := &shelf{}, &shelf{}, NewClient("", nil, zap.NewNop())
+	near, far, maker := &tableCopy{}, &tableCopy{}, NewClient("", nil, zap.NewNop())
 	defer maker.Close()
 	nearAt, farAt := serve(t, near), serve(t, far)
-	maker.SetPeers(Peers{LocalFollowers: []string{nearAt}, RemoteFollowers: [][]string{{farAt}}, Fallback: []string{serve(t, &shelf{}), "127.0.0.1:1"}})
+	maker.SetPeers(Peers{LocalFollowers: []string{nearAt}, RemoteFollowers: [][]string{{farAt}}, Fallback: []string{serve(t, &tableCopy{}), "127.0.0.1:1"}})
 	asking := NewClient("", nil, zap.NewNop())
 	defer asking.Close()
-	asking.SetPeers(Peers{LocalFollowers: []string{nearAt}, Fallback: []string{serve(t, &shelf{}), serve(t, &shelf{}), "127.0.0.1:1"}})
+	asking.SetPeers(Peers{LocalFollowers: []string{nearAt}, Fallback: []string{serve(t, &tableCopy{}), serve(t, &tableCopy{}), "127.0.0.1:1"}})
 	for _, c := range []*Client{maker, asking} {
 		if _, _, ok := c.FetchOne(t.Context(), "loads", 0); ok {
-			t.Fatal("there is a copy before anybody made one")
+			t.Fatal("there is a copy before one was offered")
 		}
 	}
 	board := platform.TableChange{Revision: 9, Whole: true, Written: map[string][]byte{"all": []byte("loads")}}
--- a/internal/mirror/pack.go
+++ b/internal/mirror/pack.go
@@ -11,13 +11,13 @@
 	"geraniumcroft/internal/platform"
 )
 
-// maxChange bounds a change once it is unpacked; the store itself holds no more in a
-// table's answer.
-const maxChange = 32 << 20
+// maxChangeBytes bounds a change after decompression; the store itself returns no more for a
+// table.
+const maxChangeBytes = 32 << 20
 
-// pack encodes a change for peers. It is compressed: a configuration of 1,770 profiles is
-// half a megabyte, a twelfth of that packed, and 80 VMs that fetched it from eight others
-// over links of 20 Mbit/s had it up to 5 s after it was accepted.
+// pack encodes and compresses a change for peers. A configuration of 1,770 profiles is half a
+// megabyte, and a twelfth of that compressed; uncompressed, 80 VMs that fetched it from eight
+// others over 20 Mbit/s links had it up to 5 s after it was accepted.
 func pack(change platform.TableChange) ([]byte, error) {
 	var packed bytes.Buffer
 	w, err := gzip.NewWriterLevel(&packed, gzip.BestSpeed)
@@ -33,13 +33,13 @@
 	return packed.Bytes(), nil
 }
 
-// unpack is the reverse of pack.
+// unpack decodes what pack encoded.
 func unpack(packed []byte) (platform.TableChange, error) {
 	var change platform.TableChange
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return change, errors.Wrap(err, "change not unpacked")
 	}
-	err = json.NewDecoder(io.LimitReader(r, maxChange)).Decode(&change)
+	err = json.NewDecoder(io.LimitReader(r, maxChangeBytes)).Decode(&change)
 	return change, errors.Wrap(err, "change not unpacked")
 }
--- a/internal/mirror/panic_test.go
+++ b/internal/mirror/panic_test.go
@@ -14,7 +14,7 @@
 	"geraniumcroft/internal/platform"
 )
 
-// Guards against a peer's message that ends each VM which it is sent to.
+// Guards against a peer's message that crashes each VM to which it is sent.
 func TestHandlerThatPanicsFails(t *testing.T) {
 	s := NewServer(func(string, uint64) (platform.TableChange, time.Duration, bool) { panic("a table") }, nil, zap.NewNop())
 	defer s.Stop()
--- a/internal/mirror/peers.go
+++ b/internal/mirror/peers.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// Peers are the addresses, IP:port, that a VM may ask.
+// Peers holds the addresses, IP:port, of the peers that a VM may ask.
 type Peers struct {
-	// LocalFollowers are the VMs of its own data centre that follow the store. They are asked first:
-	// links between data centres are few and shared.
+	// LocalFollowers are the VMs of the VM's own data centre that follow the store's feed. They
+	// are asked first, because links between data centres are few and shared.
 	LocalFollowers []string
-	// RemoteFollowers are those of each other data centre.
+	// RemoteFollowers are the VMs that follow the feed in the other data centres, one list for
+	// each.
 	RemoteFollowers [][]string
-	// Fallback are asked where none of those answers.
+	// Fallback lists the peers that are asked if no follower answers.
 	Fallback []string
 }
 
-// withoutAny returns the peers but those at some addresses.
-func (p Peers) withoutAny(addresses map[string]time.Time) Peers {
-	rest := Peers{LocalFollowers: withoutThese(p.LocalFollowers, addresses), Fallback: withoutThese(p.Fallback, addresses)}
+// exclude returns the peers without the given addresses.
+func (p Peers) exclude(addresses map[string]time.Time) Peers {
+	remaining := Peers{LocalFollowers: excluding(p.LocalFollowers, addresses), Fallback: excluding(p.Fallback, addresses)}
 	for _, far := range p.RemoteFollowers {
-		rest.RemoteFollowers = append(rest.RemoteFollowers, withoutThese(far, addresses))
+		remaining.RemoteFollowers = append(remaining.RemoteFollowers, excluding(far, addresses))
 	}
-	return rest
+	return remaining
 }
 
-func withoutThese(from []string, addresses map[string]time.Time) []string {
+func excluding(from []string, addresses map[string]time.Time) []string {
 	return slices.DeleteFunc(slices.Clone(from), func(address string) bool {
-		_, is := addresses[address]
-		return is
+		_, found := addresses[address]
+		return found
 	})
 }
 
-// order lists whom to ask: a near one at random, a far one, then others. Each is there
-// once.
+// order returns all peers once, in the order in which they are asked: local followers, remote
+// ones, the fallback, each group in random order.
 func (p Peers) order() []string {
 	var order []string
-	for _, some := range [][]string{shuffled(p.LocalFollowers), shuffled(slices.Concat(p.RemoteFollowers...)), shuffled(p.Fallback)} {
-		for _, address := range some {
+	for _, group := range [][]string{shuffled(p.LocalFollowers), shuffled(slices.Concat(p.RemoteFollowers...)), shuffled(p.Fallback)} {
+		for _, address := range group {
 			if !slices.Contains(order, address) {
 				order = append(order, address)
 			}
@@ -47,36 +48,36 @@
 	return order
 }
 
-// second returns one more peer beside the first, of another data centre if there is one,
-// "" if there is none.
+// second returns a random peer other than first, in another data centre if possible. It returns ""
+// if there is none.
 func (p Peers) second(first string) string {
-	for _, some := range [][]string{shuffled(slices.Concat(p.RemoteFollowers...)), shuffled(p.LocalFollowers), shuffled(p.Fallback)} {
-		if rest := withoutThese(some, map[string]time.Time{first: {}}); len(rest) > 0 {
-			return rest[0]
+	for _, group := range [][]string{shuffled(slices.Concat(p.RemoteFollowers...)), shuffled(p.LocalFollowers), shuffled(p.Fallback)} {
+		if remaining := excluding(group, map[string]time.Time{first: {}}); len(remaining) > 0 {
+			return remaining[0]
 		}
 	}
 	return ""
 }
 
-// onePerDataCentre returns one follower of each data centre.
+// onePerDataCentre returns one random follower of each data centre.
 func (p Peers) onePerDataCentre() []string {
-	var some []string
+	var chosen []string
 	for _, group := range append([][]string{p.LocalFollowers}, p.RemoteFollowers...) {
 		if len(group) > 0 {
-			some = append(some, group[rand.IntN(len(group))])
+			chosen = append(chosen, group[rand.IntN(len(group))])
 		}
 	}
-	return some
+	return chosen
 }
 
-// fewPeers is up to how many VMs a change is offered to all of them.
-const fewPeers = 16
+// smallFleet is the largest number of peers at which a change is offered to all of them.
+const smallFleet = 16
 
-// offeredAll returns whom a change is offered to that is to be known everywhere at once: all VMs
-// where there are few, else the followers, which the others ask each second.
-func (p Peers) offeredAll() []string {
+// offerTargets returns the peers to which an urgent change is offered: all of them in a small
+// fleet, otherwise the followers, which the other VMs ask every second.
+func (p Peers) offerTargets() []string {
 	all := p.order()
-	if len(all) <= fewPeers {
+	if len(all) <= smallFleet {
 		return all
 	}
 	return slices.Concat(append([][]string{p.LocalFollowers}, p.RemoteFollowers...)...)
--- a/internal/mirror/server.go
+++ b/internal/mirror/server.go
@@ -15,49 +15,50 @@
 	"geraniumcroft/internal/platform"
 )
 
-// ChangeSource returns what a copy of a table at a revision lacks of this VM's, with the time
-// since this VM's was confirmed to be the newest. Ok is false if this VM has none.
+// ChangeSource returns what a copy of the table at revision after lacks compared with this VM's
+// copy, and the time since this VM's copy was confirmed to be current. ok is false if this VM has
+// no copy.
 type ChangeSource func(table string, after uint64) (change platform.TableChange, age time.Duration, ok bool)
 
-// OfferHandler is given what a peer offers of a table, with the time since the peer's copy was
-// confirmed to be the newest. What is older than this VM's copy is to be passed over.
+// OfferHandler receives a peer's offer of a table, with the time since the peer's copy was
+// confirmed to be current. It has to ignore an offer that is older than this VM's copy.
 type OfferHandler func(table string, change platform.TableChange, age time.Duration)
 
-// Server gives this VM's copies to peers and takes what they offer.
+// Server serves this VM's copies to peers and receives their offers.
 type Server struct {
-	since  ChangeSource
-	take   OfferHandler
-	packed *packedChanges
-	logger *zap.Logger
-	grpc   *grpc.Server
-	// News returns the revision of what this VM tells beside tables, which its answers carry; nil
-	// stands for 0. It is set before Serve.
+	changesSince ChangeSource
+	onOffer      OfferHandler
+	packed       *packCache
+	logger       *zap.Logger
+	grpc         *grpc.Server
+	// News returns the revision of the state that this VM shares outside of the tables, which its
+	// answers carry; nil stands for revision 0. It must be set before Serve is called.
 	News func() uint64
 }
 
-// NewServer returns a server; Serve makes it answer.
+// NewServer returns a Server. It answers once Serve is called.
 func NewServer(since ChangeSource, take OfferHandler, logger *zap.Logger) *Server {
-	s := &Server{since: since, take: take, packed: newPackedChanges(), logger: logger, grpc: grpc.NewServer()}
+	s := &Server{changesSince: since, onOffer: take, packed: newPackCache(), logger: logger, grpc: grpc.NewServer()}
 	s.grpc.RegisterService(&serviceDesc, s)
 	return s
 }
 
-// Serve answers peers until Stop.
+// Serve answers peers on lis until Stop is called.
 func (s *Server) Serve(lis net.Listener) error { return s.grpc.Serve(lis) }
 
-// Stop ends all connections.
+// Stop closes all connections and ends Serve.
 func (s *Server) Stop() { s.grpc.Stop() }
 
-func (s *Server) panicked(value any, stack []byte) {
+func (s *Server) logPanic(value any, stack []byte) {
 	s.logger.Error("answer to a peer panicked", zap.Any("panic", value), zap.ByteString("stack", stack))
 }
 
 func (s *Server) fetch(_ context.Context, request *wrapperspb.BytesValue) (*wrapperspb.BytesValue, error) {
-	var q question
-	if err := json.Unmarshal(request.GetValue(), &q); err != nil {
+	var req fetchRequest
+	if err := json.Unmarshal(request.GetValue(), &req); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	answer, err := s.answer(q)
+	answer, err := s.respond(req)
 	if err != nil {
 		return nil, err
 	}
@@ -68,22 +69,22 @@
 	return wrapperspb.Bytes(body), nil
 }
 
-func (s *Server) answer(q question) (*answer, error) {
-	change, age, ok := s.since(q.Table, q.After)
+func (s *Server) respond(req fetchRequest) (*fetchResponse, error) {
+	change, age, ok := s.changesSince(req.Table, req.After)
 	if !ok {
 		return nil, status.Error(codes.NotFound, "this VM has no copy of the table")
 	}
-	a := &answer{Revision: change.Revision, standing: standing{
+	a := &fetchResponse{Revision: change.Revision, copyStatus: copyStatus{
 		UnchangedUpTo: change.UnchangedUpTo, AgeMS: age.Milliseconds(),
 		Settling: change.Settling, SettlingLeftMS: change.SettlingLeft.Milliseconds(), ByFeed: change.ByFeed,
 	}}
 	if s.News != nil {
 		a.News = s.News()
 	}
-	if q.Brief || change.Empty() {
+	if req.Brief || change.Empty() {
 		return a, nil
 	}
-	packed, err := s.packed.of(q.Table, q.After, change)
+	packed, err := s.packed.get(req.Table, req.After, change)
 	if err != nil {
 		return nil, status.Error(codes.Internal, err.Error())
 	}
@@ -92,15 +93,15 @@
 }
 
 func (s *Server) offer(_ context.Context, request *wrapperspb.BytesValue) (*wrapperspb.BytesValue, error) {
-	var o offered
+	var o offerRequest
 	if err := json.Unmarshal(request.GetValue(), &o); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
 	change, err := unpack(o.Change)
 	if err != nil {
-		s.logger.Warn("peer's offer not read", zap.String("table", o.Table), zap.Error(err))
+		s.logger.Warn("peer's offer not decoded", zap.String("table", o.Table), zap.Error(err))
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	s.take(o.Table, change, time.Duration(o.AgeMS)*time.Millisecond)
+	s.onOffer(o.Table, change, time.Duration(o.AgeMS)*time.Millisecond)
 	return &wrapperspb.BytesValue{}, nil
 }
--- a/internal/mirror/service.go
+++ b/internal/mirror/service.go
@@ -15,12 +15,12 @@
 	offerMethod = "/geraniumcroft.mirror.Mirror/Offer"
 )
 
-// mirrorServer is the service's interface, as generated code would have it.
+// mirrorServer is the interface of the service, as generated code would declare it.
 type mirrorServer interface {
 	fetch(ctx context.Context, request *wrapperspb.BytesValue) (*wrapperspb.BytesValue, error)
 	offer(ctx context.Context, request *wrapperspb.BytesValue) (*wrapperspb.BytesValue, error)
-	// panicked is told that a method panicked.
-	panicked(value any, stack []byte)
+	// logPanic logs that a method panicked.
+	logPanic(value any, stack []byte)
 }
 
 var serviceDesc = grpc.ServiceDesc{
@@ -32,14 +32,14 @@
 	},
 }
 
-// handle makes a gRPC handler of a method. One that panics fails: the same message goes to all VMs
-// and would end them one after the other.
+// handle returns the gRPC handler of a method. A panic only fails the call: the same message is
+// sent to all VMs and would crash one after the other.
 func handle(method func(mirrorServer, context.Context, *wrapperspb.BytesValue) (*wrapperspb.BytesValue, error)) grpc.MethodHandler {
 	return func(server any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (reply any, err error) {
 		defer func() {
 			if panicked := recover(); panicked != nil {
 				reply, err = nil, status.Errorf(codes.Internal, "the handler panicked: %v", panicked)
-				server.(mirrorServer).panicked(panicked, debug.Stack())
+				server.(mirrorServer).logPanic(panicked, debug.Stack())
 			}
 		}()
 		request := &wrapperspb.BytesValue{}
@@ -50,47 +50,50 @@
 	}
 }
 
-// question asks for a table if it is newer than a revision.
-type question struct {
+// fetchRequest asks for a table if the peer's copy is newer than the revision After.
+type fetchRequest struct {
 	Table string `json:"table"`
 	After uint64 `json:"after"`
-	// Brief asks for the revision and its age alone.
+	// Brief asks only for the revision and the status of the copy.
 	Brief bool `json:"brief,omitempty"`
 }
 
-// answer is what a copy has beyond the revision that was asked for.
-type answer struct {
+// fetchResponse is what the peer's copy has beyond the requested revision.
+type fetchResponse struct {
 	Revision uint64 `json:"revision"`
-	standing
-	// Change is the packed change, without it if there is none or none was asked for.
+	copyStatus
+	// Change is the packed change; it is empty if nothing changed or the request was brief.
 	Change []byte `json:"change,omitempty"`
-	// News is the peer's revision of what it tells beside tables, 0 while there is nothing.
+	// News is the peer's revision of the state that it shares outside of the tables; 0 if there is
+	// none.
 	News uint64 `json:"news,omitempty"`
 }
 
-// standing is what a VM says of its copy. Of two answers about the same copy one's whole standing is
-// taken: a young age with an old revision kept later copies from being confirmed.
-type standing struct {
-	// UnchangedUpTo is the store's revision up to which the copy is the newest; 0, as a VM of an
-	// earlier version says, if that isn't known.
+// copyStatus describes how current a VM's copy is. Of two answers about the same copy, the status
+// is taken as a whole: when a recent age was combined with an old revision, later copies were not
+// confirmed.
+type copyStatus struct {
+	// UnchangedUpTo is the store's revision up to which the copy is current. It is 0 if that is
+	// not known, as in answers of VMs of an earlier version.
 	UnchangedUpTo uint64 `json:"unchangedUpTo,omitempty"`
-	// AgeMS is the time since the copy was confirmed to be the newest.
+	// AgeMS is the time in milliseconds since the copy was confirmed to be current.
 	AgeMS int64 `json:"ageMs"`
-	// Settling says that the store was away a moment ago.
+	// Settling says that rows may still come back after a recent outage of the store.
 	Settling bool `json:"settling,omitempty"`
-	// SettlingLeftMS is for how long rows may still come back, in milliseconds; 0 with Settling if
-	// the VM, of an earlier version, does not say.
+	// SettlingLeftMS is for how long rows may still come back, in milliseconds. It is 0 with
+	// Settling set if the VM, of an earlier version, does not report it.
 	SettlingLeftMS int64 `json:"settlingLeftMs,omitempty"`
-	// ByFeed says that the peer follows the store's feed itself.
+	// ByFeed says that the peer follows the store's feed.
 	ByFeed bool `json:"byFeed,omitempty"`
 }
 
-// unchangedUpTo is the store's revision up to which the copy is the newest.
-func (a *answer) unchangedUpTo() uint64 { return max(a.Revision, a.UnchangedUpTo) }
+// unchangedUpTo returns the store's revision up to which the copy is current, at least its own.
+func (a *fetchResponse) unchangedUpTo() uint64 { return max(a.Revision, a.UnchangedUpTo) }
 
-// saysMore reports whether an answer about the same copy says more of what is in force than
-// another one: it confirms a copy that was read at the revision, or does so later.
-func (a *answer) saysMore(than *answer, revision uint64) bool {
+// fresherThan reports whether a is the better of two answers about the same copy, for a VM whose
+// copy has the given revision: it confirms that revision while the other does not, or, if both or
+// neither do, its copy was confirmed more recently.
+func (a *fetchResponse) fresherThan(than *fetchResponse, revision uint64) bool {
 	confirms, thatConfirms := a.unchangedUpTo() >= revision, than.unchangedUpTo() >= revision
 	if confirms != thatConfirms {
 		return confirms
@@ -98,8 +101,8 @@
 	return a.AgeMS < than.AgeMS
 }
 
-// offered is a copy that its maker hands on without being asked.
-type offered struct {
+// offerRequest carries a copy that the VM which made it sends without a request.
+type offerRequest struct {
 	Table string `json:"table"`
-	answer
+	fetchResponse
 }
--- a/internal/mirror/settling_test.go
+++ b/internal/mirror/settling_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// The store was away, and a replica leaves as soon as it is back. Its entry is gone, but for as
-// long as a VM holds that entries may come back it goes on sending requests there. 3 s after the
-// store acknowledged that the replica leaves none may arrive at some 85 VMs. Those that follow the
-// feed are done in time; the others believe them for a while longer.
+// A replica leaves as soon as the store is back after an outage. Its entry is deleted, but a VM
+// that assumes that entries may still come back goes on sending requests to it. 3 s after the
+// store has acknowledged the departure, no requests may arrive from about 85 VMs. The VMs that
+// follow the feed stop in time; the others learn from them, and so later.
 func TestReplicaThatLeavesAfterAnOutageIsLeftInTime(t *testing.T) {
 	const (
 		drained = 3 * time.Second
-		// written is when the replicas that are alive have written their entries again.
+		// written is when the live replicas have written their entries again.
 		written = 2 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
@@ -21,13 +21,13 @@
 		stop := f.start(t)
 		defer stop()
 		time.Sleep(5 * time.Second)
-		f.set(func() { f.away = true })
+		f.set(func() { f.storeDown = true })
 		time.Sleep(8 * time.Second)
-		f.set(func() { f.away = false })
+		f.set(func() { f.storeDown = false })
 		time.Sleep(written)
 		for _, vm := range f.vms {
 			if !vm.follower.Settling() {
-				t.Errorf("%s (follows the feed: %t) takes what is missing for gone %s after the store's return", vm.Name, vm.follows, written)
+				t.Errorf("%s (follows the feed: %t) treats missing rows as deleted %s after the store's return", vm.Name, vm.follows, written)
 			}
 		}
 		time.Sleep(drained - written)
@@ -42,7 +42,7 @@
 			}
 		}
 		if followers+others > 0 {
-			t.Errorf("%s after the store's return %d VMs that follow the feed and %d others still use what has left", drained, followers, others)
+			t.Errorf("%s after the store's return %d VMs that follow the feed and %d others still use replicas that have left", drained, followers, others)
 		}
 	})
 }
--- a/internal/mirror/spread_test.go
+++ b/internal/mirror/spread_test.go
@@ -22,19 +22,20 @@
 
 const (
 	spreadTable = "op"
-	// linkBytesPerSecond is the link of the smallest VM.
+	// linkBytesPerSecond is the bandwidth of the smallest VM's link.
 	linkBytesPerSecond = 20e6 / 8
-	// wireBytes is what a question or an answer takes beside what it carries.
+	// wireBytes is the overhead of a request or an answer.
 	wireBytes = 300
 )
 
-// spreadLink sends one thing after another.
+// spreadLink is a link that transfers one message at a time.
 type spreadLink struct {
 	mu   sync.Mutex // guards the field below
 	free time.Time
 }
 
-// send waits until so many bytes have passed, and reports whether that was in time.
+// send waits until the given number of bytes has passed. It reports false if ctx ended before
+// that.
 func (l *spreadLink) send(ctx context.Context, bytes int) bool {
 	l.mu.Lock()
 	begin := time.Now()
@@ -52,7 +53,7 @@
 	}
 }
 
-// spreadVM is one VM: its copy of the table, its link out, and its fate.
+// spreadVM is a simulated VM with its copy of the table, its links and its faults.
 type spreadVM struct {
 	census.VM
 	follower *follow.Follower
@@ -61,31 +62,31 @@
 	server   *Server
 	client   *Client
 	up, down spreadLink
-	// dead VMs answer nobody; the store turns those away that are turnedAway.
-	dead       atomic.Bool
-	turnedAway atomic.Bool
-	// cut VMs reach each other and nobody else.
-	cut atomic.Bool
-	// inForce is when the VM had the new configuration; the fleet's lock guards it.
+	// dead VMs answer no request; rejected VMs get errors from the store.
+	dead     atomic.Bool
+	rejected atomic.Bool
+	// partitioned VMs reach only each other.
+	partitioned atomic.Bool
+	// inForce is when the VM had the new configuration. It is guarded by the fleet's mutex.
 	inForce time.Time
 }
 
-// spreadFleet is a store, VMs, and the links between them.
+// spreadFleet simulates the store, the VMs and the links between them.
 type spreadFleet struct {
-	mu   sync.Mutex // guards the fields below
-	view platform.TableView
-	away bool
-	// silent says that the store holds every call and never answers it, also once it is back.
-	silent  bool
-	changed chan struct{}
-	// moved is by how much other tables have moved the store's revision on beyond this one's.
-	moved uint64
-	// calls counts those that reached the store.
+	mu        sync.Mutex // guards the fields below
+	view      platform.TableView
+	storeDown bool
+	// storeSilent makes the store hold all calls. It never answers these, even after its return.
+	storeSilent bool
+	changed     chan struct{}
+	// revisionOffset is how far changes of other tables have advanced the store's revision.
+	revisionOffset uint64
+	// calls counts the calls that have reached the store.
 	calls int
 	vms   map[string]*spreadVM
 }
 
-// start runs all VMs; what it returns ends them and waits for that.
+// start runs all VMs. The returned function stops them and waits until they have ended.
 func (f *spreadFleet) start(t *testing.T) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -98,9 +99,9 @@
 	}
 }
 
-// inOrder returns the VMs by their numbers, so that what is drawn for each depends on the seed
-// alone.
-func (f *spreadFleet) inOrder() []*spreadVM {
+// sortedVMs returns the VMs in order of their numbers, so that random choices for them depend only
+// on the seed.
+func (f *spreadFleet) sortedVMs() []*spreadVM {
 	vms := make([]*spreadVM, len(f.vms))
 	for i := range vms {
 		vms[i] = f.vms[fmt.Sprintf("vm-%d", i)]
@@ -116,22 +117,22 @@
 	f.changed = make(chan struct{})
 }
 
-// look returns the table, the store's revision, whether the store is away, and what is closed
-// once any of that changes.
-func (f *spreadFleet) look() (view platform.TableView, newest uint64, away bool, changed chan struct{}) {
+// state returns the table, the store's revision, whether the store is down, and a channel that is
+// closed when any of that changes.
+func (f *spreadFleet) state() (view platform.TableView, newest uint64, away bool, changed chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view, f.view.Revision + f.moved, f.away, f.changed
+	return f.view, f.view.Revision + f.revisionOffset, f.storeDown, f.changed
 }
 
-// holds reports whether calls are held without an answer.
-func (f *spreadFleet) holds() bool {
+// isSilent reports whether calls are held without an answer.
+func (f *spreadFleet) isSilent() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.silent
+	return f.storeSilent
 }
 
-func (f *spreadFleet) count() {
+func (f *spreadFleet) countCall() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls++
@@ -143,46 +144,46 @@
 	vm    *spreadVM
 }
 
-var errTurnedAway = errors.New("turned away")
+var errRejected = errors.New("turned away")
 
 func (s spreadFeed) ReadAll(ctx context.Context, _ string) (platform.TableView, error) {
-	s.fleet.count()
-	if s.fleet.holds() {
+	s.fleet.countCall()
+	if s.fleet.isSilent() {
 		<-ctx.Done()
 	}
-	if s.vm.cut.Load() {
+	if s.vm.partitioned.Load() {
 		<-ctx.Done()
 	}
-	view, newest, away, _ := s.fleet.look()
-	if away || s.vm.turnedAway.Load() || !s.vm.down.send(ctx, sizeOf(view.Rows)) {
-		return platform.TableView{}, errTurnedAway
+	view, newest, away, _ := s.fleet.state()
+	if away || s.vm.rejected.Load() || !s.vm.down.send(ctx, sizeOf(view.Rows)) {
+		return platform.TableView{}, errRejected
 	}
 	view.Revision = newest
 	return view, nil
 }
 
 func (s spreadFeed) Changes(ctx context.Context, _ string, after uint64, wait time.Duration) (platform.TableChange, error) {
-	s.fleet.count()
+	s.fleet.countCall()
 	until := time.After(wait)
 	for over := wait <= 0; ; {
-		view, newest, away, changed := s.fleet.look()
-		if s.fleet.holds() || s.vm.cut.Load() {
+		view, newest, away, changed := s.fleet.state()
+		if s.fleet.isSilent() || s.vm.partitioned.Load() {
 			<-ctx.Done()
 		}
 		switch {
 		case ctx.Err() != nil:
 			return platform.TableChange{}, ctx.Err()
-		case away || s.vm.turnedAway.Load():
-			return platform.TableChange{}, errTurnedAway
+		case away || s.vm.rejected.Load():
+			return platform.TableChange{}, errRejected
 		case view.Revision > after:
 			if !s.vm.down.send(ctx, sizeOf(view.Rows)) {
-				return platform.TableChange{}, errTurnedAway
+				return platform.TableChange{}, errRejected
 			}
 			return platform.TableChange{Revision: view.Revision, Written: view.Rows}, nil
 		}
 		if over {
-			// Without a timer where there is no wait: several that are due at once in one synctest
-			// bubble share state in the race detector and crash it.
+			// No timer here if there is no wait: several timers that are due at once in one
+			// synctest bubble share state in the race detector and crash it.
 			return platform.TableChange{Revision: newest}, nil
 		}
 		select {
@@ -203,17 +204,17 @@
 	return size
 }
 
-// ask is how the VM's client reaches a peer.
-func (f *spreadFleet) ask(vm *spreadVM) func(context.Context, string, question) *answer {
-	return func(ctx context.Context, address string, q question) *answer {
+// roundTripOf returns the function by which the VM's client reaches a peer.
+func (f *spreadFleet) roundTripOf(vm *spreadVM) func(context.Context, string, fetchRequest) *fetchResponse {
+	return func(ctx context.Context, address string, req fetchRequest) *fetchResponse {
 		peer := f.vms[address]
-		if peer == nil || peer.dead.Load() || peer.cut.Load() != vm.cut.Load() {
+		if peer == nil || peer.dead.Load() || peer.partitioned.Load() != vm.partitioned.Load() {
 			<-ctx.Done()
 			return nil
 		}
-		a, err := peer.server.answer(q)
+		a, err := peer.server.respond(req)
 		if err != nil {
-			return withoutCopy // as the client takes the error of a VM that has no copy yet
+			return noCopy // as the client does with the error of a VM that has no copy yet
 		}
 		const base64 = 4.0 / 3
 		bytes := wireBytes + int(base64*float64(len(a.Change)))
@@ -224,7 +225,7 @@
 	}
 }
 
-// configuration is a row of so many profiles, as an operator's table has it.
+// configuration returns the row of a configuration with the given number of profiles.
 func configuration(profiles int, version uint64) map[string][]byte {
 	var text strings.Builder
 	r := rand.New(rand.NewPCG(uint64(profiles), 1))
@@ -249,7 +250,7 @@
 		vm := &spreadVM{VM: listed}
 		f.vms[vm.Address] = vm
 		vm.client = NewClient(vm.Address, nil, zap.NewNop())
-		vm.client.asker = f.ask(vm)
+		vm.client.roundTrip = f.roundTripOf(vm)
 		vm.client.SetPeers(peersOf(vm.VM, all))
 		follows := slices.Contains(census.FollowersOf(all)[vm.DataCentre], vm.VM)
 		vm.follows = follows
@@ -258,7 +259,7 @@
 			FollowsFeed: func() bool { return follows },
 			VMs:         func() int { return vms },
 			RetryGroup:  follow.NewRetryGroup(),
-			OnChange:    func(view platform.TableView) { f.noteInForce(vm, view.Revision) },
+			OnChange:    func(view platform.TableView) { f.recordInForce(vm, view.Revision) },
 		})
 		vm.server = NewServer(func(_ string, after uint64) (platform.TableChange, time.Duration, bool) {
 			return vm.follower.Since(after)
@@ -286,7 +287,7 @@
 	return peers
 }
 
-func (f *spreadFleet) noteInForce(vm *spreadVM, revision uint64) {
+func (f *spreadFleet) recordInForce(vm *spreadVM, revision uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if revision == f.view.Revision && revision > 1 && vm.inForce.IsZero() {
@@ -294,21 +295,21 @@
 	}
 }
 
-// An operator's change of a large configuration is accepted while links are slow, some VMs
-// are dead and the store turns others away or was away until a moment ago. Callers must
-// find it in force at every VM within seconds: a VM that still refuses a new profile with
-// 404 breaks what the operator was told. It was 5 s late at 88 VMs, as each fetched half a
-// megabyte twice from one of eight.
+// An operator's change of a large configuration is accepted while links are slow, some VMs are
+// dead, and the store rejects others or was down until a second before. The change must be in
+// force on every VM within seconds: a VM that still answers requests for a new profile with 404
+// breaks the promise to the operator. On 88 VMs the change was 5 s late, since each VM fetched
+// half a megabyte twice from one of eight peers.
 func TestConfigurationIsInForceInTime(t *testing.T) {
 	for _, c := range []struct {
 		vms   int
 		bound time.Duration
-		// outage says that the store was away until a second before.
+		// outage says that the store was down until a second before the change.
 		outage bool
-		// dead and turnedAway are parts of the VMs.
-		dead       float64
-		turnedAway float64
-		seeds      int
+		// dead and rejected are shares of the VMs.
+		dead     float64
+		rejected float64
+		seeds    int
 	}{
 		{6, 2 * time.Second, false, 0, 0.35, 2},
 		{6, 2 * time.Second, true, 0.25, 0.35, 2},
@@ -318,9 +319,9 @@
 		{320, 4 * time.Second, true, 0.1, 0.35, 1},
 	} {
 		for seed := range c.seeds {
-			t.Run(fmt.Sprintf("%d VMs, outage %t, dead %v, turned away %v, seed %d", c.vms, c.outage, c.dead, c.turnedAway, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d VMs, outage %t, dead %v, rejected %v, seed %d", c.vms, c.outage, c.dead, c.rejected, seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					slowest, vm := spread(t, c.vms, c.bound, uint64(seed), c.outage, c.dead, c.turnedAway)
+					slowest, vm := propagate(t, c.vms, c.bound, uint64(seed), c.outage, c.dead, c.rejected)
 					t.Logf("the slowest VM has it after %s", slowest)
 					if slowest > c.bound {
 						t.Errorf("%s has it after %s only", vm, slowest)
@@ -331,20 +332,20 @@
 	}
 }
 
-// spread plays one change and returns how long the slowest living VM took, and which.
-func spread(t *testing.T, vms int, bound time.Duration, seed uint64, outage bool, deadPart, awayPart float64) (time.Duration, string) {
+// propagate simulates one change. It returns how long the slowest live VM took, and its name.
+func propagate(t *testing.T, vms int, bound time.Duration, seed uint64, outage bool, deadShare, rejectedShare float64) (time.Duration, string) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	f := newSpreadFleet(vms)
 	stop := f.start(t)
 	time.Sleep(3*time.Second + time.Duration(r.IntN(1000))*time.Millisecond)
-	for i, vm := range f.inOrder() {
-		vm.dead.Store(r.Float64() < deadPart && i > 0)
-		vm.turnedAway.Store(r.Float64() < awayPart && i > 0)
+	for i, vm := range f.sortedVMs() {
+		vm.dead.Store(r.Float64() < deadShare && i > 0)
+		vm.rejected.Store(r.Float64() < rejectedShare && i > 0)
 	}
 	if outage {
-		f.set(func() { f.away = true })
+		f.set(func() { f.storeDown = true })
 		time.Sleep(8 * time.Second)
-		f.set(func() { f.away = false })
+		f.set(func() { f.storeDown = false })
 		time.Sleep(time.Second)
 	}
 	accepted := time.Now()
@@ -354,8 +355,8 @@
 	return f.slowest(accepted)
 }
 
-// slowest returns how long after the acceptance the last living VM had the configuration,
-// and which VM that was; an hour if one never had it.
+// slowest returns how long after its acceptance the last live VM had the configuration, and the
+// name of that VM; an hour if a VM never had it.
 func (f *spreadFleet) slowest(accepted time.Time) (time.Duration, string) {
 	slowest, who := time.Duration(0), ""
 	for _, vm := range f.vms {
