--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -10,31 +10,31 @@
 
 const period = time.Second
 
-// cluster runs the tables of a fleet against each other, a probe of each VM a
-// period, over a network that tests cut and make lossy.
+// cluster runs the tables of a fleet against each other over a simulated network, with one probe
+// of each VM per period. Tests can partition the network and make it lossy.
 type cluster struct {
-	now   time.Time
-	rng   *rand.Rand
-	vms   []*simulated
-	loss  float64
-	apart func(a, b int) bool
+	now          time.Time
+	rng          *rand.Rand
+	vms          []*simulatedVM
+	loss         float64
+	disconnected func(a, b int) bool
 }
 
-type simulated struct {
+type simulatedVM struct {
 	index int
 	up    bool
 	table *Table
-	life  uint64 // seed of the present life
+	boots uint64 // number of starts, seed of the present process
 }
 
 func newCluster(size int, seed uint64) *cluster {
 	c := &cluster{
-		now:   time.Unix(1_700_000_000, 0),
-		rng:   rand.New(rand.NewPCG(seed, 1)),
-		apart: func(int, int) bool { return false },
+		now:          time.Unix(1_700_000_000, 0),
+		rng:          rand.New(rand.NewPCG(seed, 1)),
+		disconnected: func(int, int) bool { return false },
 	}
 	for i := range size {
-		c.vms = append(c.vms, &simulated{index: i})
+		c.vms = append(c.vms, &simulatedVM{index: i})
 		c.boot(i)
 	}
 	return c
@@ -42,18 +42,18 @@
 
 func name(i int) string { return fmt.Sprintf("vm-%d", i) }
 
-// boot starts a VM, which has kept nothing and reads the platform's list.
+// boot starts a VM. It has no state and reads the platform's list.
 func (c *cluster) boot(i int) {
 	vm := c.vms[i]
 	vm.up = true
-	vm.life++
+	vm.boots++
 	self := Identity{Name: name(i), Address: name(i), Incarnation: NewIncarnation(c.now)}
-	vm.table = New(self, Settings{}, rand.New(rand.NewPCG(uint64(i), vm.life)), c.now)
-	vm.table.UpdateListed(c.listed(), c.now)
+	vm.table = New(self, Settings{}, rand.New(rand.NewPCG(uint64(i), vm.boots)), c.now)
+	vm.table.UpdateListed(c.platformList(), c.now)
 }
 
-// listed is a list that lags without end: it always shows every VM.
-func (c *cluster) listed() []platform.VM {
+// platformList returns a list that is never updated: it always contains every VM.
+func (c *cluster) platformList() []platform.VM {
 	var vms []platform.VM
 	for i := range c.vms {
 		vms = append(vms, platform.VM{Name: name(i), PeerAddress: name(i), Role: RoleEntry})
@@ -70,7 +70,7 @@
 	}
 }
 
-func (c *cluster) probe(vm *simulated) {
+func (c *cluster) probe(vm *simulatedVM) {
 	vm.table.Tick(c.now)
 	m, ok := vm.table.NextProbe()
 	if !ok {
@@ -90,22 +90,22 @@
 	vm.table.ProbeFailed(m.Name, m.Incarnation, c.now)
 }
 
-func (c *cluster) byName(wanted string) *simulated {
+func (c *cluster) byName(vmName string) *simulatedVM {
 	for i, vm := range c.vms {
-		if name(i) == wanted {
+		if name(i) == vmName {
 			return vm
 		}
 	}
 	return nil
 }
 
-// exchange is a request and its answer.
-func (c *cluster) exchange(from, to *simulated) bool {
+// exchange delivers a request and its answer.
+func (c *cluster) exchange(from, to *simulatedVM) bool {
 	return c.deliver(from, to) && c.deliver(to, from)
 }
 
-func (c *cluster) deliver(from, to *simulated) bool {
-	if !from.up || !to.up || c.apart(from.index, to.index) || c.rng.Float64() < c.loss {
+func (c *cluster) deliver(from, to *simulatedVM) bool {
+	if !from.up || !to.up || c.disconnected(from.index, to.index) || c.rng.Float64() < c.loss {
 		return false
 	}
 	updates := from.table.Gossip(name(to.index), 24)
@@ -115,8 +115,9 @@
 	return true
 }
 
-// unsettled returns what keeps the live VMs from holding just each other alive.
-func (c *cluster) unsettled() string {
+// disagreement describes a VM whose state is wrong on another VM, or returns "" if each live VM
+// holds exactly the other live VMs alive.
+func (c *cluster) disagreement() string {
 	for _, on := range c.vms {
 		for _, of := range c.vms {
 			if !on.up || on == of {
@@ -134,10 +135,11 @@
 	return ""
 }
 
-// run steps until settled and returns the periods that it took, or -1.
+// run steps until no VM's state is wrong and returns the number of periods that this took, or -1
+// if the limit was reached.
 func (c *cluster) run(limit int) int {
 	for i := range limit {
-		if c.unsettled() == "" {
+		if c.disagreement() == "" {
 			return i
 		}
 		c.step()
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest is the same on two VMs that know of the same VMs that may serve, with
-// the same incarnations and versions. It is never 0.
+// Digest returns a hash of the VMs that may serve, with their incarnations and versions. Two VMs
+// that know the same have the same digest. It is never 0.
 func (t *Table) Digest() uint64 {
 	digest := digestOf(&t.self)
 	for _, m := range t.members {
@@ -18,11 +18,11 @@
 	return max(digest, 1)
 }
 
-// Quiescent reports whether this VM has passed on nearly all that it learned. A digest
-// that still differs then shows that rumours were lost.
+// Quiescent reports whether this VM has passed on nearly all of its rumours. A digest that still
+// differs then shows that rumours were lost.
 func (t *Table) Quiescent() bool {
-	const nearlyAll = 4
-	return len(t.rumours) <= nearlyAll
+	const maxPending = 4
+	return len(t.rumours) <= maxPending
 }
 
 func digestOf(m *Member) uint64 {
--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RecordMessage records a message from a VM itself. It reports false for a message that
-// must be dropped: one of an earlier life of the VM, or of this VM's own name.
+// RecordMessage records a message from the VM itself. It reports false if the message must be
+// dropped, because it is from an earlier process of the VM or has this VM's own name.
 func (t *Table) RecordMessage(id Identity, now time.Time) bool {
 	if id.Name == "" || id.Name == t.self.Name {
 		return false
@@ -17,7 +17,7 @@
 		return false
 	}
 	m.LastMessage = now
-	t.raise(m, id, now)
+	t.raiseIncarnation(m, id, now)
 	t.raiseVersion(m, id.Incarnation, id.Version)
 	return true
 }
@@ -33,11 +33,11 @@
 		Since:       now,
 		LastMessage: now,
 	}
-	t.spread(id.Name, true)
+	t.queueRumour(id.Name, true)
 }
 
-// raise takes a higher incarnation, which makes the member alive again.
-func (t *Table) raise(m *Member, id Identity, now time.Time) {
+// raiseIncarnation takes over a higher incarnation, which makes the member alive again.
+func (t *Table) raiseIncarnation(m *Member, id Identity, now time.Time) {
 	if id.Incarnation <= m.Incarnation {
 		return
 	}
@@ -51,19 +51,19 @@
 	t.setState(m, Alive, now)
 }
 
-// raiseVersion never lets a version fall within one life. What an earlier life
-// had in force says nothing: the VM came back empty.
+// raiseVersion takes over a higher version. The version never falls within one process of the VM.
+// A version of an earlier process is ignored, since the VM lost its state with the restart.
 func (t *Table) raiseVersion(m *Member, incarnation Incarnation, version uint64) {
 	if incarnation.ProcessStart() != m.Incarnation.ProcessStart() || version <= m.Version {
 		return
 	}
 	m.Version = version
-	t.spread(m.Name, false)
+	t.queueRumour(m.Name, false)
 }
 
-// ProbeFailed records that a VM answered neither over a kept connection, nor
-// over a new one, nor through helpers. The incarnation is the one that was
-// probed; a higher one by now makes the failure old news.
+// ProbeFailed records that a VM answered neither over an existing connection, nor over a new one,
+// nor through helpers. The incarnation is the one that was probed; the failure is ignored if the
+// member has a higher one by now.
 func (t *Table) ProbeFailed(name string, incarnation Incarnation, now time.Time) {
 	m := t.members[name]
 	if m == nil || m.State != Alive || incarnation < m.Incarnation {
@@ -72,12 +72,12 @@
 	t.setState(m, Suspected, now)
 }
 
-// Tick turns suspicions that have lasted the timeout into deaths and forgets
-// members that were dead or gone for the retention.
+// Tick declares VMs dead whose suspicion has lasted for the timeout, and removes members that have
+// been dead or gone for the retention time.
 func (t *Table) Tick(now time.Time) {
-	timeout := t.settings.suspicion(t.FleetSize())
+	timeout := t.settings.suspicionTimeout(t.FleetSize())
 	for name, m := range t.members {
-		if m.State == Suspected && t.silentFor(m, now) >= timeout {
+		if m.State == Suspected && t.silence(m, now) >= timeout {
 			t.setState(m, Dead, now)
 		}
 		if !m.MayServe() && now.Sub(m.Since) >= t.settings.Retention {
@@ -87,9 +87,9 @@
 	}
 }
 
-// silentFor is the time since the suspicion or, when later, the last message. A
-// VM that others cannot reach but that still talks to this one stays suspected.
-func (t *Table) silentFor(m *Member, now time.Time) time.Duration {
+// silence returns the time since the suspicion began or, if that is later, since the last message.
+// A VM that others cannot reach but that still sends messages to this one stays suspected.
+func (t *Table) silence(m *Member, now time.Time) time.Duration {
 	if m.LastMessage.After(m.Since) {
 		return now.Sub(m.LastMessage)
 	}
--- a/internal/membership/listing.go
+++ b/internal/membership/listing.go
@@ -9,18 +9,18 @@
 // RoleEntry is the role of the system's own VMs in the platform's list.
 const RoleEntry = "entry"
 
-// UpdateListed takes the platform's list. It lags, so it can only add: VMs to
-// probe, and VMs that were dead and forgotten and come back under a new address.
+// UpdateListed takes over the platform's list. The list lags behind, so it can only add VMs to
+// probe, including VMs that were dead and forgotten and come back under a new address.
 func (t *Table) UpdateListed(vms []platform.VM, now time.Time) {
 	for _, m := range t.members {
 		m.Listed, m.ListedLeaving = false, false
 	}
 	for _, vm := range vms {
-		t.listOne(vm, now)
+		t.applyListed(vm, now)
 	}
 }
 
-func (t *Table) listOne(vm platform.VM, now time.Time) {
+func (t *Table) applyListed(vm platform.VM, now time.Time) {
 	if vm.Role != RoleEntry || vm.Name == t.self.Name || vm.PeerAddress == "" {
 		return
 	}
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Merge takes in rumours.
+// Merge takes over the updates of a message.
 func (t *Table) Merge(updates []Update, now time.Time) {
 	for _, u := range updates {
 		t.mergeOne(u, now)
@@ -16,7 +16,7 @@
 	}
 	m := t.members[u.Name]
 	if m == nil {
-		t.learn(u, now)
+		t.addFromRumour(u, now)
 		return
 	}
 	if !u.VersionOnly {
@@ -25,8 +25,8 @@
 	t.raiseVersion(m, u.Incarnation, u.Version)
 }
 
-// refute answers a rumour that this VM is not alive, or that it has a life that
-// it has not: it takes a higher incarnation and spreads that.
+// refute responds to an update that says that this VM is not alive, or that it has an incarnation
+// which it does not have: this VM takes a higher incarnation and gossips it.
 func (t *Table) refute(u Update) {
 	if t.stopped || u.VersionOnly || u.Incarnation < t.self.Incarnation {
 		return
@@ -35,21 +35,21 @@
 		return
 	}
 	if u.Incarnation.ProcessStart() > t.self.Incarnation.ProcessStart() {
-		t.self.Incarnation = u.Incarnation.nextLife()
+		t.self.Incarnation = u.Incarnation.nextProcess()
 	} else {
 		t.self.Incarnation = u.Incarnation + 1
 	}
 	t.Refutations++
-	t.spread(t.self.Name, true)
+	t.queueRumour(t.self.Name, true)
 }
 
-// maxMembers bounds the members learned by rumour, so that a faulty peer cannot
-// fill this VM's memory.
+// maxMembers bounds the members learned from rumours, so that a faulty peer cannot exhaust this
+// VM's memory.
 const maxMembers = 4096
 
-// learn adds a VM by rumour. A dead one that is not remembered is not taken up:
-// two VMs would otherwise remind each other of it for ever.
-func (t *Table) learn(u Update, now time.Time) {
+// addFromRumour adds a VM that is known only from a rumour. It does not add a dead one that this
+// VM has forgotten: two VMs would otherwise remind each other of it forever.
+func (t *Table) addFromRumour(u Update, now time.Time) {
 	if u.VersionOnly || u.Name == "" || u.State == Dead || u.State == Left {
 		return
 	}
@@ -66,7 +66,7 @@
 		Version:     u.Version,
 		Since:       now,
 	}
-	t.spread(u.Name, true)
+	t.queueRumour(u.Name, true)
 }
 
 func (t *Table) mergeState(m *Member, u Update, now time.Time) {
@@ -74,7 +74,7 @@
 		return
 	}
 	if u.Incarnation > m.Incarnation {
-		t.raise(m, Identity{
+		t.raiseIncarnation(m, Identity{
 			Address: u.Address, DataCentre: u.DataCentre,
 			Incarnation: u.Incarnation, Leaving: u.Leaving,
 		}, now)
@@ -82,18 +82,18 @@
 	t.mergeSameIncarnation(m, u.State, now)
 }
 
-func (t *Table) mergeSameIncarnation(m *Member, rumoured State, now time.Time) {
+func (t *Table) mergeSameIncarnation(m *Member, reported State, now time.Time) {
 	switch {
-	case rumoured == Left && m.State != Left:
+	case reported == Left && m.State != Left:
 		t.setState(m, Left, now)
-	case rumoured == Dead && m.State == Alive:
-		// Only this VM's own timeout makes a VM dead here.
+	case reported == Dead && m.State == Alive:
+		// Only this VM's own timeout declares a VM dead.
 		t.setState(m, Suspected, now)
-	case rumoured == Suspected && m.State == Alive:
+	case reported == Suspected && m.State == Alive:
 		t.setState(m, Suspected, now)
-	case rumoured == Alive && m.State != Alive:
-		// The teller has yet to hear of it, and so perhaps has the VM itself, which
-		// then could not refute: say it again.
-		t.spread(m.Name, true)
+	case reported == Alive && m.State != Alive:
+		// The sender does not know of the state yet, and perhaps the VM itself does not either and
+		// cannot refute it. Gossip the state again.
+		t.queueRumour(m.Name, true)
 	}
 }
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -4,18 +4,18 @@
 	"slices"
 )
 
-// roundRobin walks all members in a shuffled order, shuffled anew each round, so
-// that each member's turn comes within two rounds.
+// roundRobin iterates over all members in a random order that is shuffled again each round, so
+// that each member comes up within two rounds.
 type roundRobin struct {
 	order []string
 }
 
-func (r *roundRobin) next(t *Table, wanted func(*Member) bool) *Member {
+func (r *roundRobin) next(t *Table, match func(*Member) bool) *Member {
 	for range 2 {
 		for len(r.order) > 0 {
 			m := t.members[r.order[0]]
 			r.order = r.order[1:]
-			if m != nil && wanted(m) {
+			if m != nil && match(m) {
 				return m
 			}
 		}
@@ -33,12 +33,12 @@
 	t.rng.Shuffle(len(r.order), func(i, j int) { r.order[i], r.order[j] = r.order[j], r.order[i] })
 }
 
-// NextProbe returns the member whose turn it is. Each n-th turn goes to a dead
-// one, when there is any: without that, two halves of a healed partition that
-// hold each other dead would never speak again.
+// NextProbe returns the member to probe next. Every RetryDeadEvery-th probe goes to a dead member,
+// if there is one: otherwise the two halves of a healed partition, which hold each other dead,
+// would never communicate again.
 func (t *Table) NextProbe() (Member, bool) {
-	t.probed++
-	if t.probed%t.settings.RetryDeadEvery == 0 {
+	t.probeCount++
+	if t.probeCount%t.settings.RetryDeadEvery == 0 {
 		if m, ok := t.randomDead(); ok {
 			return m, true
 		}
@@ -64,16 +64,16 @@
 	return *t.members[dead[t.rng.IntN(len(dead))]], true
 }
 
-// Helpers returns up to count random alive members besides one, to probe it
+// Helpers returns up to count random alive members other than target, through which to probe it
 // indirectly.
-func (t *Table) Helpers(except string, count int) []Member {
-	return t.Sample(count, func(m *Member) bool { return m.State == Alive && m.Name != except })
+func (t *Table) Helpers(target string, count int) []Member {
+	return t.Sample(count, func(m *Member) bool { return m.State == Alive && m.Name != target })
 }
 
-// Sample returns up to count random members that may serve and are wanted.
-func (t *Table) Sample(count int, wanted func(*Member) bool) []Member {
+// Sample returns up to count random members that may serve and that match accepts.
+func (t *Table) Sample(count int, match func(*Member) bool) []Member {
 	all := t.ServingMembers()
-	all = slices.DeleteFunc(all, func(m Member) bool { return !wanted(&m) })
+	all = slices.DeleteFunc(all, func(m Member) bool { return !match(&m) })
 	t.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(count, len(all))]
 }
--- a/internal/membership/random_test.go
+++ b/internal/membership/random_test.go
@@ -9,31 +9,29 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed unless one is given, so that each run tests the same.
+// TestMain sets a fixed seed unless one is given, so that each run tests the same cases.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "320")
 	flag.Parse()
 	os.Exit(m.Run())
 }
 
-// noticedWithin is how many periods a fleet has to settle after its last fault:
-// two shuffled rounds of probes, of which each third goes to the dead, the
-// suspicion, and a round more for a VM that was falsely held dead.
-func noticedWithin(fleet int) int {
-	suspicion := int(Settings{}.withDefaults().suspicion(fleet) / period)
+// settleBound is the number of periods within which a fleet has to agree after its last fault: two
+// shuffled rounds of probes, of which every third goes to a dead VM, the suspicion, and one more
+// round for a VM that was wrongly declared dead.
+func settleBound(fleet int) int {
+	suspicion := int(Settings{}.withDefaults().suspicionTimeout(fleet) / period)
 	return 2*(3*2*fleet/2) + 2*suspicion
 }
 
-// Operators look at the list of VMs while VMs die, come back, lose messages and
-// are cut off from each other, all at random. Whatever the order, once the
-// faults end each VM that lives is held alive by all and each that does not is
-// held dead by all, within a bound; and no VM's incarnation, nor its version
-// within one life, is ever seen to fall.
+// VMs die, come back, lose messages and are cut off from each other at random. Whatever the order,
+// once the faults end, every live VM must be alive on all VMs and every other one dead, within a
+// bound. The incarnation of a VM, and its version within one process, must never be seen to fall.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		size := rapid.IntRange(2, 9).Draw(rt, "size")
 		c := newCluster(size, rapid.Uint64().Draw(rt, "seed"))
-		seen := newWatch(size)
+		seen := newMonotonicOracle(size)
 		for range rapid.IntRange(1, 20).Draw(rt, "faults") {
 			c.fault(rt)
 			for range rapid.IntRange(1, 12).Draw(rt, "periods") {
@@ -42,15 +40,15 @@
 			}
 		}
 		c.heal()
-		for range noticedWithin(size) {
-			if c.unsettled() == "" {
+		for range settleBound(size) {
+			if c.disagreement() == "" {
 				return
 			}
 			c.step()
 			seen.check(rt, c)
 		}
-		if left := c.unsettled(); left != "" {
-			rt.Fatalf("not settled within %d periods: %s", noticedWithin(size), left)
+		if left := c.disagreement(); left != "" {
+			rt.Fatalf("not settled within %d periods: %s", settleBound(size), left)
 		}
 	})
 }
@@ -65,9 +63,9 @@
 	case 2:
 		c.loss = rapid.Float64Range(0, 0.7).Draw(rt, "loss")
 	case 3:
-		c.apart = func(a, b int) bool { return (a < i) != (b < i) }
+		c.disconnected = func(a, b int) bool { return (a < i) != (b < i) }
 	case 4:
-		c.apart = func(a, b int) bool { return a == i || b == i }
+		c.disconnected = func(a, b int) bool { return a == i || b == i }
 	case 5:
 		c.heal()
 	case 6:
@@ -80,30 +78,30 @@
 
 func (c *cluster) heal() {
 	c.loss = 0
-	c.apart = func(int, int) bool { return false }
+	c.disconnected = func(int, int) bool { return false }
 }
 
-// watch is the oracle: the highest that each VM has seen of each other.
-type watch struct {
+// monotonicOracle holds the last state that each VM has seen of each other one.
+type monotonicOracle struct {
 	highest [][]Member
-	lives   [][]uint64
+	boots   [][]uint64
 }
 
-func newWatch(size int) *watch {
-	w := &watch{}
+func newMonotonicOracle(size int) *monotonicOracle {
+	w := &monotonicOracle{}
 	for range size {
 		w.highest = append(w.highest, make([]Member, size))
-		w.lives = append(w.lives, make([]uint64, size))
+		w.boots = append(w.boots, make([]uint64, size))
 	}
 	return w
 }
 
-func (w *watch) check(rt *rapid.T, c *cluster) {
+func (w *monotonicOracle) check(rt *rapid.T, c *cluster) {
 	for i, on := range c.vms {
 		for j := range c.vms {
-			if w.lives[i][j] != on.life {
+			if w.boots[i][j] != on.boots {
 				w.highest[i][j] = Member{}
-				w.lives[i][j] = on.life
+				w.boots[i][j] = on.boots
 			}
 			m, known := on.table.Get(name(j))
 			if !known {
@@ -121,46 +119,45 @@
 	}
 }
 
-// Operators see the other half of the fleet dead while two regions are apart for
-// an hour. Each half holds the other dead and has nobody left who would mention
-// it; after the cut is mended they find each other again by the probes of the
-// dead, and each refutes.
+// Two regions are cut off from each other for an hour. Each half holds the other dead, and no VM
+// is left that would gossip about it. After the partition heals, the halves must find each other
+// again by the probes of dead VMs, and each VM must refute.
 func TestHealedPartitionMeetsAgain(t *testing.T) {
 	c := newCluster(6, 1)
 	c.run(24)
-	c.apart = func(a, b int) bool { return (a < 3) != (b < 3) }
+	c.disconnected = func(a, b int) bool { return (a < 3) != (b < 3) }
 	for range 3600 {
 		c.step()
 	}
 	if m, _ := c.vms[0].table.Get(name(5)); m.State != Dead {
-		t.Fatalf("the far half is %s after an hour, want dead", m.State)
+		t.Fatalf("the other half is %s after an hour, want dead", m.State)
 	}
 	c.heal()
-	if c.run(noticedWithin(6)) < 0 {
-		t.Fatal(c.unsettled())
+	if c.run(settleBound(6)) < 0 {
+		t.Fatal(c.disagreement())
 	}
 }
 
-// One VM of a quiet fleet dies without a word, and the platform's list goes on
-// showing it. Each other VM notices within two rounds of its own probes, at any
-// size; gossip makes it much sooner in a large fleet.
+// One VM of an idle fleet fails silently and stays on the platform's list. Each other VM must
+// notice within two rounds of its own probes, whatever the fleet size; in a large fleet gossip
+// makes it much faster.
 func TestDeathIsNoticedWithinBound(t *testing.T) {
 	for _, size := range []int{2, 6, 16, 64} {
 		c := newCluster(size, uint64(size))
 		if c.run(4*size) < 0 {
-			t.Fatalf("%d VMs do not find each other: %s", size, c.unsettled())
+			t.Fatalf("%d VMs do not find each other: %s", size, c.disagreement())
 		}
 		c.vms[0].up = false
-		limit := 2*size + int(Settings{}.withDefaults().suspicion(size)/period) + 4
+		limit := 2*size + int(Settings{}.withDefaults().suspicionTimeout(size)/period) + 4
 		took := c.run(limit)
 		if took < 0 {
-			t.Fatalf("%d VMs: not noticed within %d periods: %s", size, limit, c.unsettled())
+			t.Fatalf("%d VMs: not noticed within %d periods: %s", size, limit, c.disagreement())
 		}
 		t.Logf("%d VMs: noticed by all after %d periods", size, took)
 	}
 }
 
-// The same at the size that the system is designed for, as a figure.
+// BenchmarkDeathNoticed measures the same up to the fleet size that the system is designed for.
 func BenchmarkDeathNoticed(b *testing.B) {
 	for _, size := range []int{6, 16, 32, 64, 320} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -168,7 +165,7 @@
 			for i := range b.N {
 				c := newCluster(size, uint64(i))
 				if c.run(4*size) < 0 {
-					b.Fatal(c.unsettled())
+					b.Fatal(c.disagreement())
 				}
 				c.vms[0].up = false
 				took := c.run(4 * size)
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// Settings are the timeouts and bounds of a Table. Zero fields take the defaults.
+// Settings holds the timeouts and limits of a Table. Zero fields take the defaults.
 type Settings struct {
-	// SuspicionTimeout is how long a suspected VM has to refute, in a fleet of up to
-	// ten VMs; it grows with the logarithm of the fleet, as the rumour's way does.
+	// SuspicionTimeout is how long a suspected VM has to refute, in a fleet of up to ten VMs. It
+	// grows with the logarithm of the fleet size, as does the time that a rumour takes to reach
+	// all VMs.
 	SuspicionTimeout time.Duration
-	// Retention is how long a dead VM is remembered and tried. It covers a
-	// partition between regions.
+	// Retention is how long a dead VM is remembered and probed. It has to cover a partition
+	// between regions.
 	Retention time.Duration
-	// RetryDeadEvery makes each n-th probe go to a dead VM.
+	// RetryDeadEvery is n if every n-th probe goes to a dead VM.
 	RetryDeadEvery int
-	// TransmitFactor times log2 of the fleet is how often a rumour is passed on.
+	// TransmitFactor times log2 of the fleet size is how often a rumour is transmitted.
 	TransmitFactor int
-	// Rotation is how many members go with each message besides the rumours, to
-	// repair what the rumours missed.
+	// Rotation is how many members are added to each message besides the rumours, to repair what
+	// lost rumours left out of date.
 	Rotation int
 }
 
-// The defaults of Settings.
+// Defaults of Settings.
 const (
 	DefaultSuspicionTimeout = 5 * time.Second
 	DefaultRetention        = 3 * time.Hour
@@ -50,12 +51,12 @@
 	return s
 }
 
-func (s Settings) suspicion(fleet int) time.Duration {
+func (s Settings) suspicionTimeout(fleetSize int) time.Duration {
 	const baseFleet = 10
-	scale := math.Max(1, math.Log10(float64(fleet)/baseFleet)+1)
+	scale := math.Max(1, math.Log10(float64(fleetSize)/baseFleet)+1)
 	return time.Duration(scale * float64(s.SuspicionTimeout))
 }
 
-func (s Settings) transmits(fleet int) int {
-	return s.TransmitFactor * int(math.Ceil(math.Log2(float64(fleet)+1)))
+func (s Settings) transmitLimit(fleetSize int) int {
+	return s.TransmitFactor * int(math.Ceil(math.Log2(float64(fleetSize)+1)))
 }
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -1,14 +1,14 @@
 package membership
 
-// State is what this VM holds another VM to be. The order is the precedence of
-// rumours of the same incarnation: the later one wins.
+// State is the state of a VM as seen by another one. The order is the precedence of rumours about
+// the same incarnation: the later state wins.
 type State uint8
 
 // The states of a member.
 const (
-	// Alive VMs answer, or were listed a moment ago and have yet to be probed.
+	// Alive VMs answer, or were listed recently and have not been probed yet.
 	Alive State = iota
-	// Suspected VMs failed a probe and have not refuted it yet. They may serve.
+	// Suspected VMs failed a probe and have not refuted the suspicion yet. They may serve.
 	Suspected
 	// Dead VMs were suspected for the whole timeout.
 	Dead
@@ -16,7 +16,7 @@
 	Left
 )
 
-// String returns the state's name as it stands in dumps.
+// String returns the state's name as it is written to dumps.
 func (s State) String() string {
 	switch s {
 	case Alive:
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -9,21 +9,20 @@
 
 // Table is one VM's view of the fleet. It is not safe for concurrent use.
 type Table struct {
-	settings Settings
-	rng      *rand.Rand
-	self     Member
-	stopped  bool
-	members  map[string]*Member // without self
-	rumours  map[string]*rumour
-	rotation roundRobin
-	probes   roundRobin
-	probed   int
-	// Refutations counts the suspicions of this VM that it has refuted.
+	settings   Settings
+	rng        *rand.Rand
+	self       Member
+	stopped    bool
+	members    map[string]*Member // without self
+	rumours    map[string]*rumour
+	rotation   roundRobin
+	probes     roundRobin
+	probeCount int
+	// Refutations counts how often this VM has refuted an update about itself.
 	Refutations uint64
 }
 
-// New returns a table that knows only this VM. The random source decides the
-// order of probes.
+// New returns a Table that knows only this VM. The random source decides the order of probes.
 func New(self Identity, s Settings, rng *rand.Rand, now time.Time) *Table {
 	t := &Table{
 		settings: s.withDefaults(),
@@ -39,11 +38,11 @@
 			Since:       now,
 		},
 	}
-	t.spread(self.Name, true)
+	t.queueRumour(self.Name, true)
 	return t
 }
 
-// Self returns what this VM says of itself.
+// Self returns what this VM reports about itself.
 func (t *Table) Self() Identity {
 	return Identity{
 		Name:        t.self.Name,
@@ -55,7 +54,7 @@
 	}
 }
 
-// Members returns this VM and all that it knows of, in order of name.
+// Members returns this VM and all members that it knows, sorted by name.
 func (t *Table) Members() []Member {
 	all := make([]Member, 0, len(t.members)+1)
 	all = append(all, t.self)
@@ -66,7 +65,7 @@
 	return all
 }
 
-// Get returns one member.
+// Get returns the member of the given name, which may be this VM.
 func (t *Table) Get(name string) (Member, bool) {
 	if m := t.find(name); m != nil {
 		return *m, true
@@ -74,7 +73,7 @@
 	return Member{}, false
 }
 
-// FleetSize returns how many VMs may serve, this one included.
+// FleetSize returns the number of VMs that may serve, including this one.
 func (t *Table) FleetSize() int {
 	count := 1
 	for _, m := range t.members {
@@ -85,7 +84,7 @@
 	return count
 }
 
-// ServingMembers returns the other VMs that may serve, in order of name.
+// ServingMembers returns the other VMs that may serve and have an address, sorted by name.
 func (t *Table) ServingMembers() []Member {
 	var serving []Member
 	for _, m := range t.members {
@@ -97,13 +96,14 @@
 	return serving
 }
 
-// SetVersion records what this VM has in force. A lower version is ignored.
+// SetVersion records the configuration version that this VM has in force. A lower version is
+// ignored.
 func (t *Table) SetVersion(version uint64) {
 	if version <= t.self.Version {
 		return
 	}
 	t.self.Version = version
-	t.spread(t.self.Name, false)
+	t.queueRumour(t.self.Name, false)
 }
 
 // StartLeaving marks this VM as leaving.
@@ -113,10 +113,10 @@
 	}
 	t.self.Leaving = true
 	t.self.Incarnation++
-	t.spread(t.self.Name, true)
+	t.queueRumour(t.self.Name, true)
 }
 
-// Leave marks this VM as stopped. It refutes nothing from then on.
+// Leave marks this VM as stopped. From then on it refutes nothing.
 func (t *Table) Leave(now time.Time) {
 	t.StartLeaving()
 	t.stopped = true
@@ -136,5 +136,5 @@
 		m.Since = now
 	}
 	m.State = s
-	t.spread(m.Name, true)
+	t.queueRumour(m.Name, true)
 }
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -24,10 +24,10 @@
 	}
 }
 
-// An operator sees a VM of the fleet die only after it was silent for the whole
-// suspicion timeout: first a probe fails, then the timeout passes. A VM that
-// still sends messages, though others cannot reach it, stays suspected.
-func TestSuspicionComesBeforeDeath(t *testing.T) {
+// A VM must be declared dead only after it was silent for the whole suspicion timeout: first a
+// probe fails, then the timeout passes. A VM that still sends messages, although others cannot
+// reach it, must stay suspected.
+func TestVMIsSuspectedBeforeDead(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := newTestTable(now)
 	id := peerIdentity(now)
@@ -42,10 +42,10 @@
 	mustState(t, table, Dead)
 }
 
-// A delayed rumour says that a VM is dead while this VM holds it alive. It must
-// not vanish from those that have to confirm a change on a rumour alone; it is
-// suspected, and its refutation clears it.
-func TestRumourAloneDoesNotKill(t *testing.T) {
+// A delayed rumour says that a VM is dead while this VM holds it alive. On a rumour alone the VM
+// must not be removed from those that have to confirm a change. It is suspected, and its
+// refutation ends the suspicion.
+func TestRumourDoesNotMakeVMDead(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := newTestTable(now)
 	id := peerIdentity(now)
@@ -56,9 +56,9 @@
 	mustState(t, table, Alive)
 }
 
-// A VM was replaced under its old name. A message that the old one had sent
-// arrives late; it must neither bring back its version nor count as life.
-func TestMessageOfEarlierLifeIsDropped(t *testing.T) {
+// A VM was replaced under its old name. A delayed message of the old VM must neither restore the
+// old version nor count as a sign of life.
+func TestMessageOfEarlierProcessIsDropped(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := newTestTable(now)
 	old, young := peerIdentity(now), peerIdentity(now.Add(time.Minute))
@@ -66,16 +66,16 @@
 	table.RecordMessage(old, now)
 	table.RecordMessage(young, now.Add(time.Minute))
 	if table.RecordMessage(old, now.Add(2*time.Minute)) {
-		t.Fatal("a message of the earlier life was taken")
+		t.Fatal("a message of the earlier process was accepted")
 	}
 	table.Merge([]Update{{Name: "peer", Incarnation: old.Incarnation, Version: 7, VersionOnly: true}}, now)
 	if m, _ := table.Get("peer"); m.Version != 3 || m.Incarnation != young.Incarnation {
-		t.Fatalf("the earlier life came back: %+v", m)
+		t.Fatalf("the earlier process came back: %+v", m)
 	}
 }
 
-// A VM stopped in order and said so. Its delayed messages and others' rumours
-// that it is alive must not make changes wait for it again.
+// A VM has stopped regularly and announced it. Its delayed messages, and rumours that it is alive,
+// must not make changes wait for it again.
 func TestLeftStaysLeft(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := newTestTable(now)
@@ -87,22 +87,22 @@
 	mustState(t, table, Left)
 }
 
-// A VM restarts on a machine whose clock is behind, so that its new life starts
-// lower than its last one. It would be dropped for good; it hears of its former
-// life and takes a higher start.
-func TestClockThatWentBackIsOvertaken(t *testing.T) {
+// A VM restarts on a machine whose clock is behind, so that its new incarnation is lower than the
+// last one. Its messages would be dropped permanently; it must learn of its former incarnation and
+// take a higher start time.
+func TestRestartAfterClockWentBack(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := newTestTable(now)
 	former := NewIncarnation(now.Add(time.Hour))
 	table.Merge([]Update{{Name: "self", Incarnation: former, State: Alive}}, now)
 	if own := table.Self().Incarnation; own.ProcessStart() <= former.ProcessStart() {
-		t.Fatalf("own incarnation %d is not of a later life than %d", own, former)
+		t.Fatalf("own incarnation %d is not of a later process than %d", own, former)
 	}
 }
 
-// The platform's list lags: it no longer shows a VM that answers, and still
-// shows one that is long dead. Evidence decides both.
-func TestEvidenceGoesBeforeTheList(t *testing.T) {
+// The platform's list lags behind: it no longer contains a VM that answers, and still contains one
+// that is long dead. Evidence must override it in both cases.
+func TestEvidenceOverridesList(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := newTestTable(now)
 	id := peerIdentity(now)
@@ -116,9 +116,9 @@
 	mustState(t, table, Dead)
 }
 
-// After a partition one VM still tells that another is alive which this VM holds
-// dead. The other cannot refute what it never hears, so this VM says it again.
-func TestContradictedDeathIsSaidAgain(t *testing.T) {
+// After a partition another VM still reports a VM as alive that this VM holds dead. The reported
+// VM cannot refute what it has not received, so this VM must send the update again.
+func TestContradictedDeathIsSentAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := newTestTable(now)
 	id := peerIdentity(now)
@@ -134,5 +134,5 @@
 			return
 		}
 	}
-	t.Fatal("the contradicted death is not passed on")
+	t.Fatal("the contradicted death is not sent again")
 }
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -1,13 +1,14 @@
 package membership
 
-// Update is one rumour about a VM.
+// Update is a rumour about a VM.
 type Update struct {
 	Name        string
 	Incarnation Incarnation
-	// Version is the newest configuration that the VM is known to have in force.
+	// Version is the newest configuration version that the VM is known to have in force.
 	Version uint64
-	// VersionOnly updates carry nothing but the version, for a VM that the receiver
-	// knows: they are the many, one a VM and change, and a third of the size.
+	// VersionOnly updates carry only the version, for a VM that the receiver knows. Most updates
+	// are of this kind, one for each VM and configuration change, and they have a third of the
+	// size.
 	VersionOnly bool
 	Address     string
 	DataCentre  string
