--- a/internal/incarnation/doc.go
+++ b/internal/incarnation/doc.go
@@ -1,14 +1,13 @@
-// Package incarnation tells the lives of a replica apart.
+// Package incarnation distinguishes the incarnations of a replica.
 //
-// A replica that starts again may have the id that it had, and holds and knows nothing of
-// before. What was learned of the earlier incarnation (its layers, its load, its failures,
-// the requests in its hands) must not be believed of the next, so it is kept by Key and not
-// by id. Entries, reports and peers' boards arrive in any order, some of them late: a
-// replica's last write may be carried out seconds after its death, over the entry of its
-// successor. A Tracker knows the newest incarnation of each id and says whether a word is of
-// an earlier one.
+// A replica that restarts may keep its id, but it has lost its former state. What is known about
+// the earlier incarnation (its layers, its load, its failures, its requests in flight) must not be
+// applied to the next one, so it is stored by Key and not by id. Entries, reports and peers' load
+// boards arrive in any order, and some arrive late: the last write of a replica may take effect
+// seconds after its death and overwrite the entry of its successor. A Tracker knows the newest
+// incarnation of each id and tells whether a report is from an earlier one.
 //
-// What fails. Taking the id for the incarnation, a VM sends requests to layers that were
-// lost with the restart, avoids a healthy replica for the failures of its predecessor, and
-// waits for loads that nobody carries out.
+// If ids were used in place of incarnations, a VM would send requests to layers that were lost
+// with the restart, avoid a healthy replica because of the failures of its predecessor, and wait
+// for loads that no replica carries out.
 package incarnation
--- a/internal/incarnation/tracker.go
+++ b/internal/incarnation/tracker.go
@@ -6,150 +6,153 @@
 )
 
 const (
-	// maxAhead is by how much a start may lie in the future, as clocks of VMs and replicas
-	// differ. One that lies further ahead would make every later start look earlier.
-	maxAhead = 10 * time.Second
-	// silence is for how long a later incarnation must have said nothing before an earlier
-	// start is believed: a replica whose clock was set back starts "before" its predecessor,
-	// and would be lost for good. A late word of a dead replica is overwritten at its
-	// successor's next heartbeat, some 1.2 s, and reports come each second.
-	silence = 5 * time.Second
-	// kept is how long an incarnation that nobody speaks of any more is remembered. Writes
-	// that were given up are carried out within seconds.
-	kept = 5 * time.Minute
+	// maxClockSkew is how far in the future a start time may be, since the clocks of VMs and
+	// replicas differ. A start time further ahead would make every later one look earlier.
+	maxClockSkew = 10 * time.Second
+	// minSilence is how long there must have been no report of the later incarnation before an
+	// earlier start time is accepted: a replica whose clock was set back starts "before" its
+	// predecessor and would otherwise be ignored for good. It exceeds the time for which a late
+	// write of a dead replica can stand: the next heartbeat of the successor, after about 1.2 s,
+	// overwrites it, and reports come every second.
+	minSilence = 5 * time.Second
+	// retention is how long an incarnation is remembered after its last report. Abandoned writes
+	// take effect within seconds.
+	retention = 5 * time.Minute
 )
 
-// Tracker knows the newest incarnation of each replica. It is safe for concurrent use.
+// Tracker records the newest incarnation of each replica. It is safe for concurrent use.
 type Tracker struct {
-	mu    sync.Mutex // guards the fields below
-	lives map[string]*life
-	// missingTold says that FaultMissing was told of: where one replica gives no start, most
-	// don't.
-	missingTold bool
+	mu       sync.Mutex // guards the fields below
+	replicas map[string]*replicaState
+	// missingReported says that FaultMissing was already reported. It is reported once for all
+	// replicas, since most replicas report no start time if one does not.
+	missingReported bool
 }
 
-// life is the newest incarnation of one id.
-type life struct {
+// replicaState is the newest incarnation of one id.
+type replicaState struct {
 	born int64
-	// heard is when a word of it last arrived.
-	heard time.Time
-	// earlier is a start before born that somebody spoke of since, earlierSince when first.
+	// lastReport is when its last report arrived.
+	lastReport time.Time
+	// earlier is a start time before born that was reported since then; earlierSince is when it
+	// was first reported.
 	earlier      int64
 	earlierSince time.Time
-	// reported are the faults that were told of already.
+	// reported holds the faults that were already reported.
 	reported map[Fault]bool
 }
 
-// NewTracker returns a tracker that knows nobody.
-func NewTracker() *Tracker { return &Tracker{lives: map[string]*life{}} }
+// NewTracker returns a Tracker that knows no replicas.
+func NewTracker() *Tracker { return &Tracker{replicas: map[string]*replicaState{}} }
 
-// Observation is what a word of a replica means.
+// Observation is the result of Tracker.Observe for one report about a replica.
 type Observation struct {
-	// Key is the incarnation that the word counts for; see Earlier.
+	// Key is the incarnation to which the report applies; see Superseded.
 	Key Key
-	// Previous is the incarnation that was the newest until now, if Restarted is set.
+	// Previous is the incarnation that was the newest one before, if Restarted is set.
 	Previous  Key
 	Restarted bool
-	// Superseded says that the word is of an incarnation that has been succeeded: it is late
-	// and says nothing about the present one, which is Key.
+	// Superseded says that the report is from an incarnation that has been succeeded. It is late
+	// and says nothing about the present incarnation, which is Key.
 	Superseded bool
-	// Fault says what is wrong with the start, FaultNone if nothing is.
+	// Fault says what is wrong with the start time; it is FaultNone if nothing is.
 	Fault Fault
-	// FirstReport says that this fault was not told of before, of this replica; a missing start
-	// is told of once for all.
+	// FirstReport says that this fault has not been reported before for this replica, or, if it is
+	// FaultMissing, for any replica.
 	FirstReport bool
 }
 
-// Observe takes a word of the incarnation at that time. A start that is not usable counts for
-// the incarnation that is known.
+// Observe records a report from the incarnation k, received at the given time. A report with an
+// unusable start time counts for the incarnation that is known.
 func (t *Tracker) Observe(k Key, now time.Time) Observation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.lives[k.ID]
+	l := t.replicas[k.ID]
 	if l == nil {
-		l = &life{reported: map[Fault]bool{}}
-		t.lives[k.ID] = l
+		l = &replicaState{reported: map[Fault]bool{}}
+		t.replicas[k.ID] = l
 	}
-	h := Observation{Key: k, Fault: faultOf(k, now)}
+	h := Observation{Key: k, Fault: startFault(k, now)}
 	switch {
 	case h.Fault != FaultNone:
-		l.heard = now
+		l.lastReport = now
 	case k.Born > l.born:
 		h.Previous, h.Restarted = Key{ID: k.ID, Born: l.born}, l.born > 0
-		l.begin(k.Born, now)
+		l.replace(k.Born, now)
 	case k.Born < l.born:
 		h.Previous = Key{ID: k.ID, Born: l.born}
 		h.Fault = FaultEarlier
-		h.Restarted = l.believes(k.Born, now)
+		h.Restarted = l.acceptEarlier(k.Born, now)
 		h.Superseded = !h.Restarted
 	default:
-		l.heard, l.earlier = now, 0
+		l.lastReport, l.earlier = now, 0
 	}
 	h.Key.Born = l.born
-	h.FirstReport = t.firstTime(l, h.Fault)
+	h.FirstReport = t.firstReport(l, h.Fault)
 	return h
 }
 
-// firstTime reports whether a fault was not told of before: of each replica, and a missing
-// start of any.
-func (t *Tracker) firstTime(l *life, fault Fault) bool {
+// firstReport reports whether a fault is reported for the first time, for this replica or, if it
+// is FaultMissing, for any.
+func (t *Tracker) firstReport(l *replicaState, fault Fault) bool {
 	switch {
-	case fault == FaultNone, l.reported[fault], fault == FaultMissing && t.missingTold:
+	case fault == FaultNone, l.reported[fault], fault == FaultMissing && t.missingReported:
 		return false
 	case fault == FaultMissing:
-		t.missingTold = true
+		t.missingReported = true
 	}
 	l.reported[fault] = true
 	return true
 }
 
-func faultOf(k Key, now time.Time) Fault {
+func startFault(k Key, now time.Time) Fault {
 	switch {
 	case k.Born == BornMissing:
 		return FaultMissing
 	case k.Born < 0:
 		return FaultUnreadable
-	case time.UnixMilli(k.Born).After(now.Add(maxAhead)):
+	case time.UnixMilli(k.Born).After(now.Add(maxClockSkew)):
 		return FaultAhead
 	}
 	return FaultNone
 }
 
-func (l *life) begin(born int64, now time.Time) {
-	l.born, l.heard, l.earlier = born, now, 0
+func (l *replicaState) replace(born int64, now time.Time) {
+	l.born, l.lastReport, l.earlier = born, now, 0
 }
 
-// believes takes an earlier start over once the later incarnation has been silent for long
-// enough while the earlier one was spoken of.
-func (l *life) believes(born int64, now time.Time) bool {
+// acceptEarlier takes over an earlier start time and returns true, once there was no report of the
+// later incarnation for minSilence, during which the earlier start time was reported.
+func (l *replicaState) acceptEarlier(born int64, now time.Time) bool {
 	if l.earlier != born {
 		l.earlier, l.earlierSince = born, now
 	}
-	if now.Sub(l.earlierSince) < silence || now.Sub(l.heard) < silence {
+	if now.Sub(l.earlierSince) < minSilence || now.Sub(l.lastReport) < minSilence {
 		return false
 	}
-	l.begin(born, now)
+	l.replace(born, now)
 	return true
 }
 
-// Newest returns the newest incarnation that is known of the replica.
+// Newest returns the newest known incarnation of the replica.
 func (t *Tracker) Newest(id string) Key {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	k := Key{ID: id}
-	if l := t.lives[id]; l != nil {
+	if l := t.replicas[id]; l != nil {
 		k.Born = l.born
 	}
 	return k
 }
 
-// Forget drops what is known of replicas that are not listed and were not heard of for long.
+// Forget removes replicas that are not listed and that have not been reported for the retention
+// time.
 func (t *Tracker) Forget(listed func(id string) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id, l := range t.lives {
-		if !listed(id) && now.Sub(l.heard) > kept {
-			delete(t.lives, id)
+	for id, l := range t.replicas {
+		if !listed(id) && now.Sub(l.lastReport) > retention {
+			delete(t.replicas, id)
 		}
 	}
 }
