--- a/internal/lease/bench_test.go
+++ b/internal/lease/bench_test.go
@@ -11,10 +11,9 @@
 	"geraniumcroft/internal/platform/resilient"
 )
 
-// BenchmarkHeldWithinBudget gives the share of the time in which a duty has a
-// holder when each VM's table budget is its share of the fleet's, as the node
-// divides it. Three VMs compete in real time with the budget of one VM of a fleet
-// of each size; an operation is 100 ms.
+// BenchmarkHeldWithinBudget reports the share of time in which a duty has a holder if each VM's
+// table budget is its share of the fleet's budget, as the node divides it. Three VMs compete in
+// real time with the budget of one VM in a fleet of each size. An operation is 100 ms.
 func BenchmarkHeldWithinBudget(b *testing.B) {
 	duties := []string{"orders", "sweep", "compact"}
 	for _, fleet := range []int{6, 32, 64, 320} {
@@ -44,7 +43,7 @@
 	}
 }
 
-// heldBy counts the duties that some VM may act under.
+// heldBy returns the number of duties under which some VM may act.
 func heldBy(managers []*Manager, duties []string) int {
 	held := 0
 	for _, duty := range duties {
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -1,22 +1,27 @@
-// Package lease elects, for each control duty, one VM that may act on it.
+// Package lease elects one VM for each control duty, which alone may act on it.
 //
-// A lease is one row of the platform's table. The holder renews it by a
-// conditional write; every other VM only watches the row's revision. Clocks are
-// never compared between VMs: a contender takes over once it has seen one and the
-// same revision for the whole duration on its own monotonic clock. Where the table
-// tells its own steady clock, a renewal says what that clock showed at most when it was
-// sent, and what has passed by it until a contender first sees the row counts too: after
-// the loss of all power nobody has seen anything, and the duty would rest for a whole
-// duration more. The holder counts its duration from before it sent the renewal, and stops
-// a margin early. So the holder's view has ended before anyone else's can begin, whatever
-// the clocks of the two VMs show.
+// A lease is one row of the platform's table. The holder renews it by a conditional write; every
+// other VM, a contender, only watches the revision of the row. Clocks are never compared between
+// VMs: a contender takes over once it has seen the same revision for the whole duration on its own
+// monotonic clock. If the table reports a steady clock of its own, a renewal records an upper
+// bound of what that clock showed when the renewal was sent, and the time from there until a
+// contender first sees the row counts as well. Otherwise, after a power loss of the whole fleet,
+// where no VM has observed the row, the duty would have no holder for another full duration. The
+// holder counts the duration from before it sent the renewal, and stops a margin early. The period
+// in which the holder may act is called its view: it has ended before the view of any other VM can
+// begin, whatever the clocks of the two VMs show.
 //
-// What goes wrong, and what happens then. The table is out: the holder's view
-// ends and the duty rests until the table is back, for nobody can take it over
-// either. The answer to a renewal is lost: the renewal counts only once it was
-// read back. The holder's VM is paused: on waking, its monotonic clock may not
-// have moved, so the wall clock is read too and the longer of the two elapsed
-// times counts. The holder is paused between Check and its act: no check can help
-// there, which is why each change of holder raises the fencing number and the act
-// carries it; package orders tells what is done for targets that ignore it.
+// Failures and their effect:
+//
+// If the table is unavailable, the holder's view ends and the duty has no holder until the table
+// is back, since no other VM can take over either.
+//
+// If the answer to a renewal is lost, the renewal counts only once it has been read back.
+//
+// If the holder's VM is paused, its monotonic clock may not have advanced when it resumes. The
+// wall clock is read as well and the longer of the two elapsed times counts.
+//
+// If the holder is paused between Check and its act, no check can help. Therefore each change of
+// holder raises the fencing number, and the act carries it; package orders documents what is done
+// for targets that ignore it.
 package lease
--- a/internal/lease/dump.go
+++ b/internal/lease/dump.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Dump is the state of a manager.
+// Dump is the state of a Manager.
 type Dump struct {
 	VM         string     `json:"vm"`
 	TTL        string     `json:"ttl"`
@@ -11,7 +11,7 @@
 	Leases     []DutyDump `json:"leases"`
 }
 
-// DutyDump is what the VM knows of one lease.
+// DutyDump is what this VM knows about one lease.
 type DutyDump struct {
 	Duty     string `json:"duty"`
 	Holder   string `json:"holder"`
@@ -20,9 +20,9 @@
 	// Held says that this VM may act under the lease; ViewLeft is for how long.
 	Held     bool   `json:"held"`
 	ViewLeft string `json:"viewLeft,omitempty"`
-	// Unchanged is for how long this VM has seen the revision.
+	// Unchanged is how long this VM has observed the revision.
 	Unchanged string `json:"unchanged,omitempty"`
-	// Unconfirmed counts writes whose effect was not read back.
+	// Unconfirmed counts the writes whose effect has not been read back.
 	Unconfirmed int `json:"unconfirmed"`
 }
 
@@ -31,9 +31,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	dump := Dump{VM: m.options.VM, TTL: m.options.TTL.String()}
-	dump.ReadError = text(m.readErr)
-	dump.WriteError = text(m.writeErr)
-	now := read(m.options.Clock)
+	dump.ReadError = errText(m.readErr)
+	dump.WriteError = errText(m.writeErr)
+	now := readClock(m.options.Clock)
 	for _, d := range m.duties {
 		dump.Leases = append(dump.Leases, m.dumpDuty(d, now))
 	}
@@ -46,20 +46,20 @@
 		Holder:      d.record.Holder,
 		Fencing:     d.record.Fencing,
 		Revision:    d.revision,
-		Held:        m.viewStands(d),
+		Held:        m.viewValid(d),
 		Unconfirmed: len(d.attempts),
 	}
 	if d.known {
-		dump.Unchanged = now.certainSince(d.firstSeen).Round(time.Millisecond).String()
+		dump.Unchanged = now.minElapsedSince(d.firstSeen).Round(time.Millisecond).String()
 	}
 	if dump.Held {
-		left := m.options.view() - now.longestSince(d.tenure.renewed)
+		left := m.options.viewDuration() - now.maxElapsedSince(d.tenure.renewed)
 		dump.ViewLeft = left.Round(time.Millisecond).String()
 	}
 	return dump
 }
 
-func text(err error) string {
+func errText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/internal/lease/duty.go
+++ b/internal/lease/duty.go
@@ -6,46 +6,47 @@
 	"geraniumcroft/internal/platform"
 )
 
-// attempt is a write whose effect was not yet read back.
+// attempt is a write whose effect has not been read back yet.
 type attempt struct {
 	sent Reading
-	// condition is the revision that the write demands.
-	condition uint64
-	record    record
+	// expectedRevision is the revision of the row that the write requires.
+	expectedRevision uint64
+	record           record
 }
 
-// tenure is an unbroken time of holding one lease.
+// tenure is an uninterrupted period in which this VM holds one lease.
 type tenure struct {
 	nonce    string
 	fencing  uint64
 	acquired Reading
-	// renewed is the reading before the newest confirmed write was sent.
+	// renewed is the reading taken before the latest confirmed write was sent.
 	renewed Reading
 }
 
-// duty is what this VM knows of one lease. It is guarded by the manager's mutex.
+// duty is what this VM knows about one lease. It is guarded by the manager's mutex.
 type duty struct {
 	name string
-	// known says that a row was read; revision and record are that row's, and
+	// known says that the row has been read. revision and record are those of the row, and
 	// firstSeen is when this revision was first read.
 	known bool
-	// unreadable says that somebody else has written the row.
+	// unreadable says that the row cannot be decoded, since another program has written it.
 	unreadable bool
 	revision   uint64
 	record     record
 	firstSeen  Reading
-	// ageFirstSeen is for how long the lease had not been renewed then.
-	ageFirstSeen time.Duration
-	// readAt is the table's clock at the newest reading of the row.
+	// ageAtFirstSeen is how long the lease had not been renewed at firstSeen, if that is known,
+	// else 0.
+	ageAtFirstSeen time.Duration
+	// readAt is what the table's clock showed at the latest read of the row.
 	readAt time.Duration
-	// attempts are this VM's writes that may have taken or may yet take effect, by
-	// transaction.
+	// attempts are the writes of this VM that may have taken effect or may still do so, by
+	// transaction ID.
 	attempts map[string]attempt
-	// tenure is nil unless the table says that this VM holds the lease.
+	// tenure is nil unless this VM holds the lease according to the table.
 	tenure *tenure
 }
 
-// observe takes in a row that was read; now is a reading after the answer came.
+// observe takes over a row that was read. now must be taken after the answer arrived.
 func (d *duty) observe(row platform.Row, r record, now Reading) {
 	changed := !d.known || row.Revision != d.revision
 	d.known = true
@@ -53,19 +54,19 @@
 	d.record = r
 	d.readAt = row.ReadAt
 	if changed {
-		d.firstSeen, d.ageFirstSeen = now, r.ageAt(row.ReadAt)
+		d.firstSeen, d.ageAtFirstSeen = now, r.ageAt(row.ReadAt)
 	}
-	if mine, ok := d.attempts[row.TxnID]; ok && row.Revision != 0 {
-		d.adopt(mine, now)
+	if own, ok := d.attempts[row.TxnID]; ok && row.Revision != 0 {
+		d.applyWrite(own, now)
 	}
 	if d.tenure != nil && d.tenure.nonce != r.Nonce {
 		d.tenure = nil
 	}
-	d.forgetDeadAttempts()
+	d.dropObsoleteAttempts()
 }
 
-// adopt counts a write of this VM that took effect.
-func (d *duty) adopt(a attempt, now Reading) {
+// applyWrite takes over a write of this VM that has taken effect.
+func (d *duty) applyWrite(a attempt, now Reading) {
 	if a.record.free() {
 		d.tenure = nil
 		return
@@ -79,22 +80,22 @@
 	}
 }
 
-// forgetDeadAttempts drops the writes whose condition can never hold again, for
-// revisions only rise.
-func (d *duty) forgetDeadAttempts() {
+// dropObsoleteAttempts removes the attempts whose condition can never hold again, because
+// revisions only increase.
+func (d *duty) dropObsoleteAttempts() {
 	for id, a := range d.attempts {
-		if a.condition < d.revision {
+		if a.expectedRevision < d.revision {
 			delete(d.attempts, id)
 		}
 	}
 }
 
-// takeableAfter returns how long after firstSeen the lease may be taken. What the table's clock
-// shows to have passed before counts: VMs that all start together find the lease of one that is
-// gone, and would wait its whole duration again.
-func (d *duty) takeableAfter(own time.Duration) time.Duration {
+// availableAfter returns how long after firstSeen the lease may be taken. The time that has passed
+// before on the table's clock is subtracted: VMs that all start together find the lease of a
+// holder that is gone, and would otherwise wait for its whole duration again.
+func (d *duty) availableAfter(ownTTL time.Duration) time.Duration {
 	if d.record.free() {
 		return 0
 	}
-	return max(0, max(own, d.record.ttl())-d.ageFirstSeen)
+	return max(0, max(ownTTL, d.record.ttl())-d.ageAtFirstSeen)
 }
--- a/internal/lease/failure_test.go
+++ b/internal/lease/failure_test.go
@@ -10,7 +10,7 @@
 	"geraniumcroft/internal/harness/standin/platformsim"
 )
 
-// takeoverBound is what the operators were promised.
+// takeoverBound is the limit promised to operators.
 const takeoverBound = 10 * time.Second
 
 var threeVMs = []string{"vm-a", "vm-b", "vm-c"}
@@ -22,10 +22,10 @@
 	}
 }
 
-// The operator sees one holder, never two. A VM is paused past its lease and its
-// monotonic clock stands still meanwhile; on waking, by that clock its view would
-// still stand, but the wall clock shows the truth before anything is done.
-func TestHolderPausedPastItsLeaseDoesNotActOnWaking(t *testing.T) {
+// There must never be two holders. A VM is paused past its lease, and its monotonic clock stands
+// still meanwhile. By that clock its view would still last when it resumes, but the wall clock
+// shows the pause before the VM acts.
+func TestHolderPausedPastItsLeaseDoesNotActOnResume(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hooks{}, threeVMs, testDuty)
 		defer f.stop()
@@ -40,9 +40,9 @@
 	})
 }
 
-// The operator sees the duty move on, and the old holder stops by itself. All of its
-// renewals end without an answer or an effect while its reads still work: a renewal
-// that was not read back must not prolong its view.
+// The duty must move to another VM, and the old holder must stop by itself. All of its renewals
+// end without an answer and without effect while its reads still work: a renewal that was not read
+// back must not prolong its view.
 func TestUnansweredRenewalsDoNotProlongTheView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hooks{}, threeVMs, testDuty)
@@ -53,13 +53,12 @@
 		time.Sleep(DefaultTTL)
 		must(t, l.Check() != nil, "the view outlived the last renewal that took effect")
 		next := f.awaitHolder(testDuty, takeoverBound)
-		must(t, next != nil && next != old, "nobody took over")
+		must(t, next != nil && next != old, "no VM took over")
 	})
 }
 
-// The operator sees the same holder throughout. The answers of some renewals are
-// lost after the write took effect; the holder reads its own transaction back and
-// goes on under the same fencing number.
+// The holder must not change. The answers of some renewals are lost after the write has taken
+// effect; the holder reads back its own transaction and continues with the same fencing number.
 func TestLostAnswersOfRenewalsAreReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hooks{}, threeVMs, testDuty)
@@ -79,10 +78,9 @@
 	})
 }
 
-// The operator sees the duty rest while the store is out, and exactly one holder
-// soon after. Views end on their own; when the table is back, whoever writes first
-// on the row's old revision wins.
-func TestLongOutageLeavesNoHolderAndThenOne(t *testing.T) {
+// During an outage of the store the duty must have no holder, and exactly one soon after it. Views
+// end without the table; once it is back, the first VM to write on the row's old revision wins.
+func TestNoHolderDuringOutageAndOneAfterIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hooks{}, threeVMs, testDuty)
 		defer f.stop()
@@ -99,9 +97,9 @@
 	})
 }
 
-// All VMs lose power and start again after longer than a lease lasts. Cards died meanwhile, and
-// callers are refused for as long as nobody may order layers: nobody has seen how long the lease
-// stands, but the table's clock tells, so one VM holds the duty at once.
+// All VMs lose power and restart after longer than a lease lasts. Cards have failed meanwhile, and
+// requests are refused for as long as no VM may order layers. No VM has observed how long the
+// lease has been unchanged, but the table's clock shows it, so a VM must hold the duty at once.
 func TestLeaseFromBeforeALossOfAllPowerIsTakenAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hooks{}, threeVMs, testDuty)
@@ -120,9 +118,9 @@
 	})
 }
 
-// All VMs lose power and start again at once. The lease of a holder that may still act isn't
-// taken, though nobody knows the holder: its view, 4 s of the 5 s, has to end before.
-func TestLeaseThatMayStandIsNotTakenByANewVM(t *testing.T) {
+// All VMs lose power and restart at once. The lease of a holder that may still act must not be
+// taken, although no VM knows the holder: its view, 4 s of the 5 s, has to end first.
+func TestValidLeaseIsNotTakenByNewVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hooks{}, threeVMs[:1], testDuty)
 		defer f.stop()
@@ -132,17 +130,17 @@
 		f.start(newVM(threeVMs[1], f.store, hooks{}, testDuty))
 		next := f.vms[1]
 		for len(next.manager.Dump().(Dump).Leases) == 0 || !next.manager.Dump().(Dump).Leases[0].Held {
-			must(t, time.Since(paused) < takeoverBound, "nobody took over")
+			must(t, time.Since(paused) < takeoverBound, "no VM took over")
 			time.Sleep(10 * time.Millisecond)
 		}
-		must(t, !old.manager.viewStands(old.manager.duties[0]), "taken after %s, while the holder may act", time.Since(paused))
+		must(t, !old.manager.viewValid(old.manager.duties[0]), "taken after %s, while the holder may act", time.Since(paused))
 	})
 }
 
-// The operator sees the same holder throughout, though each answer of the table takes
-// nine tenths of what is waited for: an interval with its two slow calls is shorter
-// than a view, which counts from before the renewal was sent.
-func TestSlowTableKeepsItsHolder(t *testing.T) {
+// The holder must not change although each answer of the table takes nine tenths of the call
+// timeout: a renewal interval with its two slow calls is shorter than a view, which counts from
+// before the renewal was sent.
+func TestSlowTableDoesNotEndLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hooks{}, threeVMs, testDuty)
 		defer f.stop()
@@ -157,9 +155,9 @@
 	})
 }
 
-// The operator sees a planned stop hand its duty on at once. The row is marked free
-// and keeps its fencing number, so the next holder's is higher.
-func TestReleaseHandsOnWithoutWaiting(t *testing.T) {
+// A planned stop must pass the duty on at once. The row is marked free and keeps its fencing
+// number, so that the next holder's number is higher.
+func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hooks{}, threeVMs, testDuty)
 		defer f.stop()
@@ -169,14 +167,14 @@
 		first.manager.Release(context.Background())
 		must(t, before.Check() != nil, "acts are possible after the release")
 		next := f.awaitHolder(testDuty, DefaultTTL/2)
-		must(t, next != nil && next != first, "not handed on")
+		must(t, next != nil && next != first, "no other VM took over")
 		after, _ := next.manager.Held(testDuty)
 		must(t, after.Fencing == before.Fencing+1, "fencing number %d after %d", after.Fencing, before.Fencing)
 	})
 }
 
-// A VM is replaced under the same name and its predecessor's row still stands. The
-// successor must not take the lease for its own: the predecessor may only be paused.
+// A VM is replaced under the same name, and the row of its predecessor is still valid. The
+// successor must not treat the lease as its own: the predecessor may only be paused.
 func TestSameNameIsNotTheSameHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hooks{}, []string{"vm-a"}, testDuty)
@@ -190,12 +188,12 @@
 		for range 40 {
 			time.Sleep(500 * time.Millisecond)
 			_, held := successor.manager.Held(testDuty)
-			must(t, !held && l.Check() == nil, "the successor took a live lease")
+			must(t, !held && l.Check() == nil, "the successor took a valid lease")
 		}
 	})
 }
 
-// Six VMs start together; no VM is left with all the control work.
+// Six VMs start together. No VM may end up with all the duties.
 func TestDutiesAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		duties := []string{"orders", "sweep", "compact"}
@@ -212,8 +210,8 @@
 	})
 }
 
-// A VM that starts half a second later finds a duty left, though the first VM could
-// have taken both by then.
+// A VM that starts half a second later must still find a duty without a holder, although the first
+// VM could have acquired both by then.
 func TestFirstVMLeavesDutiesToLaterOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hooks{}, []string{"vm-a"}, "orders", "sweep")
@@ -226,7 +224,7 @@
 	})
 }
 
-// After Release nothing that is still on its way from the table makes this VM a holder.
+// After Release, an answer of the table that arrives late must not make this VM a holder again.
 func TestNoViewAfterRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hooks{}, threeVMs[:1], testDuty)
@@ -236,14 +234,14 @@
 		before := *v.manager.duties[0].tenure
 		v.manager.Release(context.Background())
 		v.manager.mu.Lock()
-		v.manager.duties[0].tenure = &before // as a late reading would
+		v.manager.duties[0].tenure = &before // as a late answer would
 		v.manager.mu.Unlock()
 		must(t, l.Check() != nil && len(f.holders(testDuty)) == 0, "a view after the release")
 	})
 }
 
-// A row written by a VM with a longer duration is respected by one with a shorter.
-func TestContenderRespectsTheRowsDuration(t *testing.T) {
+// A contender with a shorter duration must respect the longer duration in a row.
+func TestContenderRespectsDurationInRow(t *testing.T) {
 	d := duty{record: record{Holder: "vm-a", Duration: config.Duration(time.Minute)}}
-	must(t, d.takeableAfter(DefaultTTL) == time.Minute, "takeable after %s", d.takeableAfter(DefaultTTL))
+	must(t, d.availableAfter(DefaultTTL) == time.Minute, "available after %s", d.availableAfter(DefaultTTL))
 }
--- a/internal/lease/fleet_size_test.go
+++ b/internal/lease/fleet_size_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// The fleet's share of the table for all of its work is a third of 2,000 reads and
-	// 300 writes a second; leases take a small part of it.
+	// The fleet's budget for all of its work is a third of the table's 2,000 reads and 300 writes
+	// a second. Leases may use a small part of it.
 	maxReadsPerSecond  = 70
 	maxWritesPerSecond = 5
 
-	quietTime = time.Minute
+	measuredTime = time.Minute
 )
 
-// newSizedFleet starts n VMs that know of one another.
+// newSizedFleet starts a fleet of n VMs, each of which knows the size.
 func newSizedFleet(n int, duties ...string) *fleet {
 	f := newFleet(hooks{}, nil, duties...)
 	for i := range n {
@@ -33,8 +33,8 @@
 	time.Sleep(7 * time.Millisecond) // VMs do not start in step
 }
 
-// The operator sees each duty of a dead VM taken over within 10 s, at either size of
-// the fleet, while the table is hardly asked for it.
+// Each duty of a dead VM must be taken over within 10 s at either fleet size, with few calls to
+// the table.
 func TestTakeoverAndTableLoadAtBothSizes(t *testing.T) {
 	for n, deaths := range map[int]int{6: 25, 320: 10} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -54,10 +54,10 @@
 	t.Helper()
 	time.Sleep(takeoverBound)
 	commitsBefore, readsBefore := f.store.Counts()
-	time.Sleep(quietTime)
+	time.Sleep(measuredTime)
 	commits, reads := f.store.Counts()
-	writesPerSecond := float64(commits-commitsBefore) / quietTime.Seconds()
-	readsPerSecond := float64(reads-readsBefore) / quietTime.Seconds()
+	writesPerSecond := float64(commits-commitsBefore) / measuredTime.Seconds()
+	readsPerSecond := float64(reads-readsBefore) / measuredTime.Seconds()
 	t.Logf("%d VMs: %.1f reads and %.1f writes a second for three duties", n, readsPerSecond, writesPerSecond)
 	must(t, readsPerSecond <= maxReadsPerSecond, "%.1f reads a second", readsPerSecond)
 	must(t, writesPerSecond <= maxWritesPerSecond, "%.1f writes a second", writesPerSecond)
@@ -77,7 +77,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		took = append(took, time.Since(died))
-		time.Sleep(time.Duration(i) * 137 * time.Millisecond) // die at another phase of the renewals
+		time.Sleep(time.Duration(i) * 137 * time.Millisecond) // fail at another phase of the renewals
 	}
 	slices.Sort(took)
 	t.Logf("%d VMs: %d takeovers after %s to %s, median %s", n, deaths, took[0], took[deaths-1], took[deaths/2])
--- a/internal/lease/held.go
+++ b/internal/lease/held.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Held returns the lease of a duty while this VM may act under it.
+// Held returns the lease of a duty if this VM may act under it now.
 func (m *Manager) Held(name string) (Lease, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, d := range m.duties {
-		if d.name == name && m.viewStands(d) {
+		if d.name == name && m.viewValid(d) {
 			return m.leaseOf(d), true
 		}
 	}
@@ -25,39 +25,39 @@
 	}
 }
 
-func (m *Manager) viewStands(d *duty) bool {
+func (m *Manager) viewValid(d *duty) bool {
 	if d.tenure == nil || m.released {
 		return false
 	}
-	now := read(m.options.Clock)
+	now := readClock(m.options.Clock)
 	if m.options.hooks.skipWallClock {
-		return now.certainSince(d.tenure.renewed) < m.options.view()
+		return now.minElapsedSince(d.tenure.renewed) < m.options.viewDuration()
 	}
-	return now.longestSince(d.tenure.renewed) < m.options.view()
+	return now.maxElapsedSince(d.tenure.renewed) < m.options.viewDuration()
 }
 
 func (m *Manager) check(l Lease) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, d := range m.duties {
-		if d.name == l.Duty && m.viewStands(d) && d.tenure.nonce == l.nonce {
+		if d.name == l.Duty && m.viewValid(d) && d.tenure.nonce == l.nonce {
 			return nil
 		}
 	}
 	return &LostError{Duty: l.Duty, Fencing: l.Fencing}
 }
 
-// SinceAcquired returns how long this VM has known that it holds the lease, as the
-// slower of its clocks has it.
+// SinceAcquired returns how long this VM has known that it holds the lease, on its monotonic
+// clock. It returns 0 for the zero Lease.
 func (l Lease) SinceAcquired() time.Duration {
 	if l.manager == nil {
 		return 0
 	}
-	return read(l.manager.options.Clock).certainSince(l.Acquired)
+	return readClock(l.manager.options.Clock).minElapsedSince(l.Acquired)
 }
 
-// TableUnavailable reports whether the table left this VM's last question without an answer, so
-// that nobody it knows of can hold a lease for longer.
+// TableUnavailable reports whether the last read of the table failed. No holder that this VM knows
+// of can then extend its lease.
 func (m *Manager) TableUnavailable() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lease/history_test.go
+++ b/internal/lease/history_test.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	historySeeds = 12
-	historyLong  = 3 * time.Minute
-	actEvery     = 200 * time.Millisecond
+	historySeeds    = 12
+	historyDuration = 3 * time.Minute
+	actEvery        = 200 * time.Millisecond
 )
 
-// actModel is the history of acts under one duty: once a fencing number has acted,
-// no lower one may.
+// actModel is the model of the acts under one duty: once a fencing number has acted, no lower one
+// may.
 var actModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) {
@@ -50,16 +50,16 @@
 	return len(seen)
 }
 
-// run lets four VMs act under one duty for a while, under pauses, outages, lost
-// answers and late writes that the seed decides, and returns the acts.
-func run(seed uint64, planted hooks) *history {
+// run lets four VMs act under one duty for a while, with pauses, outages, lost answers and late
+// writes that depend on the seed, and returns the acts.
+func run(seed uint64, injected hooks) *history {
 	h := &history{}
-	f := newFleet(planted, append([]string{"vm-d"}, threeVMs...), testDuty)
-	end := time.Now().Add(historyLong)
+	f := newFleet(injected, append([]string{"vm-d"}, threeVMs...), testDuty)
+	end := time.Now().Add(historyDuration)
 	for i, v := range f.vms {
 		f.done.Go(func() { act(h, i, v, end) })
 	}
-	disturb(rand.New(rand.NewPCG(seed, seed)), f, end)
+	injectFaults(rand.New(rand.NewPCG(seed, seed)), f, end)
 	f.stop()
 	return h
 }
@@ -75,8 +75,8 @@
 	}
 }
 
-func disturb(random *rand.Rand, f *fleet, end time.Time) {
-	var mu sync.Mutex // the store asks from several goroutines
+func injectFaults(random *rand.Rand, f *fleet, end time.Time) {
+	var mu sync.Mutex // the store calls from several goroutines
 	f.store.Faults.Choose(func(platformsim.Operation) platformsim.Action {
 		mu.Lock()
 		defer mu.Unlock()
@@ -124,14 +124,14 @@
 	}
 }
 
-func linearizable(seed uint64, planted hooks, t *testing.T) (bool, *history) {
+func linearizable(seed uint64, injected hooks, t *testing.T) (bool, *history) {
 	var h *history
-	synctest.Test(t, func(*testing.T) { h = run(seed, planted) })
+	synctest.Test(t, func(*testing.T) { h = run(seed, injected) })
 	return porcupine.CheckOperations(actModel, h.ops), h
 }
 
-// No run shows an act under a lower fencing number after one under a higher.
-func TestNoActAfterASuccessorsAct(t *testing.T) {
+// No run may contain an act under a lower fencing number after one under a higher number.
+func TestNoActAfterActOfSuccessor(t *testing.T) {
 	acts, holders := 0, 0
 	for seed := range testseed.Series(historySeeds) {
 		ok, h := linearizable(seed, hooks{}, t)
@@ -139,21 +139,21 @@
 		acts += len(h.ops)
 		holders += h.holders()
 	}
-	must(t, holders > 4*historySeeds, "only %d tenures in %d runs, the runs prove little", holders, historySeeds)
+	must(t, holders > 4*historySeeds, "only %d tenures in %d runs, too few to prove anything", holders, historySeeds)
 	t.Logf("%d runs, %d acts, %d tenures", historySeeds, acts, holders)
 }
 
-// Each safeguard that is taken out is missed by the check.
-func TestHistoryCheckCatchesPlantedFaults(t *testing.T) {
+// The check must detect the removal of each safeguard.
+func TestHistoryCheckDetectsInjectedFaults(t *testing.T) {
 	faults := map[string]hooks{
 		"takes over without observing":   {skipObservation: true},
 		"trusts the monotonic clock":     {skipWallClock: true},
 		"counts renewals without answer": {trustAmbiguous: true},
 	}
-	for name, planted := range faults {
+	for name, injected := range faults {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(historySeeds) {
-				if ok, _ := linearizable(seed, planted, t); !ok {
+				if ok, _ := linearizable(seed, injected, t); !ok {
 					t.Logf("caught with seed %d", seed)
 					return
 				}
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -17,45 +17,44 @@
 	"geraniumcroft/internal/platform"
 )
 
-// Manager competes for leases and renews those that it holds. It is safe for
-// concurrent use.
+// Manager competes for leases and renews those that it holds. It is safe for concurrent use.
 type Manager struct {
 	options Options
 	keys    []string
 
-	// stepping serialises the loop and Release, which write to the table. It is no
-	// mutex, since it is held while the table is slow.
-	stepping chan struct{}
+	// stepLock serializes the steps of Run and Release, which write to the table. It is not a
+	// mutex, because it is held during slow calls to the table.
+	stepLock chan struct{}
 
 	mu     sync.Mutex // guards the fields below
 	duties []*duty
-	// released ends all views for good.
+	// released ends all views permanently.
 	released bool
-	// lastTry is when the rows were last asked for, tried whether ever, and readErr
-	// what came of it.
-	lastTry Reading
-	tried   bool
-	// asked is the reading before the rows were last asked for.
-	asked   Reading
-	readErr error
-	// writeErr is what came of the newest write.
+	// lastRead is when the latest read of the rows ended, readAttempted says whether there was
+	// one, and readErr is its result.
+	lastRead      Reading
+	readAttempted bool
+	// readStarted is the reading taken before the latest read of the rows.
+	readStarted Reading
+	readErr     error
+	// writeErr is the result of the latest write.
 	writeErr error
 }
 
-// NewManager returns a manager; Run makes it compete.
+// NewManager returns a Manager. It competes for leases once Run is called.
 func NewManager(o Options) *Manager {
 	o.setDefaults()
-	m := &Manager{options: o, stepping: make(chan struct{}, 1)}
-	for _, name := range inPreference(o.VM, o.Duties) {
+	m := &Manager{options: o, stepLock: make(chan struct{}, 1)}
+	for _, name := range preferenceOrder(o.VM, o.Duties) {
 		m.keys = append(m.keys, keyOf(name))
 		m.duties = append(m.duties, &duty{name: name, attempts: map[string]attempt{}})
 	}
 	return m
 }
 
-// inPreference orders the duties differently on each VM, so that VMs which start
-// together do not all try for the same one.
-func inPreference(vm string, duties []string) []string {
+// preferenceOrder sorts the duties differently on each VM, so that VMs that start together do not
+// all try to acquire the same lease.
+func preferenceOrder(vm string, duties []string) []string {
 	return slices.SortedFunc(slices.Values(duties), func(a, b string) int {
 		return cmp.Compare(rank(vm, a), rank(vm, b))
 	})
@@ -63,12 +62,12 @@
 
 func rank(vm, duty string) uint64 { return xxhash.Sum64String(vm + "\x00" + duty) }
 
-// Run acquires free and expired leases and renews the held ones until ctx ends or
-// Release is called. It does not release them.
+// Run acquires free and expired leases and renews those held until ctx ends or Release is called.
+// It does not release them.
 //
-// The pause between steps is a timer of its own and not a time.Ticker: a timer that is due
-// before its channel is waited for is run by the reading goroutine, and several at once in one
-// synctest bubble share state in Go 1.26's race detector and crash it.
+// It waits between steps with time.After and not with a time.Ticker: a ticker's timer that is due
+// before its channel is waited for is run by the receiving goroutine, and several of these at once
+// in one synctest bubble share state in the race detector of Go 1.26 and crash it.
 func (m *Manager) Run(ctx context.Context) {
 	ctx = platform.WithPurpose(ctx, platform.PurposeLease)
 	for {
@@ -82,90 +81,90 @@
 }
 
 func (m *Manager) step(ctx context.Context) {
-	m.stepping <- struct{}{}
-	defer func() { <-m.stepping }()
-	if ctx.Err() != nil || !m.due() {
+	m.stepLock <- struct{}{}
+	defer func() { <-m.stepLock }()
+	if ctx.Err() != nil || !m.readDue() {
 		return
 	}
 	if err := m.readRows(ctx); err != nil {
 		return
 	}
-	m.write(ctx, m.plan())
+	m.commitAll(ctx, m.planWrites())
 }
 
-// due reports whether the rows are to be read now. After a failed read nobody
-// hurries, so that a table which comes back is not met by the whole fleet.
-func (m *Manager) due() bool {
+// readDue reports whether the rows have to be read now. After a failed read it waits for the full
+// interval, so that a table that recovers is not called by the whole fleet at once.
+func (m *Manager) readDue() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.released {
 		return false
 	}
-	if !m.tried {
+	if !m.readAttempted {
 		return true
 	}
-	now := read(m.options.Clock)
-	if m.readErr == nil && m.anyWrite(now) {
+	now := readClock(m.options.Clock)
+	if m.readErr == nil && m.writeDue(now) {
 		return true
 	}
-	return now.certainSince(m.lastTry) >= m.interval()-m.options.tick()/2
+	return now.minElapsedSince(m.lastRead) >= m.readInterval()-m.options.tick()/2
 }
 
-func (m *Manager) anyWrite(now Reading) bool {
+func (m *Manager) writeDue(now Reading) bool {
 	for _, d := range m.duties {
-		if d.known && (m.renewable(d, now) || d.tenure == nil && m.takeable(d, now)) {
+		if d.known && (m.renewalDue(d, now) || d.tenure == nil && m.canAcquire(d, now)) {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *Manager) renewable(d *duty, now Reading) bool {
-	return d.tenure != nil && now.longestSince(d.tenure.renewed) >= m.options.renewEvery()-m.options.tick()/2
+func (m *Manager) renewalDue(d *duty, now Reading) bool {
+	return d.tenure != nil && now.maxElapsedSince(d.tenure.renewed) >= m.options.renewEvery()-m.options.tick()/2
 }
 
-func (m *Manager) interval() time.Duration {
+func (m *Manager) readInterval() time.Duration {
 	for _, d := range m.duties {
 		if d.tenure != nil {
 			return min(m.options.readEvery(), m.options.renewEvery())
 		}
 	}
-	if m.readErr == nil && m.tellAges() {
+	if m.readErr == nil && m.rowsHaveAges() {
 		return max(m.options.readEvery(), m.options.watchEvery())
 	}
 	return m.options.readEvery()
 }
 
-// tellAges reports whether the rows tell for how long each lease had not been renewed.
-func (m *Manager) tellAges() bool {
+// rowsHaveAges reports whether each row shows for how long its lease had not been renewed.
+func (m *Manager) rowsHaveAges() bool {
 	return !slices.ContainsFunc(m.duties, func(d *duty) bool { return !d.known || d.readAt <= 0 || d.record.Renewed <= 0 })
 }
 
 func (m *Manager) readRows(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, m.options.callTimeout())
 	defer cancel()
-	asked := read(m.options.Clock)
+	started := readClock(m.options.Clock)
 	rows, err := m.options.Table.Get(ctx, m.keys...)
-	now := read(m.options.Clock)
+	now := readClock(m.options.Clock)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.asked = asked
-	m.lastTry = now
-	m.tried = true
+	m.readStarted = started
+	m.lastRead = now
+	m.readAttempted = true
 	m.readErr = err
 	if err != nil {
 		return err
 	}
 	for i, row := range rows {
-		m.observe(m.duties[i], row, now)
+		m.observeRow(m.duties[i], row, now)
 	}
 	return nil
 }
 
-func (m *Manager) observe(d *duty, row platform.Row, now Reading) {
+func (m *Manager) observeRow(d *duty, row platform.Row, now Reading) {
 	r, err := decode(row)
 	if err != nil {
-		r = unreadable(row, d.record)
+		r = unreadableRecord(row, d.record)
 	}
 	if (err != nil) != d.unreadable {
 		d.unreadable = err != nil
@@ -180,31 +179,31 @@
 	}
 }
 
-// planned is one write that a step makes.
-type planned struct {
+// plannedWrite is one write of a step.
+type plannedWrite struct {
 	duty    *duty
 	txn     string
 	attempt attempt
 }
 
-// plan decides on the writes of this step: all renewals that are due, and at most
-// one acquisition, so that VMs which start together share the duties.
-func (m *Manager) plan() []planned {
+// planWrites plans the writes of this step: all renewals that are due, and at most one
+// acquisition, so that VMs that start together share the duties.
+func (m *Manager) planWrites() []plannedWrite {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := read(m.options.Clock)
-	var writes []planned
+	now := readClock(m.options.Clock)
+	var writes []plannedWrite
 	acquiring := false
 	for _, d := range m.duties {
 		switch {
 		case !d.known:
 		case d.tenure != nil:
-			if m.renewable(d, now) {
-				writes = append(writes, m.prepare(d, d.record, now))
+			if m.renewalDue(d, now) {
+				writes = append(writes, m.prepareWrite(d, d.record, now))
 			}
-		case !acquiring && m.takeable(d, now):
+		case !acquiring && m.canAcquire(d, now):
 			acquiring = true
-			writes = append(writes, m.prepare(d, m.successor(d.record), now))
+			writes = append(writes, m.prepareWrite(d, m.successor(d.record), now))
 		}
 	}
 	return writes
@@ -219,32 +218,33 @@
 	}
 }
 
-// prepare plans a write. The row tells what the table's clock shows now at most: what it showed
-// when the row was read, and all the time since this VM asked for it. The view counts from
-// now, so it has ended when another VM takes the lease by that clock, however late the write
-// takes effect.
-func (m *Manager) prepare(d *duty, r record, now Reading) planned {
+// prepareWrite plans a write. Its row records an upper bound of what the table's clock shows now:
+// what it showed when the row was read, plus all the time since this VM started the read. The view
+// counts from now. However late the write takes effect, the view has therefore ended when another
+// VM takes the lease by that clock.
+func (m *Manager) prepareWrite(d *duty, r record, now Reading) plannedWrite {
 	r.Renewed = 0
 	if d.readAt > 0 {
-		r.Renewed = config.Duration(d.readAt + now.longestSince(m.asked))
+		r.Renewed = config.Duration(d.readAt + now.maxElapsedSince(m.readStarted))
 	}
-	p := planned{duty: d, txn: uuid.NewString(), attempt: attempt{sent: now, condition: d.revision, record: r}}
+	p := plannedWrite{duty: d, txn: uuid.NewString(), attempt: attempt{sent: now, expectedRevision: d.revision, record: r}}
 	d.attempts[p.txn] = p.attempt
 	return p
 }
 
-// takeable reports whether the lease is free or expired, and this VM's hold-off
-// has passed as well.
-func (m *Manager) takeable(d *duty, now Reading) bool {
+// canAcquire reports whether the lease is free or expired, and this VM's hold-off has passed as
+// well.
+func (m *Manager) canAcquire(d *duty, now Reading) bool {
 	if m.options.hooks.skipObservation {
 		return true
 	}
-	wait := d.takeableAfter(m.options.TTL) + m.holdOff(d)
-	return now.certainSince(d.firstSeen) >= wait
+	wait := d.availableAfter(m.options.TTL) + m.holdOff(d)
+	return now.minElapsedSince(d.firstSeen) >= wait
 }
 
-// holdOff lets VMs that hold fewer leases go first, and in an order that differs
-// from duty to duty, so that duties are spread and contenders rarely collide.
+// holdOff returns the time for which this VM leaves a free or expired lease to others. It is
+// shorter for VMs that hold fewer leases, and beyond that ordered differently for each duty, so
+// that the duties are spread and contenders rarely collide.
 func (m *Manager) holdOff(d *duty) time.Duration {
 	held := 0
 	for _, other := range m.duties {
@@ -256,9 +256,8 @@
 	return time.Duration(min(held, maxPenalties))*m.options.penalty() + share
 }
 
-// write sends the planned writes side by side, so that a slow one does not make
-// the others late.
-func (m *Manager) write(ctx context.Context, writes []planned) {
+// commitAll sends the writes concurrently, so that a slow one does not delay the others.
+func (m *Manager) commitAll(ctx context.Context, writes []plannedWrite) {
 	ctx, cancel := context.WithTimeout(ctx, m.options.callTimeout())
 	defer cancel()
 	var wg sync.WaitGroup
@@ -268,34 +267,34 @@
 	wg.Wait()
 }
 
-func (m *Manager) commit(ctx context.Context, p planned) error {
+func (m *Manager) commit(ctx context.Context, p plannedWrite) error {
 	key := keyOf(p.duty.name)
 	err := m.options.Table.Commit(ctx, platform.Txn{
 		ID:         p.txn,
-		Conditions: []platform.Condition{{Key: key, Revision: p.attempt.condition}},
+		Conditions: []platform.Condition{{Key: key, Revision: p.attempt.expectedRevision}},
 		Writes:     []platform.Write{{Key: key, Value: p.attempt.record.encode()}},
 	})
-	now := read(m.options.Clock)
+	now := readClock(m.options.Clock)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := p.duty
 	switch {
 	case err == nil, m.options.hooks.trustAmbiguous && errors.Is(err, platform.ErrAmbiguous):
-		m.confirmed(d, p, now)
+		m.confirmWrite(d, p, now)
 	case errors.Is(err, platform.ErrRefused), errors.Is(err, platform.ErrUnavailable):
 		delete(d.attempts, p.txn)
 	}
-	// Otherwise the write may have taken effect or may yet do so. It counts once the
-	// row shows its transaction: a holder that believed it had renewed would act on
-	// while another VM takes over.
+	// Otherwise the write may have taken effect or may still do so. It counts once the row shows
+	// its transaction: a holder that wrongly assumed that it had renewed would act while another
+	// VM takes over.
 	m.writeErr = err
 	return err
 }
 
-func (m *Manager) confirmed(d *duty, p planned, now Reading) {
-	fresh := d.tenure == nil
-	d.adopt(p.attempt, now)
-	if fresh && d.tenure != nil {
+func (m *Manager) confirmWrite(d *duty, p plannedWrite, now Reading) {
+	acquired := d.tenure == nil
+	d.applyWrite(p.attempt, now)
+	if acquired && d.tenure != nil {
 		m.options.Logger.Info("lease acquired", zap.String("duty", d.name), zap.Uint64("fencing", d.tenure.fencing))
 	}
 }
--- a/internal/lease/options.go
+++ b/internal/lease/options.go
@@ -9,37 +9,38 @@
 	"geraniumcroft/internal/platform"
 )
 
-// DefaultTTL is how long a lease lasts after its renewal. With the fractions
-// below, a dead holder's duty is taken over after at most
-// 5 s + 0.83 s + 0.42 s + 0.42 s = 6.7 s and three round trips to the table, and
-// 2.5 s later if nobody is left but VMs that hold two leases already.
+// DefaultTTL is how long a lease lasts after its renewal. With the divisors below, the duty of a
+// dead holder is taken over after at most 5 s + 0.83 s + 0.42 s + 0.42 s = 6.7 s and three round
+// trips to the table, and 2.5 s later if all remaining VMs already hold two leases.
 const DefaultTTL = 5 * time.Second
 
 const (
-	// marginFraction of the TTL is kept off the holder's view. It covers clocks that
-	// run at different rates and the time from Check to the act.
-	marginFraction = 5
-	// renewFraction: a holder renews three times before its view ends, so that one lost
-	// renewal ends no view, and two do not if the third is answered at once.
-	renewFraction = 4
-	// penaltyFraction: a VM that holds a lease leaves the others this much time for
-	// each, which is three ticks, so that one that lost a race can try for another.
-	penaltyFraction = 4
-	// readFraction bounds how late a contender first sees a revision.
-	readFraction = 6
-	// watchFraction bounds how late a contender first sees a revision whose row tells its age. It
-	// need not see each renewal, as it reads again once the lease may have ended by that age. What
-	// it may miss for that long is a lease that was handed back: with the hold-off the next
-	// holder is there within half a lease.
-	watchFraction = 3
-	// tickFraction is the granularity of the manager's loop.
-	tickFraction = 12
-	// readsPerVM spaces the contenders' reads: at n VMs each reads every n*readsPerVM,
-	// between TTL/readFraction and TTL, so that the fleet's reads stay at 1/readsPerVM.
-	readsPerVM = 20 * time.Millisecond
-	// maxPenalties bounds the hold-off of a VM that holds leases already.
+	// TTL/marginDivisor is the margin by which the holder's view is shorter than the lease. It
+	// covers clocks that run at different rates and the time from Check to the act.
+	marginDivisor = 5
+	// TTL/renewDivisor is the renewal interval. A holder renews three times before its view ends,
+	// so that one lost renewal does not end the view, and two do not if the third is answered at
+	// once.
+	renewDivisor = 4
+	// TTL/penaltyDivisor is the hold-off of a VM for each lease that it holds. This is three
+	// ticks, so that a VM that has lost a race can try for another lease.
+	penaltyDivisor = 4
+	// TTL/readDivisor bounds how late a contender first sees a revision.
+	readDivisor = 6
+	// TTL/watchDivisor bounds how late a contender first sees a revision whose row shows its age.
+	// It need not see each renewal, because it reads again once the lease may have ended by that
+	// age. What it may miss for that long is a released lease: including the hold-off, the next
+	// holder acts within half a lease.
+	watchDivisor = 3
+	// TTL/tickDivisor is the interval of the steps of Run.
+	tickDivisor = 12
+	// readSpacingPerVM spaces the contenders' reads: in a fleet of n VMs each reads every
+	// n*readSpacingPerVM, but at least TTL/readDivisor and at most TTL apart, so that the whole
+	// fleet makes one read per readSpacingPerVM.
+	readSpacingPerVM = 20 * time.Millisecond
+	// maxPenalties bounds the number of held leases that count for the hold-off.
 	maxPenalties = 2
-	// releaseAttempts bounds the writes of one Release.
+	// releaseAttempts bounds the attempts of one Release.
 	releaseAttempts = 3
 )
 
@@ -48,27 +49,27 @@
 	Table platform.Table
 	// VM is this VM's name.
 	VM string
-	// Duties are the names of the leases to compete for.
+	// Duties are the names of the duties whose leases the VM competes for.
 	Duties []string
-	// TTL is the duration of a lease; 0 takes DefaultTTL.
+	// TTL is the duration of a lease; 0 means DefaultTTL.
 	TTL time.Duration
-	// Clock may be nil for the system's.
+	// Clock is the VM's clock; nil means the system clock.
 	Clock Clock
-	// VMs returns how many VMs compete, to space the reads; nil counts as 1.
+	// VMs returns how many VMs compete, which determines the interval of the reads; nil means 1.
 	VMs func() int
-	// Invariants is nil in strict tests only.
+	// Invariants is nil only in tests, where a violation then panics.
 	Invariants *invariant.Registry
 	// Logger may be nil.
 	Logger *zap.Logger
 
-	// hooks are faults that tests plant to show that their checks notice.
+	// hooks are faults that tests inject to show that their checks detect them.
 	hooks hooks
 }
 
 type hooks struct {
-	// skipObservation takes a lease over without seeing its duration pass.
+	// skipObservation takes over a lease without observing it for its duration.
 	skipObservation bool
-	// skipWallClock ignores the wall clock in the holder's view.
+	// skipWallClock ignores the wall clock when it checks the holder's view.
 	skipWallClock bool
 	// trustAmbiguous counts a renewal whose answer was lost.
 	trustAmbiguous bool
@@ -89,16 +90,16 @@
 	}
 }
 
-func (o *Options) view() time.Duration       { return o.TTL - o.TTL/marginFraction }
-func (o *Options) renewEvery() time.Duration { return o.TTL / renewFraction }
-func (o *Options) watchEvery() time.Duration { return o.TTL / watchFraction }
-func (o *Options) tick() time.Duration       { return o.TTL / tickFraction }
-func (o *Options) penalty() time.Duration    { return o.TTL / penaltyFraction }
+func (o *Options) viewDuration() time.Duration { return o.TTL - o.TTL/marginDivisor }
+func (o *Options) renewEvery() time.Duration   { return o.TTL / renewDivisor }
+func (o *Options) watchEvery() time.Duration   { return o.TTL / watchDivisor }
+func (o *Options) tick() time.Duration         { return o.TTL / tickDivisor }
+func (o *Options) penalty() time.Duration      { return o.TTL / penaltyDivisor }
 func (o *Options) callTimeout() time.Duration {
-	return o.TTL / marginFraction
+	return o.TTL / marginDivisor
 }
 
 func (o *Options) readEvery() time.Duration {
-	spaced := time.Duration(o.VMs()) * readsPerVM
-	return min(max(spaced, o.TTL/readFraction), o.TTL)
+	spaced := time.Duration(o.VMs()) * readSpacingPerVM
+	return min(max(spaced, o.TTL/readDivisor), o.TTL)
 }
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -14,17 +14,17 @@
 
 func keyOf(duty string) string { return keyPrefix + duty }
 
-// record is the value of a lease's row.
+// record is the value of the row of a lease.
 type record struct {
-	// Holder is empty once the lease was released.
+	// Holder is the name of the holder's VM; it is empty once the lease has been released.
 	Holder string `json:"holder"`
-	// Nonce tells two tenures of one holder apart, such as before and after a restart.
+	// Nonce distinguishes two tenures of the same holder, such as before and after a restart.
 	Nonce string `json:"nonce"`
-	// Fencing rises with each change of holder and stays on release.
+	// Fencing increases with each change of holder and is kept on release.
 	Fencing  uint64          `json:"fencing"`
 	Duration config.Duration `json:"duration"`
-	// Renewed is what the table's own clock showed at most when this write was sent, 0 if that
-	// isn't known.
+	// Renewed is an upper bound of what the table's own clock showed when this write was sent; 0
+	// if it is not known.
 	Renewed config.Duration `json:"renewed,omitempty"`
 }
 
@@ -32,8 +32,8 @@
 
 func (r record) ttl() time.Duration { return time.Duration(r.Duration) }
 
-// ageAt returns for how long at least the lease had not been renewed when its row was read, by
-// the table's own clock; 0 if that isn't known.
+// ageAt returns a lower bound of the time for which the lease had not been renewed when its row
+// was read, on the table's own clock; 0 if it is not known.
 func (r record) ageAt(readAt time.Duration) time.Duration {
 	if r.Renewed <= 0 || readAt <= 0 {
 		return 0
@@ -52,10 +52,11 @@
 	return r, nil
 }
 
-// unreadable is what a row that can't be read says: somebody may hold the lease, so it is
-// taken once the row has stood for the time of a lease. Without that nobody would ever hold
-// it again. A revision is above every fencing number before it, as each took a transaction.
-func unreadable(row platform.Row, last record) record {
+// unreadableRecord returns the record for a row that cannot be decoded. Another VM may hold the
+// lease, so it is taken only once the row has not changed for the duration of a lease. Without
+// this record no VM could ever hold the lease again. The revision is higher than every earlier
+// fencing number, since each of those took a transaction.
+func unreadableRecord(row platform.Row, last record) record {
 	return record{Holder: "unreadable", Nonce: row.TxnID, Fencing: max(last.Fencing, row.Revision)}
 }
 
--- a/internal/lease/release.go
+++ b/internal/lease/release.go
@@ -9,14 +9,14 @@
 	"geraniumcroft/internal/platform"
 )
 
-// Release hands all leases back, so that other VMs need not wait for them to
-// expire, and ends the manager's competing for good. Acts under the leases should
-// have ended before; one that has not is to its targets like that of a holder which
-// was paused. When the table does not answer, the leases expire by themselves.
+// Release releases all leases, so that other VMs need not wait until they expire, and stops the
+// manager from competing for good. Acts under the leases should have ended before; to its target,
+// an act that has not ended is like one of a holder that was paused. If the table does not answer,
+// the leases expire by themselves.
 func (m *Manager) Release(ctx context.Context) {
 	ctx = platform.WithPurpose(ctx, platform.PurposeLease)
-	m.stepping <- struct{}{}
-	defer func() { <-m.stepping }()
+	m.stepLock <- struct{}{}
+	defer func() { <-m.stepLock }()
 	nonces := m.endTenures()
 	for range releaseAttempts {
 		if m.releaseOnce(ctx, nonces) {
@@ -26,8 +26,8 @@
 	m.options.Logger.Warn("leases not handed back; they expire by themselves")
 }
 
-// releaseOnce reports whether nothing is left to hand back. It reads the rows
-// first, since a write whose answer was lost may have changed their revisions.
+// releaseOnce reports whether nothing is left to release. It reads the rows first, since a write
+// whose answer was lost may have changed their revisions.
 func (m *Manager) releaseOnce(ctx context.Context, nonces map[string]string) bool {
 	if err := m.readRows(ctx); err != nil {
 		return false
@@ -37,14 +37,14 @@
 		err := m.commit(ctx, p)
 		done = done && err == nil
 		if err != nil && !errors.Is(err, platform.ErrUnavailable) {
-			m.options.Logger.Info("lease not handed back yet", zap.String("duty", p.duty.name), zap.Error(err))
+			m.options.Logger.Info("lease not released", zap.String("duty", p.duty.name), zap.Error(err))
 		}
 	}
 	return done
 }
 
-// endTenures ends this VM's views before anything is written: no act may follow a
-// release that another VM already sees.
+// endTenures ends this VM's views before anything is written: no act may follow a release that
+// another VM can already see.
 func (m *Manager) endTenures() map[string]string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -59,11 +59,11 @@
 	return nonces
 }
 
-func (m *Manager) planRelease(nonces map[string]string) []planned {
+func (m *Manager) planRelease(nonces map[string]string) []plannedWrite {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := read(m.options.Clock)
-	var writes []planned
+	now := readClock(m.options.Clock)
+	var writes []plannedWrite
 	for _, d := range m.duties {
 		if d.tenure != nil {
 			nonces[d.name] = d.tenure.nonce // an acquisition that took effect late
@@ -73,7 +73,7 @@
 			continue
 		}
 		released := record{Fencing: d.record.Fencing, Duration: d.record.Duration}
-		writes = append(writes, m.prepare(d, released, now))
+		writes = append(writes, m.prepareWrite(d, released, now))
 	}
 	return writes
 }
--- a/internal/lease/system_clock.go
+++ b/internal/lease/system_clock.go
@@ -6,7 +6,7 @@
 	start time.Time
 }
 
-// NewSystemClock returns the clock of this process.
+// NewSystemClock returns a Clock that reads the clocks of this process.
 func NewSystemClock() Clock {
 	return systemClock{start: time.Now()}
 }
--- a/internal/lease/vm_test.go
+++ b/internal/lease/vm_test.go
@@ -12,7 +12,7 @@
 
 const testDuty = "orders"
 
-// vm is a VM with its manager.
+// vm is a simulated VM with its manager.
 type vm struct {
 	*vmsim.VM
 	manager *Manager
@@ -31,7 +31,7 @@
 	return v
 }
 
-// fleet is some VMs on one store; stop ends their loops.
+// fleet is a set of VMs on one store; stop ends their managers.
 type fleet struct {
 	store *platformsim.Store
 	vms   []*vm
@@ -64,7 +64,7 @@
 	f.done.Wait()
 }
 
-// holders returns the VMs that would act under a duty now.
+// holders returns the VMs that may act under a duty now.
 func (f *fleet) holders(duty string) []*vm {
 	var holding []*vm
 	for _, v := range f.vms {
@@ -75,7 +75,8 @@
 	return holding
 }
 
-// awaitHolder lets virtual time pass until one VM holds the duty, at most the bound.
+// awaitHolder waits in virtual time until exactly one VM holds the duty, at most for bound. It
+// returns that VM, or nil.
 func (f *fleet) awaitHolder(duty string, bound time.Duration) *vm {
 	const step = 50 * time.Millisecond
 	for range int(bound / step) {
