--- a/internal/follow/backoff.go
+++ b/internal/follow/backoff.go
@@ -13,9 +13,9 @@
 	// requests to peers. If all feed peers have failed it runs out before the copy reaches
 	// maxPeerCopyAge, so that no VM waits for its turn then.
 	feedPeerValidity = 2 * time.Second
-	// retryDelayPerVM is the part of the retry delay that each VM of the fleet adds for a VM that
-	// has a feed peer while the store is unavailable. All such VMs together then make 25 calls a
-	// second for a table, whatever the size of the fleet.
+	// retryDelayPerVM times the fleet size is the retry delay of a VM that has a feed peer while
+	// the store is unavailable. All such VMs together then make 25 calls a second for a table,
+	// whatever the size of the fleet.
 	retryDelayPerVM = 40 * time.Millisecond
 )
 
--- a/internal/follow/fake_feed_test.go
+++ b/internal/follow/fake_feed_test.go
@@ -39,7 +39,7 @@
 }
 
 func (f *fakeFeed) ReadAll(ctx context.Context, _ string) (platform.TableView, error) {
-	f.countCall(ctx)
+	f.beginCall(ctx)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.historyGone = false
@@ -47,8 +47,8 @@
 	return platform.TableView{Revision: max(f.view.Revision, f.newest), Rows: f.view.Rows}, f.err
 }
 
-// countCall counts a call. If the store is silent it waits until ctx ends.
-func (f *fakeFeed) countCall(ctx context.Context) {
+// beginCall counts a call. If the store is silent it waits until ctx ends.
+func (f *fakeFeed) beginCall(ctx context.Context) {
 	f.mu.Lock()
 	f.calls++
 	silent := f.silent
@@ -71,7 +71,7 @@
 }
 
 func (f *fakeFeed) Changes(ctx context.Context, _ string, after uint64, wait time.Duration) (platform.TableChange, error) {
-	f.countCall(ctx)
+	f.beginCall(ctx)
 	until := time.After(wait)
 	for {
 		f.mu.Lock()
--- a/internal/follow/retry_group.go
+++ b/internal/follow/retry_group.go
@@ -13,8 +13,8 @@
 
 // RetryGroup shares the retries of one VM's tables while the store is unavailable: the follower of
 // one table calls the store, and the others go on as soon as it gets an answer. When each table
-// retried by itself, the calls during an outage doubled: 195 VMs counted 2,036 of their own in 8
-// s. It is safe for concurrent use.
+// retried by itself, the calls during an outage doubled: by their own counters 195 VMs made 2,036
+// calls in 8 s. RetryGroup is safe for concurrent use.
 type RetryGroup struct {
 	mu sync.Mutex // guards the fields below
 	// leader is the follower that retries; nil if there is none.
