--- a/internal/lease/history_test.go
+++ b/internal/lease/history_test.go
@@ -144,7 +144,7 @@
 }
 
 // The check must detect the removal of each safeguard.
-func TestHistoryCheckDetectsInjectedFaults(t *testing.T) {
+func TestHistoryCheckCatchesPlantedFaults(t *testing.T) {
 	faults := map[string]hooks{
 		"takes over without observing":   {skipObservation: true},
 		"trusts the monotonic clock":     {skipWallClock: true},
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -125,7 +125,7 @@
 			}
 			m, known := on.table.Get(name(of.index))
 			if of.up && (!known || m.State != Alive) {
-				return fmt.Sprintf("%s lives but %s holds it %s", m.Name, name(on.index), m.State)
+				return fmt.Sprintf("%s is up but %s holds it %s", m.Name, name(on.index), m.State)
 			}
 			if !of.up && known && m.MayServe() {
 				return fmt.Sprintf("%s is down but %s holds it %s", m.Name, name(on.index), m.State)
