--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -230,7 +230,7 @@
 }
 
 // The whole fleet starts together after a power loss. For the first seconds no VM has a load
-// board, and VMs that ask for one are told so. Once the placement has a holder again, its board
+// board, and VMs that ask for one get that answer. Once the placement has a holder again, its board
 // must reach the others at once. When followers without a board counted as silent, the board was
 // neither offered to nor requested from any of them for 10 s: VMs knew no load and no dead
 // replica, and after 8 s all of them read the lease. With 195 VMs started within 0.2 s, one had
--- a/internal/mirror/request.go
+++ b/internal/mirror/request.go
@@ -35,8 +35,8 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	maps.DeleteFunc(c.silentUntil, func(_ string, until time.Time) bool { return now.After(until) })
-	if heard := c.peers.exclude(c.silentUntil); len(heard.order()) > 0 {
-		return heard
+	if answering := c.peers.exclude(c.silentUntil); len(answering.order()) > 0 {
+		return answering
 	}
 	return c.peers
 }
--- a/internal/mirror/server.go
+++ b/internal/mirror/server.go
@@ -31,8 +31,9 @@
 	packed       *packCache
 	logger       *zap.Logger
 	grpc         *grpc.Server
-	// News returns the revision of the state that this VM shares outside of the tables, which its
-	// answers carry; nil stands for revision 0. It must be set before Serve is called.
+	// News returns the revision of the state that this VM shares outside of the tables, such as the
+	// quarantine. Its answers carry the revision; nil stands for revision 0. News must be set
+	// before Serve is called.
 	News func() uint64
 }
 
--- a/internal/mirror/spread_test.go
+++ b/internal/mirror/spread_test.go
@@ -119,7 +119,7 @@
 
 // state returns the table, the store's revision, whether the store is down, and a channel that is
 // closed when any of that changes.
-func (f *spreadFleet) state() (view platform.TableView, newest uint64, away bool, changed chan struct{}) {
+func (f *spreadFleet) state() (view platform.TableView, newest uint64, unavailable bool, changed chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view, f.view.Revision + f.revisionOffset, f.storeDown, f.changed
@@ -154,8 +154,8 @@
 	if s.vm.partitioned.Load() {
 		<-ctx.Done()
 	}
-	view, newest, away, _ := s.fleet.state()
-	if away || s.vm.rejected.Load() || !s.vm.down.send(ctx, sizeOf(view.Rows)) {
+	view, newest, unavailable, _ := s.fleet.state()
+	if unavailable || s.vm.rejected.Load() || !s.vm.down.send(ctx, sizeOf(view.Rows)) {
 		return platform.TableView{}, errRejected
 	}
 	view.Revision = newest
@@ -166,14 +166,14 @@
 	s.fleet.countCall()
 	until := time.After(wait)
 	for over := wait <= 0; ; {
-		view, newest, away, changed := s.fleet.state()
+		view, newest, unavailable, changed := s.fleet.state()
 		if s.fleet.isSilent() || s.vm.partitioned.Load() {
 			<-ctx.Done()
 		}
 		switch {
 		case ctx.Err() != nil:
 			return platform.TableChange{}, ctx.Err()
-		case away || s.vm.rejected.Load():
+		case unavailable || s.vm.rejected.Load():
 			return platform.TableChange{}, errRejected
 		case view.Revision > after:
 			if !s.vm.down.send(ctx, sizeOf(view.Rows)) {
