--- a/internal/census/census.go
+++ b/internal/census/census.go
@@ -122,14 +122,14 @@
 	if json.Unmarshal(row.Value, &vm) != nil || !vm.sameAs(c.own) {
 		return false
 	}
-	if vm.Beat == c.own.Beat {
+	if vm.Heartbeat == c.own.Heartbeat {
 		return true
 	}
 	age, known := vm.ageAt(row.ReadAt)
 	if !known || age > c.calmPause() {
 		return false
 	}
-	c.own.Beat = vm.Beat
+	c.own.Heartbeat = vm.Heartbeat
 	return true
 }
 
@@ -142,8 +142,8 @@
 	return platform.Row{Key: key}
 }
 
-// Known reports whether the list of VMs was ever read. Until then this VM counts itself alone.
-func (c *Census) Known() bool {
+// Loaded reports whether the list of VMs was ever read. Until then this VM counts itself alone.
+func (c *Census) Loaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.known
@@ -162,7 +162,7 @@
 // name, which is gone.
 func (c *Census) write(ctx context.Context, rows []platform.Row) error {
 	row := c.ownRow(rows)
-	c.own.Beat++
+	c.own.Heartbeat++
 	c.own.WrittenMS = readAt(rows).Milliseconds()
 	value, err := json.Marshal(c.own)
 	if err != nil {
--- a/internal/census/census_test.go
+++ b/internal/census/census_test.go
@@ -96,11 +96,11 @@
 			if n := len(c.VMs()); n != 5 {
 				t.Errorf("vm %d counts %d after a death", i, n)
 			}
-			if c.Among(3) {
+			if c.IsAmongLargest(3) {
 				among++
 			}
-			if follows := c.isAmong(c.Followers()[c.own.DataCentre]); c.Follows() != follows {
-				t.Errorf("vm %d follows the feed: %t, by the list %t", i, c.Follows(), follows)
+			if follows := c.isAmong(c.Followers()[c.own.DataCentre]); c.FollowsFeed() != follows {
+				t.Errorf("vm %d follows the feed: %t, by the list %t", i, c.FollowsFeed(), follows)
 			}
 		}
 		if among != 3 {
@@ -259,15 +259,15 @@
 		c := New(table, VM{Name: "vm", Address: "address"}, func([]VM) {}, zap.NewNop())
 		running.Go(func() { c.Run(ctx) })
 		time.Sleep(9 * time.Second)
-		if c.Known() {
+		if c.Loaded() {
 			t.Error("it knows a list that it never read")
 		}
 		table.mu.Lock()
 		table.away = false
 		table.mu.Unlock()
 		time.Sleep(2 * firstInterval)
-		if !c.Known() || table.writes != 1 {
-			t.Errorf("known %t, %d writes", c.Known(), table.writes)
+		if !c.Loaded() || table.writes != 1 {
+			t.Errorf("known %t, %d writes", c.Loaded(), table.writes)
 		}
 		cancel()
 		running.Wait()
--- a/internal/census/followers.go
+++ b/internal/census/followers.go
@@ -30,8 +30,8 @@
 	return followers
 }
 
-// Follows reports whether this VM is one of those.
-func (c *Census) Follows() bool {
+// FollowsFeed reports whether this VM is one of those.
+func (c *Census) FollowsFeed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.follows
--- a/internal/census/order.go
+++ b/internal/census/order.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// First returns the first n VMs by size, and by a hash of their names among equals, which is
+// Largest returns the first n VMs by size, and by a hash of their names among equals, which is
 // the same on all VMs that have the same list.
-func (c *Census) First(n int) []VM {
+func (c *Census) Largest(n int) []VM {
 	vms := inOrder(c.VMs())
 	return vms[:min(n, len(vms))]
 }
@@ -26,8 +26,8 @@
 	return vms
 }
 
-// Among reports whether this VM is one of the first n.
-func (c *Census) Among(n int) bool { return c.isAmong(c.First(n)) }
+// IsAmongLargest reports whether this VM is one of the first n.
+func (c *Census) IsAmongLargest(n int) bool { return c.isAmong(c.Largest(n)) }
 
 func (c *Census) isAmong(vms []VM) bool {
 	return slices.ContainsFunc(vms, func(vm VM) bool { return vm.Name == c.own.Name })
--- a/internal/census/vm.go
+++ b/internal/census/vm.go
@@ -13,15 +13,15 @@
 	// WrittenMS is the table's own clock shortly before the row was written, in milliseconds; 0
 	// if that wasn't known.
 	WrittenMS int64 `json:"writtenMs,omitempty"`
-	// Beat changes with each write.
-	Beat uint64 `json:"beat"`
+	// Heartbeat changes with each write.
+	Heartbeat uint64 `json:"beat"`
 }
 
 // sameAs reports whether two rows are of one VM that has not changed, whichever process wrote
 // them.
 func (v VM) sameAs(other VM) bool {
 	v.WrittenMS, other.WrittenMS = 0, 0
-	v.Beat, other.Beat = 0, 0
+	v.Heartbeat, other.Heartbeat = 0, 0
 	return v == other
 }
 
--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -78,7 +78,7 @@
 	p.quarantine = quarantine.NewLedger(quarantine.DefaultSettings, time.Now())
 	p.sharing = sharing.New(sharing.Options{
 		Ledger: p.quarantine, Peers: p.peers, Table: p.table, Logger: p.Logger,
-		ShouldLoad: func() bool { return p.census.Known() && p.census.Follows() },
+		ShouldLoad: func() bool { return p.census.Loaded() && p.census.FollowsFeed() },
 	})
 	p.peers.OnNews, p.mirror.News = p.sharing.ObserveRevision, p.quarantine.Revision
 	p.tenure = &tenure{leases: p.leases, board: p.board, logger: p.Logger}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -19,7 +19,7 @@
 }
 
 // followsFeed reports whether this VM is one of those that follow the store's feed.
-func (p *Process) followsFeed() bool { return p.census.Follows() }
+func (p *Process) followsFeed() bool { return p.census.FollowsFeed() }
 
 // since is what peers are given.
 func (p *Process) since(table string, after uint64) (platform.TableChange, time.Duration, bool) {
--- a/internal/entry/placement.go
+++ b/internal/entry/placement.go
@@ -26,7 +26,7 @@
 // counted. A VM that has not read the list of VMs holds itself for the only one: of 195 that
 // start together all would read the lease, where the few first ones are enough.
 func (p *Process) IsCandidate() bool {
-	first := p.census.Known() && p.census.Among(contenders)
+	first := p.census.Loaded() && p.census.IsAmongLargest(contenders)
 	return p.Holds() || first || p.board.Age(p.started) > holderSilence
 }
 
@@ -44,8 +44,8 @@
 func (p *Process) place(service string) {
 	placer.New(placer.Options{
 		Engines: p.Adapter.Engines, Holder: p, Logger: p.Logger,
-		Model: func() (*layers.Spec, []layers.Replica) { return p.living(service) },
-		Heard: p.view.heardOf, Reported: p.board.Reported,
+		Model:              func() (*layers.Spec, []layers.Replica) { return p.living(service) },
+		ObserveIncarnation: p.view.heardOf, LastReport: p.board.Reported,
 	}).Run(p.ctx)
 }
 
--- a/internal/generation/rig_test.go
+++ b/internal/generation/rig_test.go
@@ -92,7 +92,7 @@
 	for _, name := range exclude {
 		without[name] = true
 	}
-	chosen, ok := r.chooser.Choose(plan.Wish{Urgency: config.Normal, Usable: func(string) bool { return true }, Exclude: without})
+	chosen, ok := r.chooser.Choose(plan.Query{Urgency: config.Normal, Usable: func(string) bool { return true }, Exclude: without})
 	if !ok {
 		return nil, outcome.Refuse(outcome.ReasonNoTarget, "no targets").WithRetryAfter(time.Second)
 	}
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -109,10 +109,10 @@
 		Invariants: n.invariants, Logger: n.logger,
 	})
 	n.orders = orders.NewController(orders.Options{
-		Source: n.store, Leases: n.leases, Engines: n.wiring.Engines,
-		Drainer: &reloadDrainer{store: announcingStore{n.store, n.peers}, confirmer: n.roster},
-		Leaving: n.TargetLeaving,
-		Refresh: n.store.Poll,
+		ConfigSource: n.store, Leases: n.leases, Engines: n.wiring.Engines,
+		Drainer:   &reloadDrainer{store: announcingStore{n.store, n.peers}, confirmer: n.roster},
+		IsLeaving: n.TargetLeaving,
+		Refresh:   n.store.Poll,
 
 		Invariants: n.invariants, Logger: n.logger,
 	})
--- a/internal/orders/controller.go
+++ b/internal/orders/controller.go
@@ -49,7 +49,7 @@
 	if !held || ctx.Err() != nil || !c.adopt(ctx, tenure) {
 		return
 	}
-	snapshot := c.options.Source.Current()
+	snapshot := c.options.ConfigSource.Current()
 	c.dropGone(ctx, tenure, snapshot)
 	for _, target := range snapshot.Targets {
 		if managed(target) {
@@ -79,7 +79,7 @@
 // for a reload must get work again even if its holder died half-way. It looks again
 // at times, since a request for a drain can take effect late.
 func (c *Controller) adopt(ctx context.Context, t *tenure) bool {
-	if !t.adopted.IsZero() && time.Since(t.adopted) < c.options.Settings.ReadBackEvery {
+	if !t.adopted.IsZero() && time.Since(t.adopted) < c.options.Settings.ReadBackInterval {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.options.Settings.CallTimeout)
--- a/internal/orders/drain.go
+++ b/internal/orders/drain.go
@@ -33,7 +33,7 @@
 	}
 	// A request that left a VM just before the drain was confirmed may not have
 	// reached the engine; its state counts only once such a request would show.
-	if now.Sub(task.confirmed) < c.options.Settings.Settle {
+	if now.Sub(task.confirmed) < c.options.Settings.SettleTime {
 		return c.again(PhaseDraining), false
 	}
 	if task.state.Active > 0 {
--- a/internal/orders/failure_test.go
+++ b/internal/orders/failure_test.go
@@ -111,7 +111,7 @@
 		e := f.engines[fencing]
 		await(t, 20*time.Second, "the engine has the number", func() bool { return e.read().Fencing > 0 })
 		f.change(fencing, "v2")
-		await(t, testSettings().MaxUnderWay/2, "v2", func() bool { return e.read().Version == "v2" })
+		await(t, testSettings().MaxOrderDelay/2, "v2", func() bool { return e.read().Version == "v2" })
 	})
 }
 
@@ -152,7 +152,7 @@
 		f := newFleet(1, hooks{}, ignoringTarget(ignoring))
 		defer f.stop()
 		m := f.awaitHolder(t)
-		m.link.failOnce(orderFault{loseAnswer: true, delay: testSettings().MaxUnderWay + 2*time.Second})
+		m.link.failOnce(orderFault{loseAnswer: true, delay: testSettings().MaxOrderDelay + 2*time.Second})
 		f.change(ignoring, "v2")
 		f.awaitVersion(t, ignoring, "v2")
 		time.Sleep(time.Minute)
@@ -188,7 +188,7 @@
 		e := f.engines[ignoring]
 		f.change(ignoring, "v2")
 		await(t, 10*time.Second, "the drain", func() bool { return f.drains.confirmed(ignoring) })
-		time.Sleep(400 * time.Millisecond) // less than Settle
+		time.Sleep(400 * time.Millisecond) // less than SettleTime
 		e.addWork(1)
 		time.Sleep(5 * time.Minute)
 		orders, _, _, _ := e.counts()
@@ -206,9 +206,9 @@
 // nothing is in hand and before the answer is read.
 func TestNoReloadOnAnOldReading(t *testing.T) {
 	settings := testSettings()
-	settings.RetryEvery = 250 * time.Millisecond
-	settings.Settle = 2450 * time.Millisecond // the reading before the last is older by the slow answer
-	for late := time.Second; late < settings.Settle; late += 25 * time.Millisecond {
+	settings.RetryInterval = 250 * time.Millisecond
+	settings.SettleTime = 2450 * time.Millisecond // the reading before the last is older by the slow answer
+	for late := time.Second; late < settings.SettleTime; late += 25 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleetWith(settings, 1, hooks{}, ignoringTarget(ignoring))
 			defer f.stop()
@@ -316,10 +316,10 @@
 		for i := range loads {
 			if i >= 1 {
 				apart := loads[i].Sub(loads[i-1])
-				must(t, apart >= testSettings().LoadEvery-time.Millisecond, "loads %s apart", apart)
+				must(t, apart >= testSettings().LoadInterval-time.Millisecond, "loads %s apart", apart)
 			}
-			if i >= testSettings().MaxLoading {
-				must(t, loads[i].Sub(loads[i-testSettings().MaxLoading]) >= loadTime, "more than %d loads at once", testSettings().MaxLoading)
+			if i >= testSettings().MaxConcurrentLoads {
+				must(t, loads[i].Sub(loads[i-testSettings().MaxConcurrentLoads]) >= loadTime, "more than %d loads at once", testSettings().MaxConcurrentLoads)
 			}
 		}
 	})
--- a/internal/orders/fleet_test.go
+++ b/internal/orders/fleet_test.go
@@ -20,14 +20,14 @@
 
 func testSettings() Settings {
 	return Settings{
-		ReadBackEvery: 5 * time.Second,
-		RetryEvery:    500 * time.Millisecond,
-		CallTimeout:   time.Second,
-		OrderTimeout:  time.Second,
-		MaxUnderWay:   12 * time.Second,
-		Settle:        500 * time.Millisecond,
-		LoadEvery:     time.Second,
-		MaxLoading:    2,
+		ReadBackInterval:   5 * time.Second,
+		RetryInterval:      500 * time.Millisecond,
+		CallTimeout:        time.Second,
+		OrderTimeout:       time.Second,
+		MaxOrderDelay:      12 * time.Second,
+		SettleTime:         500 * time.Millisecond,
+		LoadInterval:       time.Second,
+		MaxConcurrentLoads: 2,
 	}
 }
 
@@ -113,14 +113,14 @@
 		Invariants: f.violations,
 	})
 	m.controller = NewController(Options{
-		Source:     f.source,
-		Leases:     m.leases,
-		Engines:    m.link,
-		Drainer:    fakeDrainer{vm: m.vm, drains: f.drains},
-		Settings:   f.settings,
-		Refresh:    f.bringUp,
-		Invariants: f.violations,
-		hooks:      planted,
+		ConfigSource: f.source,
+		Leases:       m.leases,
+		Engines:      m.link,
+		Drainer:      fakeDrainer{vm: m.vm, drains: f.drains},
+		Settings:     f.settings,
+		Refresh:      f.bringUp,
+		Invariants:   f.violations,
+		hooks:        planted,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop = cancel
--- a/internal/orders/history_test.go
+++ b/internal/orders/history_test.go
@@ -18,7 +18,7 @@
 const (
 	historySeeds = 8
 	historyLong  = 4 * time.Minute
-	// maxStall and maxDelay together stay under MaxUnderWay.
+	// maxStall and maxDelay together stay under MaxOrderDelay.
 	maxStall = 9 * time.Second
 	maxDelay = 2 * time.Second
 )
@@ -145,7 +145,7 @@
 }
 
 // work gives the engine requests while no drain is confirmed. A request takes up to
-// 400 ms to arrive, less than Settle.
+// 400 ms to arrive, less than SettleTime.
 func work(random *rand.Rand, drains *fakeDrains, e *fakeEngine, end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(random.Int64N(int64(600 * time.Millisecond))))
--- a/internal/orders/options.go
+++ b/internal/orders/options.go
@@ -11,17 +11,17 @@
 
 // Options configure a Controller.
 type Options struct {
-	Source   config.Source
-	Leases   Leases
-	Engines  Engines
-	Drainer  Drainer
-	Settings Settings
+	ConfigSource config.Source
+	Leases       Leases
+	Engines      Engines
+	Drainer      Drainer
+	Settings     Settings
 	// Refresh brings Source up to what the table holds, before each order. It may be
 	// nil where Source is always that.
 	Refresh func(ctx context.Context) error
-	// Leaving tells which targets are about to go and are not worth a load; it may
+	// IsLeaving tells which targets are about to go and are not worth a load; it may
 	// be nil.
-	Leaving func(target string) bool
+	IsLeaving func(target string) bool
 	// Invariants is nil in strict tests only.
 	Invariants *invariant.Registry
 	// Logger may be nil.
@@ -57,8 +57,8 @@
 	if o.Refresh == nil {
 		o.Refresh = func(context.Context) error { return nil }
 	}
-	if o.Leaving == nil {
-		o.Leaving = func(string) bool { return false }
+	if o.IsLeaving == nil {
+		o.IsLeaving = func(string) bool { return false }
 	}
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
--- a/internal/orders/send.go
+++ b/internal/orders/send.go
@@ -57,7 +57,7 @@
 	sent := &pending{order: order, ended: time.Now()}
 	if err == nil {
 		task.pending = sent
-		return c.again(PhaseUnderWay), true
+		return c.again(PhaseOrderInFlight), true
 	}
 	var failure *engine.OrderError
 	known := errors.As(err, &failure)
@@ -70,5 +70,5 @@
 	}
 	sent.ambiguous = true
 	task.pending = sent
-	return verdict{phase: PhaseUnderWay, detail: err.Error(), after: c.options.Settings.RetryEvery}, false
+	return verdict{phase: PhaseOrderInFlight, detail: err.Error(), after: c.options.Settings.RetryInterval}, false
 }
--- a/internal/orders/step.go
+++ b/internal/orders/step.go
@@ -27,10 +27,10 @@
 	case state.Loading:
 		return c.again(PhaseLoading)
 	case c.unresolved(target, task, state):
-		return c.again(PhaseUnderWay)
+		return c.again(PhaseOrderInFlight)
 	case agrees(target, state):
 		return c.agreed(ctx, l, target, task)
-	case c.options.Leaving(target.Name):
+	case c.options.IsLeaving(target.Name):
 		return c.again(PhaseLeaving)
 	}
 	return c.repair(ctx, t, l, target, task)
@@ -59,7 +59,7 @@
 		task.pending = nil
 		return false
 	}
-	return task.pending.mayBeUnderWay(time.Now(), c.options.Settings.MaxUnderWay)
+	return task.pending.mayBeUnderWay(time.Now(), c.options.Settings.MaxOrderDelay)
 }
 
 // agreed gives the engine the new fencing number and lets it have work again.
@@ -67,7 +67,7 @@
 	if !c.waitedOut(l, target) {
 		// A late order of the old holder may yet reload the engine: work that a drain
 		// keeps away now would be cut off.
-		return c.again(PhaseWaitingOut)
+		return c.again(PhaseOldOrdersPending)
 	}
 	if c.needsStamp(target, task, l) {
 		if v, ok := c.stamp(ctx, l, target, task); !ok {
@@ -81,7 +81,7 @@
 	if task.drained && !c.resume(ctx, task) {
 		return c.again(PhaseDraining)
 	}
-	return verdict{phase: PhaseAgreed, after: c.options.Settings.ReadBackEvery}
+	return verdict{phase: PhaseAgreed, after: c.options.Settings.ReadBackInterval}
 }
 
 // needsStamp: until an engine has seen the new number, it takes a late order of the
@@ -108,13 +108,13 @@
 // repair drains the engine, waits its turn at the weight store and orders.
 func (c *Controller) repair(ctx context.Context, t *tenure, l lease.Lease, target *config.Target, task *task) verdict {
 	if !c.waitedOut(l, target) {
-		return c.again(PhaseWaitingOut)
+		return c.again(PhaseOldOrdersPending)
 	}
 	if v, ok := c.drain(ctx, l, target, task); !ok {
 		return v
 	}
 	if !c.mayLoad(t, task) {
-		return c.again(PhaseSpaced)
+		return c.again(PhaseLoadLimited)
 	}
 	if v, ok := c.lastLook(ctx, l, target, task); !ok {
 		return v
@@ -130,7 +130,7 @@
 	if target.RefusesOldFencing || l.Fencing == firstFencing || c.options.hooks.skipWait {
 		return true
 	}
-	return l.SinceAcquired() >= c.options.Settings.MaxUnderWay
+	return l.SinceAcquired() >= c.options.Settings.MaxOrderDelay
 }
 
 // mayLoad takes the engine's turn at the weight store.
@@ -138,12 +138,12 @@
 	c.mu.Lock()
 	loading := 0
 	for _, other := range t.tasks {
-		if other != own && (other.view.Phase == PhaseLoading || other.view.Phase == PhaseUnderWay) {
+		if other != own && (other.view.Phase == PhaseLoading || other.view.Phase == PhaseOrderInFlight) {
 			loading++
 		}
 	}
 	c.mu.Unlock()
-	return loading < c.options.Settings.MaxLoading && t.loads.Allow()
+	return loading < c.options.Settings.MaxConcurrentLoads && t.loads.Allow()
 }
 
 // lastLook reads the entry and the engine once more directly before the order. A VM
@@ -158,7 +158,7 @@
 	if err := c.refresh(ctx); err != nil {
 		return c.slower(task, PhaseOutdated, err.Error()), false
 	}
-	if now := c.options.Source.Current().Targets[target.Name]; now == nil || now.Revision != target.Revision {
+	if now := c.options.ConfigSource.Current().Targets[target.Name]; now == nil || now.Revision != target.Revision {
 		return c.again(PhaseOutdated), false
 	}
 	state, err := c.read(ctx, target)
@@ -189,13 +189,13 @@
 }
 
 func (c *Controller) again(phase Phase) verdict {
-	return verdict{phase: phase, after: c.options.Settings.RetryEvery}
+	return verdict{phase: phase, after: c.options.Settings.RetryInterval}
 }
 
 // slower looks again later each time, so that many engines which do not answer leave
 // the slots to the others.
 func (c *Controller) slower(task *task, phase Phase, detail string) verdict {
-	after := c.options.Settings.RetryEvery << min(task.failures, maxDoublings)
+	after := c.options.Settings.RetryInterval << min(task.failures, maxDoublings)
 	task.failures++
-	return verdict{phase: phase, detail: detail, after: min(after, c.options.Settings.ReadBackEvery)}
+	return verdict{phase: phase, detail: detail, after: min(after, c.options.Settings.ReadBackInterval)}
 }
--- a/internal/orders/tenure.go
+++ b/internal/orders/tenure.go
@@ -25,7 +25,7 @@
 func newTenure(l lease.Lease, s Settings) *tenure {
 	t := &tenure{
 		lease: l,
-		loads: rate.NewLimiter(rate.Every(s.LoadEvery), 1),
+		loads: rate.NewLimiter(rate.Every(s.LoadInterval), 1),
 		tasks: map[string]*task{},
 	}
 	if l.Fencing > firstFencing {
--- a/internal/placer/order.go
+++ b/internal/placer/order.go
@@ -41,7 +41,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for replica, o := range p.ordered {
-		load, ok := p.Reported(replica)
+		load, ok := p.LastReport(replica)
 		if !ok || load.Sequence <= o.sequence+1 {
 			continue
 		}
@@ -98,7 +98,7 @@
 	}
 	answered := incarnation.Key{ID: r.ID, Born: state.Born}
 	p.Logger.Info("order left out, another incarnation answered", zap.Stringer("replica", r.Key()), zap.Stringer("answered", answered))
-	p.Heard(answered)
+	p.ObserveIncarnation(answered)
 	return true
 }
 
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -47,11 +47,11 @@
 	Holder  Holder
 	// Model returns the model's description and its replicas as discovery lists them.
 	Model func() (*layers.Spec, []layers.Replica)
-	// Heard is told which incarnation of a replica answered.
-	Heard func(incarnation.Key)
-	// Reported returns what an incarnation last reported, if it did.
-	Reported func(incarnation.Key) (layers.Load, bool)
-	Logger   *zap.Logger
+	// ObserveIncarnation is told which incarnation of a replica answered.
+	ObserveIncarnation func(incarnation.Key)
+	// LastReport returns what an incarnation last reported, if it did.
+	LastReport func(incarnation.Key) (layers.Load, bool)
+	Logger     *zap.Logger
 }
 
 // Placer orders the replicas of one model.
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -122,7 +122,7 @@
 func placingOn(t *testing.T, holder *fakeHolder, engines *fakeEngines, names []string, test func()) {
 	synctest.Test(t, func(t *testing.T) {
 		engines.states = map[string]State{}
-		p := New(Options{Engines: engines, Holder: holder, Logger: zap.NewNop(), Heard: engines.hear, Reported: engines.reported,
+		p := New(Options{Engines: engines, Holder: holder, Logger: zap.NewNop(), ObserveIncarnation: engines.hear, LastReport: engines.reported,
 			Model: func() (*layers.Spec, []layers.Replica) { return testSpec(), engines.listing(names...) }})
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -35,7 +35,7 @@
 	chooser := NewChooser(set, 1)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, ok := chooser.Choose(Wish{Urgency: config.Bulk, Usable: always}); !ok {
+		if _, ok := chooser.Choose(Query{Urgency: config.Bulk, Usable: always}); !ok {
 			b.Fatal("no plan")
 		}
 	}
@@ -73,7 +73,7 @@
 	chooser := NewChooser(&Set{graph: set.graph}, 1)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, ok := chooser.Choose(Wish{Urgency: config.Bulk, Usable: always}); !ok {
+		if _, ok := chooser.Choose(Query{Urgency: config.Bulk, Usable: always}); !ok {
 			b.Fatal("no plan")
 		}
 	}
@@ -86,7 +86,7 @@
 		b.Fatal(err)
 	}
 	chooser := NewChooser(set, 1)
-	current, _ := chooser.Choose(Wish{Urgency: config.Bulk, Usable: always})
+	current, _ := chooser.Choose(Query{Urgency: config.Bulk, Usable: always})
 	failed := map[string]bool{current.Stages[1].Target.Name: true}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/plan/chooser.go
+++ b/internal/plan/chooser.go
@@ -66,7 +66,7 @@
 // the precomputed plan whose turn it is among those that are free. When none is,
 // it lays out the path of the least latency over what is usable, unless the
 // request had better wait; see SetEligible.
-func (c *Chooser) Choose(w Wish) (Plan, bool) {
+func (c *Chooser) Choose(w Query) (Plan, bool) {
 	free := func(name string) bool { return !w.Exclude[name] && w.Usable(name) }
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +103,7 @@
 	return true
 }
 
-func (c *Chooser) chooseWeighted(w Wish, free func(string) bool) (Plan, bool) {
+func (c *Chooser) chooseWeighted(w Query, free func(string) bool) (Plan, bool) {
 	credit := c.credit[w.Urgency]
 	for i, path := range c.paths {
 		credit[i] += path.weight
--- a/internal/plan/chooser_test.go
+++ b/internal/plan/chooser_test.go
@@ -55,7 +55,7 @@
 		for range 5 {
 			busy, exclude := drawNames(t, in, "busy"), drawNames(t, in, "exclude")
 			usable := func(name string) bool { return !busy[name] }
-			chosen, ok := chooser.Choose(Wish{Urgency: config.Normal, Usable: usable, Exclude: exclude})
+			chosen, ok := chooser.Choose(Query{Urgency: config.Normal, Usable: usable, Exclude: exclude})
 			free := func(name string) bool { return usable(name) && !exclude[name] }
 			if possible := covers(in, config.LayerRange{To: in.Model.Layers}, free); ok != possible {
 				t.Fatalf("chose %v, a plan exists: %v", ok, possible)
@@ -89,11 +89,11 @@
 	}
 	chooser := NewChooser(compute(t, in), 1)
 	for range 1000 {
-		chooser.Choose(Wish{Urgency: config.Bulk, Usable: func(name string) bool { return name != "t0" }})
+		chooser.Choose(Query{Urgency: config.Bulk, Usable: func(name string) bool { return name != "t0" }})
 	}
 	got := 0
 	for range 16 {
-		if chosen, _ := chooser.Choose(Wish{Urgency: config.Bulk, Usable: always}); chosen.Uses("t0") {
+		if chosen, _ := chooser.Choose(Query{Urgency: config.Bulk, Usable: always}); chosen.Uses("t0") {
 			got++
 		}
 	}
@@ -118,7 +118,7 @@
 	got := map[string]float64{}
 	chooser := NewChooser(set, 1)
 	for range choices {
-		chosen, _ := chooser.Choose(Wish{Urgency: config.Bulk, Usable: always})
+		chosen, _ := chooser.Choose(Query{Urgency: config.Bulk, Usable: always})
 		for _, stage := range chosen.Stages {
 			got[stage.Target.Name] += 1.0 / choices
 		}
@@ -130,7 +130,7 @@
 	}
 	first := map[string]bool{}
 	for seed := range uint64(6) {
-		chosen, _ := NewChooser(set, seed).Choose(Wish{Urgency: config.Bulk, Usable: always})
+		chosen, _ := NewChooser(set, seed).Choose(Query{Urgency: config.Bulk, Usable: always})
 		first[fmt.Sprint(chosen.Stages)] = true
 	}
 	if len(first) < 4 {
@@ -156,13 +156,13 @@
 	chooser := NewChooser(set, 1)
 	prefer := map[string]bool{"b": true}
 	for range 5 {
-		chosen, _ := chooser.Choose(Wish{Usable: always, Prefer: prefer})
+		chosen, _ := chooser.Choose(Query{Usable: always, Prefer: prefer})
 		if !chosen.Uses("b") {
 			t.Errorf("went to %s", chosen.Stages[0].Target.Name)
 		}
 	}
 	full := func(name string) bool { return name != "b" }
-	if chosen, ok := chooser.Choose(Wish{Usable: full, Prefer: prefer}); !ok || chosen.Uses("b") {
+	if chosen, ok := chooser.Choose(Query{Usable: full, Prefer: prefer}); !ok || chosen.Uses("b") {
 		t.Errorf("with b full: %t, %+v", ok, chosen)
 	}
 }
--- a/internal/plan/repair_test.go
+++ b/internal/plan/repair_test.go
@@ -15,7 +15,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t, rapid.IntRange(1, 16).Draw(t, "layers"), rapid.IntRange(0, 12).Draw(t, "targets"))
 		chooser := NewChooser(compute(t, in), 1)
-		current, _ := chooser.Choose(Wish{Urgency: config.Normal, Usable: always})
+		current, _ := chooser.Choose(Query{Urgency: config.Normal, Usable: always})
 		busy := drawNames(t, in, "busy")
 		failed := map[string]bool{}
 		for range rapid.IntRange(1, 2).Draw(t, "deaths") {
--- a/internal/plan/saturation_test.go
+++ b/internal/plan/saturation_test.go
@@ -110,7 +110,7 @@
 			chooser := NewChooser(set, 1)
 			chooser.SetEligible(eligible)
 			return saturation(in, 8, 400, func(usable func(string) bool) (Plan, bool) {
-				return chooser.Choose(Wish{Urgency: config.Bulk, Usable: usable})
+				return chooser.Choose(Query{Urgency: config.Bulk, Usable: usable})
 			}) / set.Bound
 		}
 		waiting, anyPath := share(always), share(nil)
@@ -131,14 +131,14 @@
 	chooser.paths = slices.DeleteFunc(chooser.paths, func(p weightedPath) bool { return len(p.legs) == 1 })
 	alone := func(name string) bool { return name == "spare" }
 	chooser.SetEligible(always)
-	if _, ok := chooser.Choose(Wish{Urgency: config.Bulk, Usable: alone}); ok {
+	if _, ok := chooser.Choose(Query{Urgency: config.Bulk, Usable: alone}); ok {
 		t.Error("bulk took a path beside the weights while weighted ones stand")
 	}
-	if _, ok := chooser.Choose(Wish{Urgency: config.Urgent, Usable: alone}); !ok {
+	if _, ok := chooser.Choose(Query{Urgency: config.Urgent, Usable: alone}); !ok {
 		t.Error("urgent waited")
 	}
 	chooser.SetEligible(alone)
-	if _, ok := chooser.Choose(Wish{Urgency: config.Bulk, Usable: alone}); !ok {
+	if _, ok := chooser.Choose(Query{Urgency: config.Bulk, Usable: alone}); !ok {
 		t.Error("bulk waits for paths that are gone")
 	}
 }
--- a/internal/plan/wish.go
+++ b/internal/plan/wish.go
@@ -2,8 +2,8 @@
 
 import "geraniumcroft/internal/config"
 
-// Wish is what one request asks of its plan.
-type Wish struct {
+// Query is what one request asks of its plan.
+type Query struct {
 	Urgency config.Urgency
 	// Usable reports whether a target has room now.
 	Usable func(target string) bool
--- a/internal/router/plan_cache.go
+++ b/internal/router/plan_cache.go
@@ -133,7 +133,7 @@
 	if planned == nil || planned.chooser == nil {
 		return plan.Plan{}, false
 	}
-	return planned.chooser.Choose(plan.Wish{Urgency: u, Usable: c.room(u), Exclude: exclude, Prefer: prefer})
+	return planned.chooser.Choose(plan.Query{Urgency: u, Usable: c.room(u), Exclude: exclude, Prefer: prefer})
 }
 
 // Repair replaces the failed targets of a plan and keeps the others.
