--- a/internal/census/census.go
+++ b/internal/census/census.go
@@ -15,152 +15,156 @@
 )
 
 const (
-	// interval is the least pause between two writes of a VM's row, perVM what each VM
-	// adds to it: at 320 VMs each writes every 128 s.
-	interval = 8 * time.Second
-	perVM    = 400 * time.Millisecond
-	// expiryRounds is how many rounds a row may stay unchanged: two lost writes.
+	// minInterval is the least time between two writes of a VM's row. The interval is
+	// intervalPerVM times the number of VMs where that is longer: 128 s at 320 VMs.
+	minInterval   = 8 * time.Second
+	intervalPerVM = 400 * time.Millisecond
+	// expiryRounds is the number of rounds after which a VM whose row is unchanged is no longer
+	// counted. It allows for two lost writes.
 	expiryRounds = 3
-	// firstInterval is the pause between two rounds until this VM has seen its own row, and so
-	// those of all VMs that started together with it, which do so within some 300 ms.
-	firstInterval = 2 * time.Second
-	prefix        = "vm/"
-	prefixEnd     = "vm0"
-	maxVMs        = 500
+	// startupInterval is the time between two rounds until this VM has read its own row. By then
+	// it has also read the rows of all VMs that started together with it, within some 300 ms.
+	startupInterval = 2 * time.Second
+	rowPrefix       = "vm/"
+	rowPrefixEnd    = "vm0"
+	maxVMs          = 500
 )
 
-// Census keeps the list of VMs.
+// Census keeps the list of VMs and this VM's row in it. It is safe for concurrent use.
 type Census struct {
 	table    platform.Table
 	own      VM
 	onChange func([]VM)
 	logger   *zap.Logger
-	// settled says that this VM's own row stood in the list. Run alone uses it.
-	settled bool
-
-	mu   sync.Mutex // guards the fields below
-	seen map[string]sighting
-	vms  []VM
-	// follows says whether this VM is among the followers of vms: each question of a peer asks
-	// for it, and to order 195 VMs takes 57 us (a benchmark of one call).
-	follows bool
-	// known says that the list was read.
-	known bool
-	// listed is when this VM's row was first read, zero before; countedBefore says that the first list
-	// had a row of an earlier process of this VM.
-	listed        time.Time
-	countedBefore bool
+	// registered says that this VM has read its own current row. Only Run uses it.
+	registered bool
+
+	mu       sync.Mutex // guards the fields below
+	observed map[string]observation
+	vms      []VM
+	// followsFeed says whether this VM is one of the followers in vms. It is cached because each
+	// query of a peer needs it, and sorting 195 VMs takes 57 us.
+	followsFeed bool
+	// loaded says that the list was read.
+	loaded bool
+	// listedAt is when this VM's row was first read, zero before. listedBefore says that the
+	// first list had a row of an earlier process of this VM.
+	listedAt     time.Time
+	listedBefore bool
 }
 
-// sighting is when a row's present revision was first read.
-type sighting struct {
+// observation is a row's current revision and when it was first read.
+type observation struct {
 	revision uint64
 	at       time.Time
 }
 
-// New returns a census that knows of its own VM alone. Each new list goes to onChange.
+// New returns a census that lists only this VM. Run passes each list that it reads to onChange.
 func New(table platform.Table, own VM, onChange func([]VM), logger *zap.Logger) *Census {
-	return &Census{table: table, own: own, onChange: onChange, logger: logger, seen: map[string]sighting{}, vms: []VM{own}, follows: true}
+	return &Census{table: table, own: own, onChange: onChange, logger: logger, observed: map[string]observation{}, vms: []VM{own}, followsFeed: true}
 }
 
-// VMs returns the VMs that are counted, this one included.
+// VMs returns the VMs that are counted, including this one.
 func (c *Census) VMs() []VM {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.vms
 }
 
-// pause is the time until the next round. It grows with the fleet, so that the calls of
-// all VMs together stay at five a second.
-func (c *Census) pause() time.Duration {
-	if !c.settled {
-		return firstInterval
+// nextInterval returns the time until the next round. Once the VM is registered, it grows with the
+// fleet, so that all VMs together make at most five calls a second.
+func (c *Census) nextInterval() time.Duration {
+	if !c.registered {
+		return startupInterval
 	}
-	return c.calmPause()
+	return c.steadyInterval()
 }
 
-// calmPause is the time between two writes of a VM whose row stands.
-func (c *Census) calmPause() time.Duration {
-	return max(interval, time.Duration(len(c.VMs()))*perVM)
+// steadyInterval returns the time between two rounds of a VM that is registered.
+func (c *Census) steadyInterval() time.Duration {
+	return max(minInterval, time.Duration(len(c.VMs()))*intervalPerVM)
 }
 
-// Run writes this VM's row and reads the others' until ctx ends.
+// Run writes this VM's row and reads those of the others until ctx ends.
 func (c *Census) Run(ctx context.Context) {
 	ctx = platform.WithPurpose(ctx, platform.PurposeVMs)
 	for ctx.Err() == nil {
 		if err := c.round(ctx); err != nil && ctx.Err() == nil {
 			c.logger.Info("list of VMs not read", zap.Error(err))
 		}
-		sleep.For(ctx, c.pause())
+		sleep.For(ctx, c.nextInterval())
 	}
 }
 
+// round reads the list and then writes this VM's row. The write is skipped once, when the
+// current row is found in the table.
 func (c *Census) round(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, interval/2)
+	ctx, cancel := context.WithTimeout(ctx, minInterval/2)
 	defer cancel()
-	rows, err := c.table.Scan(ctx, prefix, prefixEnd, maxVMs)
+	rows, err := c.table.Scan(ctx, rowPrefix, rowPrefixEnd, maxVMs)
 	if err != nil {
 		return err
 	}
-	c.take(rows)
+	c.update(rows)
 	c.onChange(c.VMs())
-	if !c.settled && c.stands(rows) {
-		c.settled = true
+	if !c.registered && c.hasCurrentRow(rows) {
+		c.registered = true
 		return nil
 	}
-	return c.write(ctx, rows)
+	return c.writeRow(ctx, rows)
 }
 
-// stands reports whether this VM's row stands in the table as it is to be. The first look at it
-// needs no write then: when all VMs of a fleet start together, two writes each were a tenth of
-// what the store was asked in the first minute (390 of 3,271 calls of 195 VMs, by their
-// counters). Nor does the row of an earlier process of this VM, if the others go on counting it
-// until this one writes: the list is whole then, and a restart costs one call in place of three.
-func (c *Census) stands(rows []platform.Row) bool {
+// hasCurrentRow reports whether the table holds this VM's row as this process would write it.
+// The first round that finds it needs no write: when all VMs of a fleet start together, two
+// writes by each were a tenth of the calls to the store in the first minute (390 of 3,271 calls
+// of 195 VMs). The row of an earlier process of this VM is current too if the others count it
+// until this process writes. The list is then complete, and a restart costs one call instead of
+// three.
+func (c *Census) hasCurrentRow(rows []platform.Row) bool {
 	row := c.ownRow(rows)
 	var vm VM
-	if json.Unmarshal(row.Value, &vm) != nil || !vm.sameAs(c.own) {
+	if json.Unmarshal(row.Value, &vm) != nil || !vm.sameVM(c.own) {
 		return false
 	}
 	if vm.Heartbeat == c.own.Heartbeat {
 		return true
 	}
 	age, known := vm.ageAt(row.ReadAt)
-	if !known || age > c.calmPause() {
+	if !known || age > c.steadyInterval() {
 		return false
 	}
 	c.own.Heartbeat = vm.Heartbeat
 	return true
 }
 
-// ownRow returns this VM's row, one of revision 0 without a value if there is none.
+// ownRow returns this VM's row. If there is none, it returns a row of revision 0 without a value.
 func (c *Census) ownRow(rows []platform.Row) platform.Row {
-	key := prefix + c.own.Name
+	key := rowPrefix + c.own.Name
 	if i := slices.IndexFunc(rows, func(r platform.Row) bool { return r.Key == key }); i >= 0 {
 		return rows[i]
 	}
 	return platform.Row{Key: key}
 }
 
-// Loaded reports whether the list of VMs was ever read. Until then this VM counts itself alone.
+// Loaded reports whether the list of VMs was ever read. Until then this VM counts only itself.
 func (c *Census) Loaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.known
+	return c.loaded
 }
 
-// Counted reports whether other VMs count this one by now: it goes on from an earlier process of
-// its, or its row has been there for a round of theirs. In a fleet of more than some 20 VMs rounds
-// are longer, and a part of them may not count it yet.
+// Counted reports whether other VMs count this one: the row of an earlier process of this VM was
+// in the first list, or this VM's row has been in the table for minInterval. In a fleet of more
+// than 20 VMs rounds take longer than that, and some VMs may not count this one yet.
 func (c *Census) Counted(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.countedBefore || !c.listed.IsZero() && now.Sub(c.listed) >= interval
+	return c.listedBefore || !c.listedAt.IsZero() && now.Sub(c.listedAt) >= minInterval
 }
 
-// write rewrites this VM's row. The row may be that of an earlier process of the same
-// name, which is gone.
-func (c *Census) write(ctx context.Context, rows []platform.Row) error {
+// writeRow rewrites this VM's row. The row may be that of an earlier process of the same VM,
+// which has ended.
+func (c *Census) writeRow(ctx context.Context, rows []platform.Row) error {
 	row := c.ownRow(rows)
 	c.own.Heartbeat++
 	c.own.WrittenMS = readAt(rows).Milliseconds()
@@ -175,7 +179,7 @@
 	})
 }
 
-// readAt returns the table's clock when the rows were read, 0 if it isn't known.
+// readAt returns the time of the table's clock at which the rows were read, 0 if it is unknown.
 func readAt(rows []platform.Row) time.Duration {
 	if len(rows) == 0 {
 		return 0
@@ -183,35 +187,36 @@
 	return rows[0].ReadAt
 }
 
-func (c *Census) take(rows []platform.Row) {
+// update replaces the list of VMs by those whose rows have changed within expiryRounds rounds.
+func (c *Census) update(rows []platform.Row) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	seen := make(map[string]sighting, len(rows))
+	observed := make(map[string]observation, len(rows))
 	vms := []VM{c.own}
 	for _, row := range rows {
-		at := c.seen[row.Key]
-		if at.revision != row.Revision {
-			at = sighting{revision: row.Revision, at: now}
+		last := c.observed[row.Key]
+		if last.revision != row.Revision {
+			last = observation{revision: row.Revision, at: now}
 		}
-		seen[row.Key] = at
-		if row.Key == prefix+c.own.Name && c.listed.IsZero() {
-			c.listed, c.countedBefore = now, !c.known
+		observed[row.Key] = last
+		if row.Key == rowPrefix+c.own.Name && c.listedAt.IsZero() {
+			c.listedAt, c.listedBefore = now, !c.loaded
 		}
 		var vm VM
 		if err := json.Unmarshal(row.Value, &vm); err != nil {
-			c.logger.Warn("row of a VM not read", zap.String("key", row.Key), zap.Error(err))
+			c.logger.Warn("failed to decode a VM's row", zap.String("key", row.Key), zap.Error(err))
 			continue
 		}
-		if vm.Name != c.own.Name && now.Sub(at.at) < expiryRounds*max(interval, time.Duration(len(rows))*perVM) {
+		if vm.Name != c.own.Name && now.Sub(last.at) < expiryRounds*max(minInterval, time.Duration(len(rows))*intervalPerVM) {
 			vms = append(vms, vm)
 		}
 	}
-	c.seen = seen
-	c.known = true
+	c.observed = observed
+	c.loaded = true
 	if len(vms) != len(c.vms) {
 		c.logger.Info("VMs counted", zap.Int("vms", len(vms)), zap.Int("before", len(c.vms)))
 	}
 	c.vms = vms
-	c.follows = c.isAmong(FollowersOf(vms)[c.own.DataCentre])
+	c.followsFeed = c.includesSelf(FollowersOf(vms)[c.own.DataCentre])
 }
--- a/internal/census/census_test.go
+++ b/internal/census/census_test.go
@@ -14,24 +14,24 @@
 	"geraniumcroft/internal/platform"
 )
 
-// tableClockZero is where the tables' own clock counts from.
+// tableClockZero is the zero time of the tables' clock.
 var tableClockZero = time.Date(1999, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fakeTable is a table without faults.
+// fakeTable is a table in memory. It answers at once unless it is unavailable.
 type fakeTable struct {
 	mu       sync.Mutex // guards the fields below
 	rows     map[string]platform.Row
 	revision uint64
 	writes   int
 	scans    int
-	// away says that the table answers nobody.
-	away bool
+	// unavailable makes all calls fail.
+	unavailable bool
 }
 
 func (f *fakeTable) Commit(_ context.Context, txn platform.Txn) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.away {
+	if f.unavailable {
 		return platform.ErrUnavailable
 	}
 	for _, c := range txn.Conditions {
@@ -53,7 +53,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.scans++
-	if f.away {
+	if f.unavailable {
 		return nil, platform.ErrUnavailable
 	}
 	var rows []platform.Row
@@ -66,8 +66,8 @@
 	return rows, nil
 }
 
-// Six VMs start together and count each other. One dies; after some rounds without its
-// row changing it is not counted any more, and the others agree on who is first.
+// Six VMs start together and count each other. One dies; after some rounds in which its row
+// does not change, it is no longer counted, and the others agree on the largest VMs.
 func TestVMsCountEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &fakeTable{rows: map[string]platform.Row{}}
@@ -88,7 +88,7 @@
 		}
 		kills[2]()
 		time.Sleep(2 * time.Minute)
-		among := 0
+		inLargest := 0
 		for i, c := range vms {
 			if i == 2 {
 				continue
@@ -97,14 +97,14 @@
 				t.Errorf("vm %d counts %d after a death", i, n)
 			}
 			if c.IsAmongLargest(3) {
-				among++
+				inLargest++
 			}
-			if follows := c.isAmong(c.Followers()[c.own.DataCentre]); c.FollowsFeed() != follows {
-				t.Errorf("vm %d follows the feed: %t, by the list %t", i, c.FollowsFeed(), follows)
+			if listed := c.includesSelf(c.Followers()[c.own.DataCentre]); c.FollowsFeed() != listed {
+				t.Errorf("vm %d follows the feed: %t, by the list %t", i, c.FollowsFeed(), listed)
 			}
 		}
-		if among != 3 {
-			t.Errorf("%d VMs hold themselves for the first 3", among)
+		if inLargest != 3 {
+			t.Errorf("%d VMs report that they are among the 3 largest", inLargest)
 		}
 		for _, kill := range kills {
 			kill()
@@ -113,9 +113,10 @@
 	})
 }
 
-// In a fleet of any size some VMs of each data centre follow the store, three at least, and
-// no more than sixteen VMs learn from one of them: the links of small VMs carry that.
-func TestFollowersGrowWithTheFleet(t *testing.T) {
+// In a fleet of any size at least three VMs of each data centre follow the store's feed, or all
+// if there are fewer. At most sixteen VMs get their changes from one of them, which the links of
+// small VMs can carry.
+func TestNumberOfFollowersGrowsWithTheFleet(t *testing.T) {
 	for _, size := range []int{1, 6, 90, 320, 1000} {
 		var all []VM
 		counts := map[string]int{}
@@ -127,49 +128,50 @@
 		followers := FollowersOf(all)
 		for dataCentre, vms := range counts {
 			n := len(followers[dataCentre])
-			if n < min(vms, leastFollowers) || vms > n*vmsPerFollower {
+			if n < min(vms, minFollowers) || vms > n*maxVMsPerFollower {
 				t.Errorf("%d followers for the %d VMs of a data centre", n, vms)
 			}
 		}
 	}
 }
 
-// All power was lost, and 195 VMs start within 300 ms of each other. The store, which all of
-// them need at that moment, is asked for the list of VMs twice by each and written to once;
-// each VM then counts all others, so that no share of memory or retries is too large.
+// 195 VMs start within 300 ms of each other after a loss of all power. Guards against load on
+// the store, which all of them need at that moment: each VM reads the list twice and writes once.
+// Each VM must then count all others, or its share of memory or retries would be too large.
 func TestFleetThatStartsTogetherAsksLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
-			size     = 195
-			together = 300 * time.Millisecond
-			// mostCalls is one write and two readings a VM.
-			mostCalls = 3 * size
+			size        = 195
+			startWithin = 300 * time.Millisecond
+			// maxCalls allows each VM one write and two reads.
+			maxCalls = 3 * size
 		)
 		table := &fakeTable{rows: map[string]platform.Row{}}
-		vms, stop := startFleet(t, table, size, together)
+		vms, stop := startFleet(t, table, size, startWithin)
 		defer stop()
-		time.Sleep(2 * firstInterval)
+		time.Sleep(2 * startupInterval)
 		for i, c := range vms {
 			if n := len(c.VMs()); n != size {
 				t.Errorf("vm %d counts %d", i, n)
 			}
 		}
 		time.Sleep(30 * time.Second)
-		if calls := table.writes + table.scans; calls > mostCalls {
+		if calls := table.writes + table.scans; calls > maxCalls {
 			t.Errorf("%d calls, %d of them writes", calls, table.writes)
 		}
 	})
 }
 
-// startFleet starts so many VMs one after the other within a time; stop ends them.
-func startFleet(t *testing.T, table *fakeTable, size int, together time.Duration) (vms []*Census, stop func()) {
+// startFleet starts size VMs one after the other, evenly spread over the given time. The returned
+// function stops them.
+func startFleet(t *testing.T, table *fakeTable, size int, startWithin time.Duration) (vms []*Census, stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	for i := range size {
 		c := New(table, VM{Name: fmt.Sprint("vm-", i), Address: fmt.Sprint("address-", i)}, func([]VM) {}, zap.NewNop())
 		vms = append(vms, c)
 		running.Go(func() {
-			time.Sleep(time.Duration(i) * together / time.Duration(size))
+			time.Sleep(time.Duration(i) * startWithin / time.Duration(size))
 			c.Run(ctx)
 		})
 	}
@@ -179,24 +181,24 @@
 	}
 }
 
-// 195 VMs lose power and start again together. Their rows stand in the store from before, so each
-// VM counts all others after one reading, and the store, which is asked for much else at that
-// moment, is asked for nothing more. The next write comes before the others stop counting the VM.
-func TestFleetThatStartsAgainReadsTheListOnce(t *testing.T) {
+// 195 VMs lose power and restart together. Their rows are still in the table, so each VM counts
+// all others after one read. Guards against further calls, as the store is under load at that
+// moment, and against a VM whose next write comes after the others have stopped counting it.
+func TestRestartedFleetReadsTheListOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
-			size     = 195
-			together = size * time.Millisecond
+			size        = 195
+			startWithin = size * time.Millisecond
 		)
 		table := &fakeTable{rows: map[string]platform.Row{}}
-		_, stop := startFleet(t, table, size, together)
+		_, stop := startFleet(t, table, size, startWithin)
 		time.Sleep(50 * time.Second)
 		stop()
 		before := table.writes + table.scans
-		vms, stop := startFleet(t, table, size, together)
+		vms, stop := startFleet(t, table, size, startWithin)
 		defer stop()
 		time.Sleep(10 * time.Second)
-		// The one that wrote first had no row from which to learn the table's clock.
+		// The VM that wrote first had no row from which to read the table's clock.
 		const withoutClock = 1
 		if calls := table.writes + table.scans - before; calls > size+2*withoutClock {
 			t.Errorf("%d calls of %d VMs", calls, size)
@@ -212,13 +214,13 @@
 	})
 }
 
-// A row that nobody rewrote for longer than a VM pauses may be one that the others don't count
-// any more, and one of another address tells them a wrong one: both are written at once.
-func TestRowThatDoesNotStandIsWrittenAtOnce(t *testing.T) {
+// The others may no longer count a VM whose row is older than an interval, and a row with
+// another address gives them a wrong one: a starting VM rewrites both at once.
+func TestOutdatedRowIsRewrittenAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		address string
-		away    time.Duration
-		writes  int
+		address  string
+		downtime time.Duration
+		writes   int
 	}{
 		"a moment ago, the same address":    {"address", time.Second, 0},
 		"longer than a pause ago":           {"address", time.Minute, 1},
@@ -229,15 +231,15 @@
 				table := &fakeTable{rows: map[string]platform.Row{}}
 				other := New(table, VM{Name: "other", Address: "other"}, func([]VM) {}, zap.NewNop())
 				first := New(table, VM{Name: "vm", Address: "address"}, func([]VM) {}, zap.NewNop())
-				again := New(table, VM{Name: "vm", Address: c.address}, func([]VM) {}, zap.NewNop())
+				restarted := New(table, VM{Name: "vm", Address: c.address}, func([]VM) {}, zap.NewNop())
 				for _, vm := range []*Census{other, first} {
 					if err := vm.round(t.Context()); err != nil {
 						t.Fatal(err)
 					}
 				}
-				time.Sleep(c.away)
+				time.Sleep(c.downtime)
 				before := table.writes
-				if err := again.round(t.Context()); err != nil {
+				if err := restarted.round(t.Context()); err != nil {
 					t.Fatal(err)
 				}
 				if n := table.writes - before; n != c.writes {
@@ -248,42 +250,42 @@
 	}
 }
 
-// A VM starts while the store is away: it counts itself alone, and knows that it does not
-// know. Once the store is back the VM is counted within the pause of a first round, not after
-// that of a settled fleet.
+// A VM starts while the store is unavailable. It counts only itself and reports that it has not
+// read the list. Once the store is available again, the VM is counted within two startup
+// intervals, not after the longer interval of a registered VM.
 func TestVMThatStartsWithoutTheStoreIsCountedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := &fakeTable{rows: map[string]platform.Row{}, away: true}
+		table := &fakeTable{rows: map[string]platform.Row{}, unavailable: true}
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		c := New(table, VM{Name: "vm", Address: "address"}, func([]VM) {}, zap.NewNop())
 		running.Go(func() { c.Run(ctx) })
 		time.Sleep(9 * time.Second)
 		if c.Loaded() {
-			t.Error("it knows a list that it never read")
+			t.Error("reports a list as read that was never read")
 		}
 		table.mu.Lock()
-		table.away = false
+		table.unavailable = false
 		table.mu.Unlock()
-		time.Sleep(2 * firstInterval)
+		time.Sleep(2 * startupInterval)
 		if !c.Loaded() || table.writes != 1 {
-			t.Errorf("known %t, %d writes", c.Loaded(), table.writes)
+			t.Errorf("list read %t, %d writes", c.Loaded(), table.writes)
 		}
 		cancel()
 		running.Wait()
 	})
 }
 
-// Most VMs of a large fleet have a fifth of a core, a few of each data centre have four times
-// as much. The large ones follow the feed and come first, also where some VMs do not say what
-// they have; among equals the hash decides, the same on each VM.
-func TestLargestVMsServeTheOthers(t *testing.T) {
+// Most VMs of a large fleet have a fifth of a core, and a few in each data centre have four times
+// as much. The large ones follow the feed, also if the size of some VMs is unknown. The hash
+// decides among VMs of equal size, so that all VMs get the same order.
+func TestLargestVMsAreFollowers(t *testing.T) {
 	var all []VM
 	large := map[string]bool{}
 	for i := range 195 {
 		vm := VM{Name: fmt.Sprint("vm-", i), DataCentre: fmt.Sprint("dc", i%5), Cores: 0.192}
 		switch {
-		case i >= 90 && i < 90+5*leastFollowers:
+		case i >= 90 && i < 90+5*minFollowers:
 			vm.Cores, large[vm.Name] = 0.8, true
 		case i%20 == 0:
 			vm.Cores = 0
@@ -304,13 +306,13 @@
 	}
 	reversed := slices.Clone(all)
 	slices.Reverse(reversed)
-	if !slices.Equal(inOrder(all), inOrder(reversed)) {
+	if !slices.Equal(sortedBySize(all), sortedBySize(reversed)) {
 		t.Error("the order depends on that of the list")
 	}
 }
 
-// Guards against a new VM that acts as one of the fleet while the others do not count it yet.
-func TestNewVMWaitsUntilTheOthersCountIt(t *testing.T) {
+// Guards against a new VM that takes its share of a budget before the others count it.
+func TestNewVMIsCountedOnceTheOthersListIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &fakeTable{rows: map[string]platform.Row{}}
 		start := func(name string) *Census {
@@ -326,12 +328,12 @@
 		for ; !added.Counted(time.Now()); time.Sleep(100 * time.Millisecond) {
 		}
 		if len(first.VMs()) != 2 {
-			t.Error("counted, and the other VM does not know it")
+			t.Error("reported as counted before the other VM counts it")
 		}
-		again := start("vm-1")
+		restarted := start("vm-1")
 		synctest.Wait()
 		time.Sleep(time.Second)
-		if !again.Counted(time.Now()) {
+		if !restarted.Counted(time.Now()) {
 			t.Error("not counted although an earlier process of the VM was")
 		}
 		time.Sleep(time.Minute)
--- a/internal/census/doc.go
+++ b/internal/census/doc.go
@@ -1,8 +1,8 @@
-// Package census knows which VMs relay requests: how many share what is shared, and
-// whom to ask when the store does not answer.
+// Package census keeps the list of the VMs that relay requests: it gives the number by which
+// shared budgets are divided, and the peers to ask when the store does not answer.
 //
-// Each VM rewrites a row of its own at an interval. A VM whose row has not changed for
-// a while is not counted any more; until then its share of a budget lies idle, which
-// is the safe side. Nothing is decided by it that would be wrong with a VM too many or
-// too few, so it needs neither clocks that agree nor a failure detector.
+// Each VM rewrites its own row of the table at an interval. A VM whose row has not changed for
+// some intervals is no longer counted. Until then its share of a budget is unused, which is the
+// safe side. Nothing depends on the list that would be wrong with a VM too many or too few, so
+// the package needs neither synchronized clocks nor a failure detector.
 package census
