--- a/internal/placer/order.go
+++ b/internal/placer/order.go
@@ -12,69 +12,73 @@
 )
 
 const (
-	// orderTimeout bounds one order with the question before it.
+	// orderTimeout bounds one order together with the query of the replica's state before it.
 	orderTimeout = 600 * time.Millisecond
-	// reportSlack is how long after a load has ended discovery may still show the old
-	// range: two heartbeats of a replica and the way through the store.
+	// reportSlack is how long discovery may still list the old range after a load has ended: two
+	// heartbeats of a replica and the delay of the store.
 	reportSlack = 3 * time.Second
-	// loadSlack multiplies the time that a load takes alone, as loads share their source.
+	// loadSlack multiplies the time of a load that runs alone, because concurrent loads share
+	// their source.
 	loadSlack = 4
-	// orderRetry is the pause before a replica is ordered again that did not answer.
+	// orderRetry is the pause after an order that failed before the replica is ordered again.
 	orderRetry = 700 * time.Millisecond
 )
 
-// order is what a replica was last told.
+// order is the last order to a replica.
 type order struct {
 	held config.LayerRange
-	// until is when the replica should have reported the range.
-	until time.Time
-	// again is when the replica may be ordered once more.
-	again time.Time
-	// sequence is how many orders the replica had begun before this one.
+	// reportBy is when the replica should have reported the range.
+	reportBy time.Time
+	// retryAt is when the replica may be ordered again after a failure, zero if there was none.
+	retryAt time.Time
+	// sequence is the number of orders that the replica had begun before this one.
 	sequence uint64
 }
 
-// forgetOvertaken forgets orders that another one has followed. An order that was meant for a
-// replica's earlier incarnation may be carried out seconds later by the next one, whose orders
-// count anew: the layers that were ordered since would be waited for in vain.
-func (p *Placer) forgetOvertaken() {
+// dropSupersededOrders deletes orders after which the replica has begun another one. An order to
+// a replica's earlier incarnation may be carried out seconds later by the next incarnation, which
+// counts its orders from 0 again. The placer must not go on waiting for the layers that it has
+// ordered since, as they will not be loaded.
+func (p *Placer) dropSupersededOrders() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for replica, o := range p.ordered {
+	for replica, o := range p.orders {
 		load, ok := p.LastReport(replica)
 		if !ok || load.Sequence <= o.sequence+1 {
 			continue
 		}
 		p.Logger.Warn("another order was carried out after ours", zap.Stringer("replica", replica), zap.Stringer("ours", o.held),
 			zap.Stringer("held", load.Held), zap.Uint64("sequence", load.Sequence))
-		delete(p.ordered, replica)
+		delete(p.orders, replica)
 	}
 }
 
-// due reports whether the replica is to be ordered now.
-func (p *Placer) due(replica incarnation.Key, held config.LayerRange) bool {
+// isDue reports whether the replica is to be ordered now.
+func (p *Placer) isDue(replica incarnation.Key, held config.LayerRange) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	o, ok := p.ordered[replica]
+	o, ok := p.orders[replica]
 	now := time.Now()
 	if !ok {
 		return true
 	}
-	if o.held == held && now.Before(o.until) && o.again.IsZero() {
+	if o.held == held && now.Before(o.reportBy) && o.retryAt.IsZero() {
 		return false
 	}
-	return o.again.IsZero() || now.After(o.again)
+	return o.retryAt.IsZero() || now.After(o.retryAt)
 }
 
-func (p *Placer) order(ctx context.Context, spec *layers.Spec, r layers.Replica, held config.LayerRange) {
+// sendOrder reads the replica's state and orders it to hold the range, unless it does already,
+// another incarnation answered or this VM no longer holds the lease.
+func (p *Placer) sendOrder(ctx context.Context, spec *layers.Spec, r layers.Replica, held config.LayerRange) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	state, err := p.Engines.State(ctx, r.Address)
-	if err == nil && p.isAnother(r, state) {
+	if err == nil && p.incarnationChanged(r, state) {
 		return
 	}
 	if err == nil && state.Held == held {
-		p.remember(spec, r, held, state.Sequence, false)
+		p.recordOrder(spec, r, held, state.Sequence, false)
 		return
 	}
 	if err == nil && !p.Holder.Holds() {
@@ -86,13 +90,13 @@
 	p.Logger.Info("replica ordered", zap.Stringer("replica", r.Key()), zap.String("address", r.Address), zap.String("kind", r.Kind),
 		zap.String("dataCentre", r.DataCentre), zap.Stringer("held", r.Held), zap.Stringer("wanted", held),
 		zap.Uint64("sequence", state.Sequence), zap.Error(err))
-	p.remember(spec, r, held, state.Sequence, err != nil)
+	p.recordOrder(spec, r, held, state.Sequence, err != nil)
 }
 
-// isAnother reports whether another incarnation answered than the one that is to be ordered.
-// Its orders count anew, so that one with the sequence of the other could be carried out, or
-// would be taken for carried out. The next look has the one that lives.
-func (p *Placer) isAnother(r layers.Replica, state State) bool {
+// incarnationChanged reports whether another incarnation answered than the one to be ordered. Each
+// counts its orders from 0, so an order with the sequence of one could be carried out by the
+// other, or be taken for carried out. In the next round the list has the one that answered.
+func (p *Placer) incarnationChanged(r layers.Replica, state State) bool {
 	if r.Born <= 0 || state.Born <= 0 || r.Born == state.Born {
 		return false
 	}
@@ -102,14 +106,15 @@
 	return true
 }
 
-func (p *Placer) remember(spec *layers.Spec, r layers.Replica, held config.LayerRange, sequence uint64, failed bool) {
+// recordOrder keeps the order with the time by which the replica should report the range.
+func (p *Placer) recordOrder(spec *layers.Spec, r layers.Replica, held config.LayerRange, sequence uint64, failed bool) {
 	share := float64(held.Len()) / float64(max(1, spec.Layers))
 	load := time.Duration(loadSlack * share * float64(spec.LoadTime))
-	o := order{held: held, until: time.Now().Add(load + reportSlack), sequence: sequence}
+	o := order{held: held, reportBy: time.Now().Add(load + reportSlack), sequence: sequence}
 	if failed {
-		o.again = time.Now().Add(orderRetry)
+		o.retryAt = time.Now().Add(orderRetry)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ordered[r.Key()] = o
+	p.orders[r.Key()] = o
 }
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -16,28 +16,28 @@
 	"geraniumcroft/internal/sleep"
 )
 
-// Duty is the name of the lease under which replicas are ordered.
+// Duty is the name of the lease under which replicas get orders.
 const Duty = "placement"
 
 const (
-	// interval is the pause between two looks at the replicas.
+	// interval is the pause between two rounds over the replicas.
 	interval = 200 * time.Millisecond
-	// ordersAtOnce bounds the orders under way.
-	ordersAtOnce = 16
-	// gathering is how long no new replica must have been listed before the first
-	// layers are given out. Replicas that start together are listed within one or two
-	// heartbeats; a layout for the first few of them leaves them without room for
-	// requests, and every later one would have to move layers.
-	gathering = 1500 * time.Millisecond
-	// joining is how long a replica that joins a complete set waits for a hole. In a
-	// rolling replacement the old one begins to leave about a second after the new one
-	// has come.
-	joining = 2500 * time.Millisecond
+	// maxConcurrentOrders bounds the orders that are sent at the same time.
+	maxConcurrentOrders = 16
+	// listSettleTime is how long no new replica must have been listed before the first layers
+	// are assigned. Replicas that start together are listed within one or two heartbeats. A
+	// layout for the first few of them would leave them no memory for requests, and each later
+	// replica would make layers move.
+	listSettleTime = 1500 * time.Millisecond
+	// joinWait is how long a replica that joins a complete set waits for a gap in the coverage.
+	// In a rolling replacement the old replica begins to leave about a second after the new one
+	// has started.
+	joinWait = 2500 * time.Millisecond
 )
 
-// Holder tells whether this VM has the duty now.
+// Holder reports whether this VM holds the lease.
 type Holder interface {
-	// Holds is asked right before each order.
+	// Holds is called directly before each order.
 	Holds() bool
 }
 
@@ -47,113 +47,115 @@
 	Holder  Holder
 	// Model returns the model's description and its replicas as discovery lists them.
 	Model func() (*layers.Spec, []layers.Replica)
-	// ObserveIncarnation is told which incarnation of a replica answered.
+	// ObserveIncarnation is called when another incarnation of a replica answers than the one
+	// that was to be ordered.
 	ObserveIncarnation func(incarnation.Key)
-	// LastReport returns what an incarnation last reported, if it did.
+	// LastReport returns the last load report of an incarnation, and whether there is one.
 	LastReport func(incarnation.Key) (layers.Load, bool)
 	Logger     *zap.Logger
 }
 
-// Placer orders the replicas of one model.
+// Placer orders the replicas of one model to hold layers.
 type Placer struct {
 	Options
 
-	// known says since when replicas have been listed, the newest one since lastNew. Run
-	// alone uses them.
-	known   map[incarnation.Key]time.Time
-	lastNew time.Time
-	// last is what the placement was last computed from and gave. Only Run uses it.
-	last placed
+	// firstListed is when each listed replica first appeared in the list, lastAdded when the
+	// newest did. Only Run uses them.
+	firstListed map[incarnation.Key]time.Time
+	lastAdded   time.Time
+	// lastPlacement caches the last placement. Only Run uses it.
+	lastPlacement placement
 
-	mu      sync.Mutex // guards the field below
-	ordered map[incarnation.Key]order
+	mu     sync.Mutex // guards the field below
+	orders map[incarnation.Key]order
 }
 
-// placed is a placement with what it was computed from.
-type placed struct {
+// placement is the range that each replica is to hold, with the inputs of the computation.
+type placement struct {
 	spec     *layers.Spec
 	replicas []layers.Replica
 	wanted   map[string]config.LayerRange
 }
 
-// New returns a placer; Run makes it work.
+// New returns a placer. It sends no orders until Run is called.
 func New(o Options) *Placer {
-	return &Placer{Options: o, known: map[incarnation.Key]time.Time{}, ordered: map[incarnation.Key]order{}}
+	return &Placer{Options: o, firstListed: map[incarnation.Key]time.Time{}, orders: map[incarnation.Key]order{}}
 }
 
-// Run orders replicas while this VM holds the duty, until ctx ends.
+// Run orders replicas while this VM holds the lease, until ctx ends.
 func (p *Placer) Run(ctx context.Context) {
 	for sleep.For(ctx, interval) {
 		spec, replicas := p.Model()
 		if spec == nil {
 			continue
 		}
-		gathered := p.gathered(replicas)
+		listComplete := p.listComplete(replicas)
 		if !p.Holder.Holds() {
-			p.forget()
+			p.dropOrders()
 			continue
 		}
-		if gathered {
+		if listComplete {
 			p.step(ctx, spec, replicas)
 		}
 	}
 }
 
-// gathered reports whether the list of replicas is complete enough to place layers on.
-// Once some replica holds layers there is nothing to wait for.
-func (p *Placer) gathered(replicas []layers.Replica) bool {
+// listComplete reports whether the list of replicas is complete enough to place layers on.
+// Once some replica holds layers, there is no need to wait.
+func (p *Placer) listComplete(replicas []layers.Replica) bool {
 	holding := false
-	known := make(map[incarnation.Key]time.Time, len(replicas))
+	firstListed := make(map[incarnation.Key]time.Time, len(replicas))
 	for _, r := range replicas {
-		since, listed := p.known[r.Key()]
+		since, listed := p.firstListed[r.Key()]
 		if !listed {
 			since = time.Now()
-			p.lastNew = since
+			p.lastAdded = since
 		}
-		known[r.Key()] = since
+		firstListed[r.Key()] = since
 		holding = holding || r.Held.Len() > 0
 	}
-	p.known = known
-	return holding || len(replicas) > 0 && time.Since(p.lastNew) >= gathering
+	p.firstListed = firstListed
+	return holding || len(replicas) > 0 && time.Since(p.lastAdded) >= listSettleTime
 }
 
-func (p *Placer) forget() {
+// dropOrders deletes all orders. A VM without the lease does not know what others order.
+func (p *Placer) dropOrders() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	clear(p.ordered)
+	clear(p.orders)
 }
 
-// step orders every replica that is to hold another range than it does.
+// step sends an order to each replica that is to hold another range than it reports.
 func (p *Placer) step(ctx context.Context, spec *layers.Spec, replicas []layers.Replica) {
-	p.forgetOvertaken()
+	p.dropSupersededOrders()
 	wanted := p.place(spec, p.expected(replicas))
 	var orders errgroup.Group
-	orders.SetLimit(ordersAtOnce)
+	orders.SetLimit(maxConcurrentOrders)
 	for _, r := range replicas {
 		held, ok := wanted[r.ID]
-		if !ok || held == r.Held || r.Draining || !p.due(r.Key(), held) {
+		if !ok || held == r.Held || r.Draining || !p.isDue(r.Key(), held) {
 			continue
 		}
 		orders.Go(func() error {
-			p.order(ctx, spec, r, held)
+			p.sendOrder(ctx, spec, r, held)
 			return nil
 		})
 	}
 	_ = orders.Wait() // each order logs its own failure
 }
 
-// place computes the placement, unless nothing has changed since the last look: with 1,000
-// replicas each computation takes tens of ms, and there are five looks a second.
+// place returns the placement. It computes it only if an input has changed since the last round:
+// with 1,000 replicas a computation takes tens of ms, and there are five rounds a second.
 func (p *Placer) place(spec *layers.Spec, replicas []layers.Replica) map[string]config.LayerRange {
 	slices.SortFunc(replicas, func(a, b layers.Replica) int { return strings.Compare(a.ID, b.ID) })
-	if p.last.spec != spec || !slices.Equal(p.last.replicas, replicas) {
-		p.last = placed{spec: spec, replicas: replicas, wanted: layers.Place(spec, replicas)}
+	if p.lastPlacement.spec != spec || !slices.Equal(p.lastPlacement.replicas, replicas) {
+		p.lastPlacement = placement{spec: spec, replicas: replicas, wanted: layers.Place(spec, replicas)}
 	}
-	return p.last.wanted
+	return p.lastPlacement.wanted
 }
 
-// expected returns the replicas with the ranges that they were ordered to hold, so that
-// loads under way are not planned anew.
+// expected returns the replicas with the ranges that they were ordered to hold, so that loads in
+// progress are not planned again.
 func (p *Placer) expected(replicas []layers.Replica) []layers.Replica {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,8 +163,8 @@
 	expected := make([]layers.Replica, len(replicas))
 	for i, r := range replicas {
 		expected[i] = r
-		expected[i].Joining = now.Sub(p.known[r.Key()]) < joining
-		if o, ok := p.ordered[r.Key()]; ok && now.Before(o.until) && o.held != r.Held {
+		expected[i].Joining = now.Sub(p.firstListed[r.Key()]) < joinWait
+		if o, ok := p.orders[r.Key()]; ok && now.Before(o.reportBy) && o.held != r.Held {
 			expected[i].Held, expected[i].Loading = o.held, true
 		}
 	}
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -16,26 +16,26 @@
 	"geraniumcroft/internal/layers"
 )
 
-// fakeEngines carry orders out at once.
+// fakeEngines are replicas that carry out orders at once.
 type fakeEngines struct {
 	mu     sync.Mutex // guards the fields below
 	states map[string]State
 	orders int
-	// silent engines carry an order out and answer nothing.
-	silent bool
-	// listedBorn is the start that discovery shows where it is behind.
+	// dropAnswers makes Place carry out the order and return an error.
+	dropAnswers bool
+	// listedBorn is the start of an earlier incarnation that discovery still lists, by replica.
 	listedBorn map[string]int64
-	// heard are the incarnations that the placer told of.
-	heard []incarnation.Key
+	// observed are the incarnations that were passed to ObserveIncarnation.
+	observed []incarnation.Key
 }
 
-func (f *fakeEngines) hear(k incarnation.Key) {
+func (f *fakeEngines) observe(k incarnation.Key) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heard = append(f.heard, k)
+	f.observed = append(f.observed, k)
 }
 
-// reported is what an engine's report says, as a board has it.
+// reported returns the load report of an incarnation, as Options.LastReport does.
 func (f *fakeEngines) reported(k incarnation.Key) (layers.Load, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -43,8 +43,8 @@
 	return layers.Load{Born: state.Born, Sequence: state.Sequence, Held: state.Held}, ok && state.Born == k.Born
 }
 
-// change sets what an engine is, as a restart or another one's order does.
-func (f *fakeEngines) change(name string, state State) {
+// setState replaces a replica's state, as a restart or an order of another holder does.
+func (f *fakeEngines) setState(name string, state State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.states[name] = state
@@ -71,7 +71,7 @@
 	}
 	f.orders++
 	f.states[r.Address] = State{Born: state.Born, Sequence: sequence + 1, Held: held}
-	if f.silent {
+	if f.dropAnswers {
 		return errors.New("no answer")
 	}
 	return nil
@@ -99,14 +99,14 @@
 		Accelerators: map[string]layers.Accelerator{"card": {MemoryMB: 12000, StepTimeFactor: 1, PrefillTimeFactor: 1}}}
 }
 
-// listing returns the replicas as they report themselves.
-func (f *fakeEngines) listing(names ...string) []layers.Replica {
+// list returns the replicas as discovery lists them.
+func (f *fakeEngines) list(names ...string) []layers.Replica {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var replicas []layers.Replica
 	for _, name := range names {
 		r := layers.Replica{ID: name, Born: f.states[name].Born, Address: name, DataCentre: "a", Kind: "card", Held: f.states[name].Held}
-		if born, behind := f.listedBorn[name]; behind {
+		if born, stale := f.listedBorn[name]; stale {
 			r.Born, r.Held = born, config.LayerRange{}
 		}
 		replicas = append(replicas, r)
@@ -114,16 +114,16 @@
 	return replicas
 }
 
-// placing runs a placer over four engines in virtual time.
-func placing(t *testing.T, holder *fakeHolder, engines *fakeEngines, test func()) {
-	placingOn(t, holder, engines, []string{"1", "2", "3", "4"}, test)
+// runPlacer runs a placer with four replicas in virtual time while test runs.
+func runPlacer(t *testing.T, holder *fakeHolder, engines *fakeEngines, test func()) {
+	runPlacerOn(t, holder, engines, []string{"1", "2", "3", "4"}, test)
 }
 
-func placingOn(t *testing.T, holder *fakeHolder, engines *fakeEngines, names []string, test func()) {
+func runPlacerOn(t *testing.T, holder *fakeHolder, engines *fakeEngines, names []string, test func()) {
 	synctest.Test(t, func(t *testing.T) {
 		engines.states = map[string]State{}
-		p := New(Options{Engines: engines, Holder: holder, Logger: zap.NewNop(), ObserveIncarnation: engines.hear, LastReport: engines.reported,
-			Model: func() (*layers.Spec, []layers.Replica) { return testSpec(), engines.listing(names...) }})
+		p := New(Options{Engines: engines, Holder: holder, Logger: zap.NewNop(), ObserveIncarnation: engines.observe, LastReport: engines.reported,
+			Model: func() (*layers.Spec, []layers.Replica) { return testSpec(), engines.list(names...) }})
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() { p.Run(ctx) })
@@ -152,7 +152,7 @@
 
 func TestEnginesGetAllLayersOnce(t *testing.T) {
 	engines := &fakeEngines{}
-	placing(t, &fakeHolder{hold: true}, engines, func() {
+	runPlacer(t, &fakeHolder{hold: true}, engines, func() {
 		time.Sleep(5 * time.Second)
 		if !engines.covered() {
 			t.Errorf("held: %v", engines.states)
@@ -165,10 +165,10 @@
 	})
 }
 
-// A VM without the duty orders nothing, and goes on ordering once it has it.
-func TestOnlyTheHolderOrders(t *testing.T) {
+// A VM without the lease sends no orders, and starts to do so once it has the lease.
+func TestOnlyTheHolderSendsOrders(t *testing.T) {
 	engines, holder := &fakeEngines{}, &fakeHolder{}
-	placing(t, holder, engines, func() {
+	runPlacer(t, holder, engines, func() {
 		time.Sleep(10 * time.Second)
 		if engines.orders != 0 {
 			t.Errorf("%d orders without the duty", engines.orders)
@@ -181,18 +181,18 @@
 	})
 }
 
-// Engines carry orders out and their answers are lost. What they report decides, so
-// there are no more orders than with answers.
-func TestLostAnswersAreNotOrderedAgain(t *testing.T) {
+// Replicas carry out orders, and their answers are lost. Guards against repeated orders: what the
+// replicas report decides, so there are as many orders as with answers.
+func TestLostAnswersCauseNoFurtherOrders(t *testing.T) {
 	orders := map[bool]int{}
-	for _, silent := range []bool{false, true} {
-		engines := &fakeEngines{silent: silent}
-		placing(t, &fakeHolder{hold: true}, engines, func() {
+	for _, dropAnswers := range []bool{false, true} {
+		engines := &fakeEngines{dropAnswers: dropAnswers}
+		runPlacer(t, &fakeHolder{hold: true}, engines, func() {
 			time.Sleep(time.Minute)
 			if !engines.covered() {
 				t.Error("layers are missing")
 			}
-			orders[silent] = engines.orders
+			orders[dropAnswers] = engines.orders
 		})
 	}
 	if orders[true] != orders[false] {
@@ -200,10 +200,10 @@
 	}
 }
 
-// An engine restarts empty. It gets layers again, and none is left without a holder.
+// A replica restarts without layers. It gets some again, and all layers are held.
 func TestRestartedEngineGetsLayers(t *testing.T) {
 	engines := &fakeEngines{}
-	placing(t, &fakeHolder{hold: true}, engines, func() {
+	runPlacer(t, &fakeHolder{hold: true}, engines, func() {
 		time.Sleep(5 * time.Second)
 		engines.mu.Lock()
 		engines.states["2"] = State{}
@@ -215,24 +215,24 @@
 	})
 }
 
-// An engine starts again under its id and is ordered to load layers. Then an order that was
-// meant for its earlier incarnation, and that waited somewhere for seconds, is carried out: the
-// orders of both count from 0, so its condition holds. Callers lack the layers that were
-// ordered, and the placer waited for them until the load should have ended, up to 5 s here
-// and half a minute for large weights.
+// A replica restarts under its id and is ordered to load layers. Then an order to its earlier
+// incarnation, delayed for seconds, is carried out: both count their orders from 0, so its
+// condition holds. Guards against a placer that waits for the ordered layers until the load
+// should have ended, up to 5 s here and half a minute for large weights, in which callers lack
+// these layers.
 func TestOrderForTheEarlierIncarnationIsMadeGood(t *testing.T) {
 	engines := &fakeEngines{}
-	placingOn(t, &fakeHolder{hold: true}, engines, []string{"1", "2"}, func() {
-		engines.change("1", State{Born: 1})
-		engines.change("2", State{Born: 1})
+	runPlacerOn(t, &fakeHolder{hold: true}, engines, []string{"1", "2"}, func() {
+		engines.setState("1", State{Born: 1})
+		engines.setState("2", State{Born: 1})
 		time.Sleep(5 * time.Second)
-		engines.change("2", State{Born: 2})
+		engines.setState("2", State{Born: 2})
 		time.Sleep(time.Second)
 		ordered := engines.state("2")
 		if ordered.Sequence == 0 || !engines.covered() {
 			t.Fatalf("after the restart: %+v", ordered)
 		}
-		engines.change("2", State{Born: 2, Sequence: ordered.Sequence + 1, Held: config.LayerRange{From: 0, To: 1}})
+		engines.setState("2", State{Born: 2, Sequence: ordered.Sequence + 1, Held: config.LayerRange{From: 0, To: 1}})
 		time.Sleep(time.Second)
 		if !engines.covered() {
 			t.Errorf("a second after the late order: %v", engines.states)
@@ -240,26 +240,26 @@
 	})
 }
 
-// Discovery still lists an engine's earlier incarnation, whose place in the order of orders
-// the next one reaches as well. The engine's own answer tells; an order that was thought out
-// for what it held is not sent, and whoever keeps the list hears of the restart.
+// Discovery still lists a replica's earlier incarnation, and the next one reaches the same
+// sequence of orders. The replica's answer shows which one it is: an order that was computed for
+// the earlier one is not sent, and the restart is passed to ObserveIncarnation.
 func TestAnotherIncarnationIsNotOrdered(t *testing.T) {
 	engines := &fakeEngines{listedBorn: map[string]int64{"2": 1}}
-	placing(t, &fakeHolder{hold: true}, engines, func() {
+	runPlacer(t, &fakeHolder{hold: true}, engines, func() {
 		for _, name := range []string{"1", "3", "4"} {
-			engines.change(name, State{Born: 1})
+			engines.setState(name, State{Born: 1})
 		}
-		engines.change("2", State{Born: 7})
+		engines.setState("2", State{Born: 7})
 		time.Sleep(5 * time.Second)
 		if now := engines.state("2"); now.Sequence != 0 {
 			t.Errorf("ordered: %+v", now)
 		}
 		engines.mu.Lock()
-		heard := slices.Contains(engines.heard, incarnation.Key{ID: "2", Born: 7})
+		observed := slices.Contains(engines.observed, incarnation.Key{ID: "2", Born: 7})
 		engines.listedBorn = nil
 		engines.mu.Unlock()
-		if !heard {
-			t.Error("nobody was told of the restart")
+		if !observed {
+			t.Error("the restart was not passed on")
 		}
 		time.Sleep(3 * time.Second)
 		if now := engines.state("2"); now.Held.Len() == 0 {
