--- a/internal/orders/desired.go
+++ b/internal/orders/desired.go
@@ -9,13 +9,13 @@
 	"geraniumcroft/internal/engine"
 )
 
-// managed reports whether the target is an engine that is to hold something.
-func managed(t *config.Target) bool {
+// isManaged reports whether the target is an engine that is to hold a model.
+func isManaged(t *config.Target) bool {
 	return t.Kind == config.KindEngine && t.Model != ""
 }
 
-// newOrder returns the order that makes the engine hold what its entry says. The
-// role stays, as entries name none.
+// newOrder returns the order that makes the engine hold what its entry says. The role stays as it
+// is, because entries have none.
 func newOrder(t *config.Target, state engine.State, fencing uint64) engine.Order {
 	return engine.Order{
 		ID:       uuid.NewString(),
@@ -28,16 +28,16 @@
 	}
 }
 
-// agrees reports whether the engine holds what its entry says.
-func agrees(t *config.Target, state engine.State) bool {
+// stateMatches reports whether the engine holds what its entry says.
+func stateMatches(t *config.Target, state engine.State) bool {
 	return state.Model == t.Model &&
 		state.Version == t.Version &&
 		state.Layers == t.Layers &&
 		sameSet(state.Adapters, t.Adapters)
 }
 
-// asks reports whether the order asks for what the target's entry says now.
-func asks(order engine.Order, t *config.Target) bool {
+// orderMatches reports whether the order is for what the target's entry says now.
+func orderMatches(order engine.Order, t *config.Target) bool {
 	return order.Model == t.Model &&
 		order.Version == t.Version &&
 		order.Layers == t.Layers &&
--- a/internal/orders/drain.go
+++ b/internal/orders/drain.go
@@ -10,45 +10,45 @@
 	"geraniumcroft/internal/lease"
 )
 
-// drain sees to it that a reload cuts nothing off. It reports whether the engine
-// holds nothing, or gets no new work and has none in hand.
-func (c *Controller) drain(ctx context.Context, l lease.Lease, target *config.Target, task *task) (verdict, bool) {
+// drain ensures that a reload aborts no requests. It reports whether the engine holds nothing, or
+// gets no new requests and has none running.
+func (c *Controller) drain(ctx context.Context, l lease.Lease, target *config.Target, task *task) (stepResult, bool) {
 	if task.state.Model == "" || c.options.hooks.skipDrain {
-		return verdict{}, true
+		return stepResult{}, true
 	}
-	if l.Check() != nil && !c.options.hooks.skipCheck {
-		return c.again(PhaseNoLease), false
+	if l.Check() != nil && !c.options.hooks.skipLeaseCheck {
+		return c.retry(PhaseNoLease), false
 	}
-	confirmed, err := c.askDrain(ctx, target, task)
+	confirmed, err := c.requestDrain(ctx, target, task)
 	if err != nil {
-		return c.slower(task, PhaseDraining, err.Error()), false
+		return c.backOff(task, PhaseDraining, err.Error()), false
 	}
 	now := time.Now()
 	if !confirmed {
 		task.confirmed = time.Time{}
-		return c.again(PhaseDraining), false
+		return c.retry(PhaseDraining), false
 	}
 	if task.confirmed.IsZero() {
 		task.confirmed = now
 	}
-	// A request that left a VM just before the drain was confirmed may not have
-	// reached the engine; its state counts only once such a request would show.
+	// A request that a VM sent just before the drain was confirmed may not have reached the
+	// engine. The engine's state is used only after such a request would show in it.
 	if now.Sub(task.confirmed) < c.options.Settings.SettleTime {
-		return c.again(PhaseDraining), false
+		return c.retry(PhaseDraining), false
 	}
 	if task.state.Active > 0 {
-		return c.again(PhaseBusy), false
+		return c.retry(PhaseBusy), false
 	}
-	return verdict{}, true
+	return stepResult{}, true
 }
 
-// askDrain asks anew for a confirmation at each step: a VM that joined since must
-// have confirmed as well.
-func (c *Controller) askDrain(ctx context.Context, target *config.Target, task *task) (bool, error) {
+// requestDrain asks for the drain and reports whether it is confirmed. The confirmation is read
+// again at each step, because a VM that joined since must have confirmed as well.
+func (c *Controller) requestDrain(ctx context.Context, target *config.Target, task *task) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Settings.CallTimeout)
 	defer cancel()
 	if !task.drained {
-		// Set first: a drain whose answer was lost must be ended too.
+		// Set before the call: a drain whose answer is lost must be ended too.
 		task.drained = true
 		if err := c.options.Drainer.Drain(ctx, target.Name); err != nil {
 			task.drained = false
@@ -58,6 +58,7 @@
 	return c.options.Drainer.Drained(ctx, target.Name)
 }
 
+// resume ends the drain and reports whether that succeeded.
 func (c *Controller) resume(ctx context.Context, task *task) bool {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Settings.CallTimeout)
 	defer cancel()
--- a/internal/orders/drainer_test.go
+++ b/internal/orders/drainer_test.go
@@ -13,7 +13,7 @@
 // confirmAfter is how long the VMs take to confirm a drain.
 const confirmAfter = 500 * time.Millisecond
 
-// fakeDrains are the drains as the whole system knows them.
+// fakeDrains are the drains of the whole system.
 type fakeDrains struct {
 	mu    sync.Mutex // guards asked
 	asked map[string]time.Time
@@ -32,7 +32,7 @@
 	return slices.Sorted(maps.Keys(d.asked))
 }
 
-// fakeDrainer is one VM's way to the drains.
+// fakeDrainer is the Drainer of one VM.
 type fakeDrainer struct {
 	vm     *vmsim.VM
 	drains *fakeDrains
--- a/internal/orders/engine_test.go
+++ b/internal/orders/engine_test.go
@@ -15,7 +15,7 @@
 
 var errOldFencing = errors.New("a higher fencing number was seen")
 
-// received is an order as the engine got it.
+// received is an order that an engine received.
 type received struct {
 	order    engine.Order
 	at       time.Time
@@ -24,10 +24,11 @@
 	reloaded bool
 }
 
-// fakeEngine obeys orders as its kind does and counts the work that a reload cut off.
+// fakeEngine applies orders, with or without a check of the fencing number, and counts the requests
+// that a reload aborts.
 type fakeEngine struct {
 	target   *config.Target
-	log      *history
+	events   *history
 	loadTime time.Duration
 
 	mu       sync.Mutex // guards the fields below
@@ -35,13 +36,13 @@
 	loadedAt time.Time
 	ids      map[string]bool
 	received []received
-	cutOff   int
+	aborted  int
 }
 
-func newFakeEngine(target *config.Target, log *history) *fakeEngine {
+func newFakeEngine(target *config.Target, events *history) *fakeEngine {
 	return &fakeEngine{
 		target:   target,
-		log:      log,
+		events:   events,
 		loadTime: defaultLoadTime,
 		ids:      map[string]bool{},
 		state: engine.State{
@@ -64,13 +65,13 @@
 	return state
 }
 
-func (e *fakeEngine) obey(order engine.Order) error {
+func (e *fakeEngine) apply(order engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	got := received{order: order, at: time.Now(), accepted: true}
 	defer func() {
 		e.received = append(e.received, got)
-		e.log.order(e.target.Name, order.Fencing, got.accepted)
+		e.events.order(e.target.Name, order.Fencing, got.accepted)
 	}()
 	if e.target.RefusesOldFencing && order.Fencing < e.state.Fencing {
 		got.accepted = false
@@ -81,11 +82,11 @@
 		return nil
 	}
 	e.ids[order.ID] = true
-	got.reloaded = e.hold(order)
+	got.reloaded = e.load(order)
 	return nil
 }
 
-func (e *fakeEngine) hold(order engine.Order) bool {
+func (e *fakeEngine) load(order engine.Order) bool {
 	same := order.Model == e.state.Model && order.Version == e.state.Version && order.Layers == e.state.Layers
 	e.state.Model, e.state.Version, e.state.Layers = order.Model, order.Version, order.Layers
 	e.state.Adapters = slices.Clone(order.Adapters)
@@ -93,7 +94,7 @@
 		return false
 	}
 	e.loadedAt = time.Now().Add(e.loadTime)
-	e.cutOff += e.state.Active
+	e.aborted += e.state.Active
 	e.state.Active = 0
 	return true
 }
@@ -110,7 +111,7 @@
 	e.state.Active = max(0, e.state.Active+n)
 }
 
-func (e *fakeEngine) counts() (orders, reloads, refused, cutOff int) {
+func (e *fakeEngine) counts() (orders, reloads, refused, aborted int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, got := range e.received {
@@ -122,7 +123,7 @@
 			refused++
 		}
 	}
-	return orders, reloads, refused, e.cutOff
+	return orders, reloads, refused, e.aborted
 }
 
 func (e *fakeEngine) allReceived() []received {
--- a/internal/orders/failure_test.go
+++ b/internal/orders/failure_test.go
@@ -17,24 +17,24 @@
 const (
 	fencing  = "f-0"
 	ignoring = "i-0"
-	// pastLease is a pause that outlives the lease and the wait for old orders.
+	// pastLease is a pause longer than the lease and the wait for old orders.
 	pastLease = 40 * time.Second
 )
 
-// stallAndSucceed pauses the holder between its check and its order for v2, and lets
-// the configuration go on to v3, which the next holder orders.
-func stallAndSucceed(t *testing.T, f *fleet, target string, stall time.Duration) {
+// pauseHolderUntilReplaced pauses the holder between its check of the lease and its order for v2.
+// Meanwhile the configuration changes to v3, which the next holder orders.
+func pauseHolderUntilReplaced(t *testing.T, f *fleet, target string, pause time.Duration) {
 	t.Helper()
 	old := f.awaitHolder(t)
-	old.link.failOnce(orderFault{stall: stall})
+	old.link.failOnce(orderFault{pause: pause})
 	f.change(target, "v2")
-	await(t, 10*time.Second, "the holder pauses in its order", func() bool { return f.holder() == nil || f.holder() != old })
+	await(t, 10*time.Second, "the holder is paused in its order", func() bool { return f.holder() == nil || f.holder() != old })
 	f.change(target, "v3")
 	await(t, 20*time.Second, "another holder", func() bool { return f.holder() != nil && f.holder() != old })
 }
 
-// versions returns the versions that came into force, in order.
-func versions(e *fakeEngine) []string {
+// acceptedVersions returns the versions that were applied one after the other.
+func acceptedVersions(e *fakeEngine) []string {
 	var list []string
 	for _, got := range e.allReceived() {
 		if got.accepted && (len(list) == 0 || list[len(list)-1] != got.order.Version) {
@@ -44,14 +44,13 @@
 	return list
 }
 
-// The operator sees v3 come into force and stay. The old holder wakes between its
-// check and its order for v2 long after its lease; the engine has the new holder's
-// number and refuses.
-func TestPausedBetweenCheckAndActOnFencingEngine(t *testing.T) {
+// The old holder resumes between its check and its order for v2 long after its lease has expired.
+// The engine has seen the new holder's fencing number and refuses the order, so v3 stays in force.
+func TestHolderPausedBetweenCheckAndOrderOnFencingEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3, hooks{}, fencingTarget(fencing))
 		defer f.stop()
-		stallAndSucceed(t, f, fencing, pastLease)
+		pauseHolderUntilReplaced(t, f, fencing, pastLease)
 		f.awaitVersion(t, fencing, "v3")
 		time.Sleep(pastLease)
 		_, _, refused, _ := f.engines[fencing].counts()
@@ -60,51 +59,50 @@
 	})
 }
 
-// The operator sees v2 and then v3. The engine obeys anyone; the old holder's order
-// arrives after its lease ended, but before the new holder's first one, which waits
-// for as long as an order can be under way.
-func TestPausedBetweenCheckAndActOnIgnoringEngine(t *testing.T) {
+// The engine ignores fencing numbers. The old holder's order for v2 arrives after its lease has
+// expired, but before the new holder's first order for v3, which waits for as long as an old order
+// can take effect. So v2 is followed by v3.
+func TestHolderPausedBetweenCheckAndOrderOnIgnoringEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3, hooks{}, ignoringTarget(ignoring))
 		defer f.stop()
-		stallAndSucceed(t, f, ignoring, 11*time.Second)
+		pauseHolderUntilReplaced(t, f, ignoring, 11*time.Second)
 		f.awaitVersion(t, ignoring, "v3")
 		time.Sleep(pastLease)
-		got := versions(f.engines[ignoring])
+		got := acceptedVersions(f.engines[ignoring])
 		must(t, len(got) == 2 && got[0] == "v2" && got[1] == "v3", "in force one after the other: %v", got)
-		_, _, _, cutOff := f.engines[ignoring].counts()
-		must(t, cutOff == 0, "%d requests cut off", cutOff)
+		_, _, _, aborted := f.engines[ignoring].counts()
+		must(t, aborted == 0, "%d requests aborted", aborted)
 	})
 }
 
-// Callers keep what is in hand. The old holder is paused between its check and its
-// order for v2, and the operator goes back to v1, which the engine still holds. The
-// new holder sees that it agrees and yet lets no work in until the old order must have
-// arrived: it reloads the engine.
+// The old holder is paused between its check and its order for v2, and the operator goes back to
+// v1, which the engine still holds. Guards against a new holder that ends the drain because the
+// engine matches its entry: the old order may still arrive, reload the engine and abort requests.
 func TestDrainIsKeptUntilOldOrdersHaveArrived(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3, hooks{}, ignoringTarget(ignoring))
 		defer f.stop()
 		old := f.awaitHolder(t)
-		old.link.failOnce(orderFault{stall: 11 * time.Second})
+		old.link.failOnce(orderFault{pause: 11 * time.Second})
 		f.change(ignoring, "v2")
 		await(t, 20*time.Second, "another holder", func() bool { return f.holder() != nil && f.holder() != old })
 		f.change(ignoring, "v1")
 		e := f.engines[ignoring]
-		f.done.Go(func() { work(rand.New(rand.NewPCG(1, 1)), f.drains, e, time.Now().Add(time.Minute)) })
+		f.done.Go(func() { sendRequests(rand.New(rand.NewPCG(1, 1)), f.drains, e, time.Now().Add(time.Minute)) })
 		time.Sleep(time.Minute)
-		got := versions(e)
+		got := acceptedVersions(e)
 		must(t, len(got) == 2 && got[0] == "v2" && got[1] == "v1", "in force one after the other: %v", got)
-		_, _, _, cutOff := e.counts()
-		must(t, cutOff == 0, "%d requests cut off", cutOff)
-		must(t, len(f.drains.list()) == 0, "work is kept away for good")
+		_, _, _, aborted := e.counts()
+		must(t, aborted == 0, "%d requests aborted", aborted)
+		must(t, len(f.drains.list()) == 0, "the drain is not ended")
 	})
 }
 
-// The operator sees a change in force a few seconds after a change of holder. The order
-// that told the engine the new number was answered and had nothing to change, so the
-// next one need not wait until it can no longer be under way.
-func TestNewNumberDoesNotDelayTheNextOrder(t *testing.T) {
+// The order that gave the engine the new fencing number was answered and had nothing to change.
+// The next order does not have to wait until that one can no longer take effect, so a change is in
+// force a few seconds after a change of holder.
+func TestFencingUpdateDoesNotDelayTheNextOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, hooks{}, fencingTarget(fencing))
 		defer f.stop()
@@ -115,22 +113,22 @@
 	})
 }
 
-// The operator sees v3, for some seconds v2, and v3 again. The old holder was paused
-// between check and order for longer than any wait covers, and the engine obeys
-// anyone: reading back finds the old order and repairs it.
+// The old holder is paused between check and order for longer than the wait for old orders, and
+// the engine ignores fencing numbers. v2 is in force for some seconds after v3, until reading back
+// finds and repairs it.
 func TestOrderLaterThanAnyWaitIsRepaired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3, hooks{}, ignoringTarget(ignoring))
 		defer f.stop()
-		stallAndSucceed(t, f, ignoring, pastLease)
+		pauseHolderUntilReplaced(t, f, ignoring, pastLease)
 		f.awaitVersion(t, ignoring, "v3")
 		f.awaitVersion(t, ignoring, "v2")
 		f.awaitVersion(t, ignoring, "v3")
 	})
 }
 
-// The operator sees one load. The order takes effect late and its answer is lost; it
-// is waited for as long as it can be under way, and nothing is sent again.
+// An order takes effect late and its answer is lost. The controller waits for as long as the order
+// can take effect and sends nothing again, so the engine loads once.
 func TestOrderWithLostAnswerIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, hooks{}, ignoringTarget(ignoring))
@@ -144,10 +142,10 @@
 	})
 }
 
-// The operator sees one load, late. The order was lost with its answer. It is sent
-// again only once it can no longer be under way, with its ID: a copy that arrives
-// after all changes nothing.
-func TestLostOrderIsSentAgainWithItsID(t *testing.T) {
+// An order and its answer are lost. The order is sent again only when it should no longer be able
+// to take effect, with the same ID: if the first copy arrives even later, it changes nothing, so
+// the engine loads once.
+func TestLostOrderIsResentWithItsID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, hooks{}, ignoringTarget(ignoring))
 		defer f.stop()
@@ -158,29 +156,29 @@
 		time.Sleep(time.Minute)
 		got := f.engines[ignoring].allReceived()
 		must(t, len(got) == 2, "%d orders", len(got))
-		must(t, got[0].order.ID == got[1].order.ID, "sent again with another ID")
+		must(t, got[0].order.ID == got[1].order.ID, "resent with another ID")
 		must(t, got[0].reloaded != got[1].reloaded, "reloaded twice, or never")
 	})
 }
 
-// The same with a blind repeat planted in: the engine loads twice.
-func TestBlindRepeatIsNoticed(t *testing.T) {
+// The controller sends orders while an earlier one is unresolved, an injected fault. The engine
+// then counts more than one order.
+func TestUnresolvedOrderSentAgainIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(1, hooks{repeatBlind: true}, ignoringTarget(ignoring))
+		f := newFleet(1, hooks{resendUnresolved: true}, ignoringTarget(ignoring))
 		defer f.stop()
 		f.awaitHolder(t).link.failOnce(orderFault{loseAnswer: true, delay: 3 * time.Second})
 		f.change(ignoring, "v2")
 		f.awaitVersion(t, ignoring, "v2")
 		time.Sleep(time.Minute)
 		orders, _, _, _ := f.engines[ignoring].counts()
-		must(t, orders > 1, "the fault shows nowhere")
+		must(t, orders > 1, "the injected fault was not detected")
 	})
 }
 
-// Callers keep what is in hand. The engine works on a request when its entry changes
-// and gets one more, sent just before the drain was confirmed; the order goes out
-// when both have ended.
-func TestNoReloadWithWorkInHand(t *testing.T) {
+// A request that was sent just before the drain was confirmed reaches the engine after it. Guards
+// against a reload that aborts the request: the order is sent only when it has ended.
+func TestNoReloadWhileRequestsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, hooks{}, ignoringTarget(ignoring))
 		defer f.stop()
@@ -192,22 +190,22 @@
 		e.addWork(1)
 		time.Sleep(5 * time.Minute)
 		orders, _, _, _ := e.counts()
-		must(t, orders == 0, "ordered with work in hand")
+		must(t, orders == 0, "ordered while a request runs")
 		e.addWork(-1)
 		f.awaitVersion(t, ignoring, "v2")
-		await(t, 30*time.Second, "new work again", func() bool { return len(f.drains.list()) == 0 })
-		_, _, _, cutOff := e.counts()
-		must(t, cutOff == 0, "%d requests cut off", cutOff)
+		await(t, 30*time.Second, "the drain's end", func() bool { return len(f.drains.list()) == 0 })
+		_, _, _, aborted := e.counts()
+		must(t, aborted == 0, "%d requests aborted", aborted)
 	})
 }
 
-// Callers keep what is in hand, also when the engine's answer is slow: a request that
-// was on its way when the drain was confirmed arrives after the engine wrote that
-// nothing is in hand and before the answer is read.
-func TestNoReloadOnAnOldReading(t *testing.T) {
+// The engine's answer to a query of its state is slow. A request that was sent before the drain was
+// confirmed arrives after the engine has written that no requests are running and before that
+// answer is read. Guards against a reload that aborts the request.
+func TestNoReloadOnAnOutdatedState(t *testing.T) {
 	settings := testSettings()
 	settings.RetryInterval = 250 * time.Millisecond
-	settings.SettleTime = 2450 * time.Millisecond // the reading before the last is older by the slow answer
+	settings.SettleTime = 2450 * time.Millisecond // the last state but one is older by the delay of the answer
 	for late := time.Second; late < settings.SettleTime; late += 25 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleetWith(settings, 1, hooks{}, ignoringTarget(ignoring))
@@ -221,15 +219,15 @@
 			time.Sleep(10 * time.Second)
 			e.addWork(-1)
 			f.awaitVersion(t, ignoring, "v2")
-			_, _, _, cutOff := e.counts()
-			must(t, cutOff == 0, "%d requests cut off, sent %s after the drain", cutOff, late)
+			_, _, _, aborted := e.counts()
+			must(t, aborted == 0, "%d requests aborted, sent %s after the drain", aborted, late)
 		})
 	}
 }
 
-// Callers keep what is in hand. The new holder's configuration is old: there the
-// target is drained and to hold v2, while an earlier holder has loaded v3 meanwhile and
-// let work in. Before its order it reads what the table holds, and sends none.
+// The new holder's configuration is old: in it the target is drained and to hold v2, while an
+// earlier holder has meanwhile loaded v3 and ended the drain. Guards against an order that aborts
+// requests: the holder reads the table's configuration before an order, and then sends none.
 func TestHolderWithAnOldConfigurationSendsNoOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, hooks{}, fencingTarget(fencing))
@@ -249,16 +247,16 @@
 	})
 }
 
-// The operator sees no order while the store is out, and the change in force after
-// it. Without the table nobody can hold the lease for longer than its duration.
-func TestNoOrdersWhileTheStoreIsOutForLong(t *testing.T) {
+// Without the table no VM can hold the lease for longer than its duration. No order is sent during
+// the outage, and the change is in force after it.
+func TestNoOrdersDuringALongStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3, hooks{}, fencingTarget(fencing))
 		defer f.stop()
 		f.awaitHolder(t)
 		f.store.Faults.Set(platformsim.Order{Outage: platformsim.OutageHang})
 		time.Sleep(lease.DefaultTTL)
-		f.change(fencing, "v2") // as peers spread it
+		f.change(fencing, "v2") // received from peers
 		time.Sleep(time.Hour)
 		must(t, f.engines[fencing].read().Version == "v1", "ordered without a lease")
 		f.store.Faults.Set(platformsim.Order{})
@@ -267,9 +265,9 @@
 	})
 }
 
-// Callers get the target back. Its holder dies after it asked for a drain and before
-// the load; the next holder finds the drain and ends it, here because the entry was
-// changed back meanwhile.
+// The holder dies after it has asked for a drain and before the load. The next holder finds the
+// drain and ends it, here because the entry was changed back meanwhile. Otherwise the target would
+// get no more requests.
 func TestDrainOfADeadHolderIsEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3, hooks{}, ignoringTarget(ignoring))
@@ -281,13 +279,13 @@
 		dead.stop()
 		f.change(ignoring, "v1")
 		await(t, time.Minute, "the drain's end", func() bool { return len(f.drains.list()) == 0 })
-		must(t, f.holder() != dead, "the dead holder holds on")
+		must(t, f.holder() != dead, "the dead VM still holds the lease")
 	})
 }
 
-// The weight store sees loads begin at its pace and few at once, though the operator
-// changed six engines at once.
-func TestLoadsAreSpaced(t *testing.T) {
+// Six engines are changed at once. Their loads start LoadInterval apart and no more than
+// MaxConcurrentLoads run at once, as the weight store is rate-limited.
+func TestLoadsAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		names := []string{"f-0", "f-1", "f-2", "i-0", "i-1", "i-2"}
 		var targets []*config.Target
@@ -325,15 +323,15 @@
 	})
 }
 
-// An engine that holds nothing gets its order without a drain, on a planned stop the
-// controller has ended its orders when Run returns.
-func TestEmptyEngineIsLoaded(t *testing.T) {
+// An engine that holds nothing gets its order without a drain. On a planned stop the lease is
+// released, as no order is being sent any more once Run has returned.
+func TestEmptyEngineIsLoadedWithoutDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, hooks{}, fencingTarget(fencing))
 		defer f.stop()
 		f.engines[fencing].setState(engine.State{})
 		f.awaitVersion(t, fencing, "v1")
-		must(t, len(f.drains.list()) == 0, "drained for nothing")
+		must(t, len(f.drains.list()) == 0, "drained without need")
 		dump := f.members[0].controller.Dump().(Dump)
 		must(t, dump.Held && len(dump.Targets) == 1, "dump %+v", dump)
 		f.members[0].leases.Release(context.Background())
--- a/internal/orders/fleet_test.go
+++ b/internal/orders/fleet_test.go
@@ -40,17 +40,17 @@
 	stop       context.CancelFunc
 }
 
-// fleet is some VMs and engines on one store.
+// fleet is a number of VMs and engines with one store.
 type fleet struct {
 	store      *platformsim.Store
 	source     *config.StaticSource
 	engines    map[string]*fakeEngine // by target
 	drains     *fakeDrains
-	log        *history
+	events     *history
 	violations *invariant.Registry
 	members    []*member
 	settings   Settings
-	// refresh is what the table knows more than source.
+	// refresh updates source to what the table holds; nil if source is up to date.
 	refresh atomic.Pointer[func()]
 	done    sync.WaitGroup
 }
@@ -74,16 +74,16 @@
 	}
 }
 
-func newFleet(vms int, planted hooks, targets ...*config.Target) *fleet {
-	return newFleetWith(testSettings(), vms, planted, targets...)
+func newFleet(vms int, injected hooks, targets ...*config.Target) *fleet {
+	return newFleetWith(testSettings(), vms, injected, targets...)
 }
 
-func newFleetWith(settings Settings, vms int, planted hooks, targets ...*config.Target) *fleet {
+func newFleetWith(settings Settings, vms int, injected hooks, targets ...*config.Target) *fleet {
 	f := &fleet{
 		store:      platformsim.NewStore(),
 		engines:    map[string]*fakeEngine{},
 		drains:     &fakeDrains{asked: map[string]time.Time{}},
-		log:        &history{},
+		events:     &history{},
 		violations: invariant.NewRegistry(nil),
 		settings:   settings,
 	}
@@ -91,18 +91,18 @@
 	byAddress := map[string]*fakeEngine{}
 	for _, target := range targets {
 		snapshot.Targets[target.Name] = target
-		f.engines[target.Name] = newFakeEngine(target, f.log)
+		f.engines[target.Name] = newFakeEngine(target, f.events)
 		byAddress[target.Address] = f.engines[target.Name]
 	}
 	f.source = config.NewStaticSource(snapshot)
-	planted.onAgreed = f.log.agreed
+	injected.onMatch = f.events.matched
 	for i := range vms {
-		f.members = append(f.members, f.newMember(fmt.Sprintf("vm-%d", i), planted, byAddress))
+		f.members = append(f.members, f.newMember(fmt.Sprintf("vm-%d", i), injected, byAddress))
 	}
 	return f
 }
 
-func (f *fleet) newMember(name string, planted hooks, engines map[string]*fakeEngine) *member {
+func (f *fleet) newMember(name string, injected hooks, engines map[string]*fakeEngine) *member {
 	m := &member{vm: vmsim.New(name, f.store)}
 	m.link = &link{vm: m.vm, engines: engines}
 	m.leases = lease.NewManager(lease.Options{
@@ -118,9 +118,9 @@
 		Engines:      m.link,
 		Drainer:      fakeDrainer{vm: m.vm, drains: f.drains},
 		Settings:     f.settings,
-		Refresh:      f.bringUp,
+		Refresh:      f.refreshSource,
 		Invariants:   f.violations,
-		hooks:        planted,
+		hooks:        injected,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop = cancel
@@ -129,7 +129,7 @@
 	return m
 }
 
-func (f *fleet) bringUp(context.Context) error {
+func (f *fleet) refreshSource(context.Context) error {
 	if refresh := f.refresh.Load(); refresh != nil {
 		(*refresh)()
 	}
@@ -144,7 +144,7 @@
 	f.done.Wait()
 }
 
-// change sets a target's version, as an operator does.
+// change sets a target's version in the configuration.
 func (f *fleet) change(target, version string) {
 	now := f.source.Current()
 	entry := *now.Targets[target]
@@ -174,7 +174,7 @@
 	return found
 }
 
-// await lets virtual time pass until the condition holds, at most the bound.
+// await lets virtual time pass until the condition is true, and fails the test after the bound.
 func await(t *testing.T, bound time.Duration, what string, condition func() bool) {
 	t.Helper()
 	const step = 50 * time.Millisecond
--- a/internal/orders/history_test.go
+++ b/internal/orders/history_test.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	historySeeds = 8
-	historyLong  = 4 * time.Minute
-	// maxStall and maxDelay together stay under MaxOrderDelay.
-	maxStall = 9 * time.Second
+	historySeeds    = 8
+	historyDuration = 4 * time.Minute
+	// maxPause and maxDelay together are less than MaxOrderDelay.
+	maxPause = 9 * time.Second
 	maxDelay = 2 * time.Second
 )
 
-// event is an order as its engine got it, or a holder's word that an engine agrees.
+// event is an order that an engine received, or a holder's finding that an engine matches its entry.
 type event struct {
 	target   string
 	fencing  uint64
@@ -40,7 +40,7 @@
 	h.add(event{target: target, fencing: fencing, accepted: accepted})
 }
 
-func (h *history) agreed(target string, fencing uint64) {
+func (h *history) matched(target string, fencing uint64) {
 	h.add(event{target: target, fencing: fencing, accepted: true})
 }
 
@@ -51,8 +51,8 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: int(e.fencing), Input: e, Call: now, Return: now})
 }
 
-// orderModel is one engine: once an order or an agreement of a holder is in force,
-// no order of an earlier holder comes into force.
+// orderModel models one engine: after an accepted order or a match of a holder, no order of an
+// earlier holder is accepted.
 var orderModel = porcupine.Model{
 	Partition: func(ops []porcupine.Operation) [][]porcupine.Operation {
 		byTarget := map[string][]porcupine.Operation{}
@@ -76,25 +76,25 @@
 	},
 }
 
-// result is what a run showed.
+// result is what was counted in a run.
 type result struct {
 	linearizable bool
 	violations   uint64
-	cutOff       int
+	aborted      int
 	accepted     int
 	refused      int
 	tenures      int
 }
 
-func (r result) good() bool { return r.linearizable && r.violations == 0 && r.cutOff == 0 }
+func (r result) passed() bool { return r.linearizable && r.violations == 0 && r.aborted == 0 }
 
-// run lets three VMs keep four engines, two of each kind, to a configuration that
-// changes, under pauses, outages, lost answers and late orders that the seed decides.
-func run(t *testing.T, seed uint64, planted hooks) result {
+// run has three VMs control four engines, two of each kind, under a configuration that changes, with
+// pauses, outages, lost answers and late orders drawn from the seed.
+func run(t *testing.T, seed uint64, injected hooks) result {
 	var r result
 	synctest.Test(t, func(*testing.T) {
-		f := newFleet(3, planted, fencingTarget("f-0"), fencingTarget("f-1"), ignoringTarget("i-0"), ignoringTarget("i-1"))
-		end := time.Now().Add(historyLong)
+		f := newFleet(3, injected, fencingTarget("f-0"), fencingTarget("f-1"), ignoringTarget("i-0"), ignoringTarget("i-1"))
+		end := time.Now().Add(historyDuration)
 		for i, m := range f.members {
 			random := rand.New(rand.NewPCG(seed, uint64(100+i)))
 			m.link.setFault(func() orderFault { return randomFault(random) })
@@ -103,10 +103,10 @@
 		for _, e := range f.engines {
 			random := rand.New(rand.NewPCG(seed, 200+number))
 			number++
-			f.done.Go(func() { work(random, f.drains, e, end) })
+			f.done.Go(func() { sendRequests(random, f.drains, e, end) })
 		}
-		f.done.Go(func() { operate(rand.New(rand.NewPCG(seed, 300)), f, end) })
-		disturb(rand.New(rand.NewPCG(seed, 400)), f, end)
+		f.done.Go(func() { changeVersions(rand.New(rand.NewPCG(seed, 300)), f, end) })
+		injectFaults(rand.New(rand.NewPCG(seed, 400)), f, end)
 		f.stop()
 		r = f.result()
 	})
@@ -117,16 +117,16 @@
 	r := result{violations: f.violations.Total()}
 	fencing := map[uint64]bool{}
 	for _, e := range f.engines {
-		orders, _, refused, cutOff := e.counts()
+		orders, _, refused, aborted := e.counts()
 		r.accepted += orders - refused
 		r.refused += refused
-		r.cutOff += cutOff
+		r.aborted += aborted
 		for _, got := range e.allReceived() {
 			fencing[got.order.Fencing] = true
 		}
 	}
 	r.tenures = len(fencing)
-	r.linearizable = porcupine.CheckOperations(orderModel, f.log.ops)
+	r.linearizable = porcupine.CheckOperations(orderModel, f.events.ops)
 	return r
 }
 
@@ -134,7 +134,7 @@
 	f := orderFault{delay: time.Duration(random.Int64N(int64(50 * time.Millisecond)))}
 	switch random.IntN(5) {
 	case 0:
-		f.stall = time.Duration(random.Int64N(int64(maxStall)))
+		f.pause = time.Duration(random.Int64N(int64(maxPause)))
 	case 1:
 		f.loseAnswer = true
 		f.delay = time.Duration(random.Int64N(int64(maxDelay)))
@@ -144,9 +144,9 @@
 	return f
 }
 
-// work gives the engine requests while no drain is confirmed. A request takes up to
+// sendRequests sends requests to the engine while no drain is confirmed. A request takes up to
 // 400 ms to arrive, less than SettleTime.
-func work(random *rand.Rand, drains *fakeDrains, e *fakeEngine, end time.Time) {
+func sendRequests(random *rand.Rand, drains *fakeDrains, e *fakeEngine, end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(random.Int64N(int64(600 * time.Millisecond))))
 		if drains.confirmed(e.target.Name) {
@@ -159,8 +159,8 @@
 	}
 }
 
-// operate changes the configuration, now and then back to an earlier version.
-func operate(random *rand.Rand, f *fleet, end time.Time) {
+// changeVersions changes versions in the configuration, sometimes back to an earlier one.
+func changeVersions(random *rand.Rand, f *fleet, end time.Time) {
 	names := []string{"f-0", "f-1", "i-0", "i-1"}
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(random.Int64N(int64(8 * time.Second))))
@@ -168,8 +168,8 @@
 	}
 }
 
-// disturb pauses the holder for up to four lease durations, or stops the store.
-func disturb(random *rand.Rand, f *fleet, end time.Time) {
+// injectFaults repeatedly pauses the holder or stops the store, for up to four lease durations.
+func injectFaults(random *rand.Rand, f *fleet, end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(random.Int64N(int64(15 * time.Second))))
 		long := time.Duration(random.Int64N(int64(4 * lease.DefaultTTL)))
@@ -187,36 +187,36 @@
 	}
 }
 
-// No run shows an order of an earlier holder in force after a later one's, an order
-// without a lease in hand, or work that a reload cut off.
-func TestNoTwoHoldersOrdersInForce(t *testing.T) {
+// Guards against an order of an earlier holder that takes effect after one of a later holder, an
+// order without the lease, and a reload that aborts requests.
+func TestOrdersOfEarlierHoldersDoNotTakeEffect(t *testing.T) {
 	var sum result
 	for seed := range testseed.Series(historySeeds) {
 		r := run(t, seed, hooks{})
-		must(t, r.good(), "seed %d: %+v", seed, r)
+		must(t, r.passed(), "seed %d: %+v", seed, r)
 		sum.accepted += r.accepted
 		sum.refused += r.refused
 		sum.tenures += r.tenures
 	}
-	must(t, sum.tenures > 2*historySeeds, "only %d tenures, the runs prove little", sum.tenures)
+	must(t, sum.tenures > 2*historySeeds, "only %d tenures, too few for the check", sum.tenures)
 	t.Logf("%d runs: %d orders accepted, %d refused, %d tenures with orders", historySeeds, sum.accepted, sum.refused, sum.tenures)
 }
 
-// Each safeguard that is taken out is missed.
+// With each of the safeguards removed, some run must fail the check.
 func TestHistoryCheckCatchesPlantedFaults(t *testing.T) {
 	faults := map[string]struct {
-		planted hooks
-		caught  func(result) bool
+		injected hooks
+		caught   func(result) bool
 	}{
-		"no check of the lease":    {hooks{skipCheck: true}, func(r result) bool { return !r.linearizable && r.violations > 0 }},
-		"no wait for old orders":   {hooks{skipWait: true}, func(r result) bool { return !r.linearizable }},
-		"no new number on engines": {hooks{skipStamp: true}, func(r result) bool { return !r.linearizable }},
-		"no drain before a reload": {hooks{skipDrain: true}, func(r result) bool { return r.cutOff > 0 }},
+		"no check of the lease":    {hooks{skipLeaseCheck: true}, func(r result) bool { return !r.linearizable && r.violations > 0 }},
+		"no wait for old orders":   {hooks{skipOldOrderWait: true}, func(r result) bool { return !r.linearizable }},
+		"no new number on engines": {hooks{skipFencingUpdate: true}, func(r result) bool { return !r.linearizable }},
+		"no drain before a reload": {hooks{skipDrain: true}, func(r result) bool { return r.aborted > 0 }},
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(8 * historySeeds) {
-				if r := run(t, seed, fault.planted); fault.caught(r) {
+				if r := run(t, seed, fault.injected); fault.caught(r) {
 					t.Logf("caught with seed %d: %+v", seed, r)
 					return
 				}
--- a/internal/orders/link_test.go
+++ b/internal/orders/link_test.go
@@ -13,20 +13,20 @@
 
 // orderFault is what happens to one order.
 type orderFault struct {
-	// stall pauses the VM between the lease's check and the sending.
-	stall time.Duration
-	// delay is the order's time on the way.
+	// pause is how long the VM is paused between the check of the lease and the sending.
+	pause time.Duration
+	// delay is how long the order takes to arrive.
 	delay time.Duration
-	// loseAnswer and loseOrder lose the answer, the latter with the order.
+	// loseAnswer drops the answer, loseOrder the order and its answer.
 	loseAnswer bool
 	loseOrder  bool
 }
 
-// link is one VM's way to the engines.
+// link is one VM's connection to the engines.
 type link struct {
 	vm      *vmsim.VM
 	engines map[string]*fakeEngine
-	// slowState is how long the answer to a reading is on its way.
+	// slowState is how long an answer of State takes to arrive.
 	slowState time.Duration
 
 	mu   sync.Mutex // guards next
@@ -39,7 +39,7 @@
 	l.next = next
 }
 
-// failOnce lets one order meet the fault.
+// failOnce injects the fault into the next order only.
 func (l *link) failOnce(fault orderFault) {
 	l.setFault(func() orderFault {
 		once := fault
@@ -65,25 +65,25 @@
 	return state, nil
 }
 
-// Order sends the order even when ctx ended during the stall: between a check and
-// the write no deadline helps.
+// Order sends the order even if ctx ended during the pause: no deadline takes effect between a
+// check and the write.
 func (l *link) Order(ctx context.Context, address string, order engine.Order) error {
 	f := l.fault()
-	if f.stall > 0 {
+	if f.pause > 0 {
 		l.vm.Pause()
-		time.Sleep(f.stall)
+		time.Sleep(f.pause)
 		l.vm.Wake()
 	}
 	if f.loseOrder || f.loseAnswer {
 		if !f.loseOrder {
-			time.AfterFunc(f.delay, func() { _ = l.engines[address].obey(order) })
+			time.AfterFunc(f.delay, func() { _ = l.engines[address].apply(order) })
 		}
 		<-ctx.Done()
 		l.vm.Running()
 		return &engine.OrderError{Address: address, Ambiguous: true, Cause: ctx.Err()}
 	}
 	time.Sleep(f.delay)
-	err := l.engines[address].obey(order)
+	err := l.engines[address].apply(order)
 	l.vm.Running()
 	if errors.Is(err, errOldFencing) {
 		return &engine.OrderError{Address: address, OldFencing: true, Cause: err}
--- a/internal/orders/options.go
+++ b/internal/orders/options.go
@@ -16,39 +16,40 @@
 	Engines      Engines
 	Drainer      Drainer
 	Settings     Settings
-	// Refresh brings Source up to what the table holds, before each order. It may be
-	// nil where Source is always that.
+	// Refresh updates ConfigSource to what the table holds, before each order. It may be nil if
+	// ConfigSource is always up to date.
 	Refresh func(ctx context.Context) error
 	// IsLeaving tells which targets are about to go and are not worth a load; it may
 	// be nil.
 	IsLeaving func(target string) bool
-	// Invariants is nil in strict tests only.
+	// Invariants may be nil only in tests, where a violation then panics.
 	Invariants *invariant.Registry
 	// Logger may be nil.
 	Logger *zap.Logger
 
-	// hooks are faults that tests plant to show that their checks notice.
+	// hooks are faults that tests inject to show that their checks detect them.
 	hooks hooks
 }
 
 type hooks struct {
-	// skipCheck sends orders without Lease.Check.
-	skipCheck bool
-	// skipWait lets a new holder order at once on engines that ignore fencing numbers.
-	skipWait bool
-	// skipStamp does not tell engines that agree the new fencing number.
-	skipStamp bool
-	// skipDrain orders without looking at work in hand.
+	// skipLeaseCheck sends orders without Lease.Check.
+	skipLeaseCheck bool
+	// skipOldOrderWait lets a new holder send orders at once to engines that ignore fencing
+	// numbers.
+	skipOldOrderWait bool
+	// skipFencingUpdate does not send the new fencing number to engines that match their entry.
+	skipFencingUpdate bool
+	// skipDrain sends orders without a drain and without a check for running requests.
 	skipDrain bool
-	// repeatBlind sends an order anew while an earlier one is unresolved.
-	repeatBlind bool
-	// onAgreed is told when a holder declares that an engine agrees.
-	onAgreed func(target string, fencing uint64)
+	// resendUnresolved sends another order while an earlier one is unresolved.
+	resendUnresolved bool
+	// onMatch is called when a holder finds that an engine matches its entry.
+	onMatch func(target string, fencing uint64)
 }
 
-func (h hooks) agreed(target string, fencing uint64) {
-	if h.onAgreed != nil {
-		h.onAgreed(target, fencing)
+func (h hooks) matched(target string, fencing uint64) {
+	if h.onMatch != nil {
+		h.onMatch(target, fencing)
 	}
 }
 
--- a/internal/orders/pending.go
+++ b/internal/orders/pending.go
@@ -9,13 +9,14 @@
 // pending is an order that was sent and whose effect was not read back.
 type pending struct {
 	order engine.Order
-	// ended is when the call ended; a pause inside the call counts to the call.
-	ended time.Time
-	// ambiguous says that there was no answer.
+	// returnedAt is when the call returned. A pause of the VM during the call is thus not part of
+	// the time since then.
+	returnedAt time.Time
+	// ambiguous says that the answer was lost.
 	ambiguous bool
 }
 
-// mayBeUnderWay reports whether the order can still take effect.
-func (p *pending) mayBeUnderWay(now time.Time, longest time.Duration) bool {
-	return p != nil && now.Sub(p.ended) < longest
+// mayTakeEffect reports whether the order can still take effect.
+func (p *pending) mayTakeEffect(now time.Time, longest time.Duration) bool {
+	return p != nil && now.Sub(p.returnedAt) < longest
 }
--- a/internal/orders/send.go
+++ b/internal/orders/send.go
@@ -13,14 +13,14 @@
 	"geraniumcroft/internal/lease"
 )
 
-// permit shows that the lease was checked; only check grants one.
+// permit shows that the lease was checked. Only check grants one.
 type permit struct {
 	granted bool
 	fencing uint64
 }
 
 func (c *Controller) check(l lease.Lease) (permit, error) {
-	if c.options.hooks.skipCheck {
+	if c.options.hooks.skipLeaseCheck {
 		return permit{}, nil
 	}
 	if err := l.Check(); err != nil {
@@ -29,20 +29,20 @@
 	return permit{granted: true, fencing: l.Fencing}, nil
 }
 
-// order checks the lease and sends the order, with nothing between the two that can
-// wait. It reports whether the engine accepted.
-func (c *Controller) order(ctx context.Context, l lease.Lease, target *config.Target, task *task, order engine.Order) (verdict, bool) {
+// order checks the lease and sends the order, with nothing between the two that can block. It
+// reports whether the engine accepted the order.
+func (c *Controller) order(ctx context.Context, l lease.Lease, target *config.Target, task *task, order engine.Order) (stepResult, bool) {
 	ctx, cancel := context.WithTimeout(engine.WithGate(ctx, l.Check), c.options.Settings.OrderTimeout)
 	defer cancel()
 	p, err := c.check(l)
 	if err != nil {
-		return c.again(PhaseNoLease), false
+		return c.retry(PhaseNoLease), false
 	}
 	err = c.send(ctx, p, target, order)
-	task.orders++
+	task.ordersSent++
 	c.options.Logger.Info("order sent", zap.String("target", target.Name), zap.String("order", order.ID),
 		zap.Uint64("fencing", order.Fencing), zap.Error(err))
-	return c.take(task, order, err)
+	return c.recordResult(task, order, err)
 }
 
 func (c *Controller) send(ctx context.Context, p permit, target *config.Target, order engine.Order) error {
@@ -52,23 +52,23 @@
 	return c.options.Engines.Order(ctx, target.Address, order)
 }
 
-// take notes what became of an order.
-func (c *Controller) take(task *task, order engine.Order, err error) (verdict, bool) {
-	sent := &pending{order: order, ended: time.Now()}
+// recordResult records the result of an order and reports whether the engine accepted it.
+func (c *Controller) recordResult(task *task, order engine.Order, err error) (stepResult, bool) {
+	sent := &pending{order: order, returnedAt: time.Now()}
 	if err == nil {
 		task.pending = sent
-		return c.again(PhaseOrderInFlight), true
+		return c.retry(PhaseOrderInFlight), true
 	}
 	var failure *engine.OrderError
 	known := errors.As(err, &failure)
 	switch {
 	case known && failure.OldFencing:
 		task.pending = nil
-		return c.slower(task, PhaseSuperseded, err.Error()), false
+		return c.backOff(task, PhaseSuperseded, err.Error()), false
 	case known && !failure.Ambiguous:
-		return c.slower(task, PhaseRefused, err.Error()), false
+		return c.backOff(task, PhaseRefused, err.Error()), false
 	}
 	sent.ambiguous = true
 	task.pending = sent
-	return verdict{phase: PhaseOrderInFlight, detail: err.Error(), after: c.options.Settings.RetryInterval}, false
+	return stepResult{phase: PhaseOrderInFlight, detail: err.Error(), delay: c.options.Settings.RetryInterval}, false
 }
--- a/internal/orders/settings.go
+++ b/internal/orders/settings.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Settings bound the controller's pace. A zero field takes its default.
+// Settings are the controller's intervals, timeouts and limits. A zero field takes its default.
 type Settings struct {
-	// ReadBackInterval is how often an engine that agrees is read back.
+	// ReadBackInterval is the time between two reads of an engine that matches its entry.
 	ReadBackInterval time.Duration
-	// RetryInterval is how often one that does not agree is looked at.
+	// RetryInterval is the time between two steps for an engine that does not match.
 	RetryInterval time.Duration
-	// CallTimeout bounds one reading of an engine's state.
+	// CallTimeout bounds a read of an engine's state, a refresh of the configuration, and the
+	// calls of the Drainer in one step.
 	CallTimeout time.Duration
 	// OrderTimeout bounds the wait for the answer to an order.
 	OrderTimeout time.Duration
-	// MaxOrderDelay is the longest time from sending an order to its taking effect or
-	// never doing so. It is at least OrderTimeout.
+	// MaxOrderDelay is the time after which an order that was sent can no longer take effect. It
+	// is at least OrderTimeout.
 	MaxOrderDelay time.Duration
-	// SettleTime is the longest time that a request dispatched before a drain was
-	// confirmed can take to show in the engine's state.
+	// SettleTime is the longest time until a request that was dispatched before a drain was
+	// confirmed shows in the engine's state.
 	SettleTime time.Duration
-	// LoadInterval spaces loads and MaxConcurrentLoads bounds how many run at once, for the
-	// weight store is rate-limited.
+	// LoadInterval is the least time between the starts of two loads and MaxConcurrentLoads
+	// bounds those that run at once, because the weight store is rate-limited.
 	LoadInterval       time.Duration
 	MaxConcurrentLoads int
-	// Concurrency bounds the engines that are looked at side by side.
+	// Concurrency bounds the steps that run at once, each for one engine.
 	Concurrency int
 }
 
@@ -39,8 +40,8 @@
 	DefaultConcurrency        = 32
 )
 
-// tick is the granularity of the controller's loop.
-const tick = 250 * time.Millisecond
+// loopInterval is the pause between two rounds of the controller.
+const loopInterval = 250 * time.Millisecond
 
 func (s *Settings) setDefaults() {
 	setDuration(&s.ReadBackInterval, DefaultReadBackInterval)
--- a/internal/orders/step.go
+++ b/internal/orders/step.go
@@ -9,29 +9,29 @@
 	"geraniumcroft/internal/lease"
 )
 
-// maxDoublings bounds how much slower an engine that does not answer is looked at.
+// maxDoublings bounds how often the retry interval of an engine that does not answer is doubled.
 const maxDoublings = 5
 
-// step reads the engine back and does the next thing that brings it to agree.
-func (c *Controller) step(ctx context.Context, t *tenure, l lease.Lease, target *config.Target, task *task) verdict {
+// step reads the engine's state and takes the next action that makes it match its entry.
+func (c *Controller) step(ctx context.Context, t *tenure, l lease.Lease, target *config.Target, task *task) stepResult {
 	state, err := c.read(ctx, target)
 	if err != nil {
-		return c.slower(task, PhaseUnreachable, err.Error())
+		return c.backOff(task, PhaseUnreachable, err.Error())
 	}
 	task.failures = 0
 	task.state = state
 	if state.Fencing > l.Fencing {
-		return c.slower(task, PhaseSuperseded, "")
+		return c.backOff(task, PhaseSuperseded, "")
 	}
 	switch {
 	case state.Loading:
-		return c.again(PhaseLoading)
+		return c.retry(PhaseLoading)
 	case c.unresolved(target, task, state):
-		return c.again(PhaseOrderInFlight)
-	case agrees(target, state):
-		return c.agreed(ctx, l, target, task)
+		return c.retry(PhaseOrderInFlight)
+	case stateMatches(target, state):
+		return c.complete(ctx, l, target, task)
 	case c.options.IsLeaving(target.Name):
-		return c.again(PhaseLeaving)
+		return c.retry(PhaseLeaving)
 	}
 	return c.repair(ctx, t, l, target, task)
 }
@@ -48,154 +48,154 @@
 	return c.options.Refresh(ctx)
 }
 
-// unresolved reports whether an order of this tenure may yet change the engine in a
-// way that the state does not show. An order that asks for what the engine holds
-// already changes nothing more.
+// unresolved reports whether an order of this tenure may still change the engine in a way that the
+// state does not show. An order for what the engine already holds changes nothing more.
 func (c *Controller) unresolved(target *config.Target, task *task, state engine.State) bool {
-	if task.pending == nil || c.options.hooks.repeatBlind {
+	if task.pending == nil || c.options.hooks.resendUnresolved {
 		return false
 	}
-	if agrees(target, state) && asks(task.pending.order, target) {
+	if stateMatches(target, state) && orderMatches(task.pending.order, target) {
 		task.pending = nil
 		return false
 	}
-	return task.pending.mayBeUnderWay(time.Now(), c.options.Settings.MaxOrderDelay)
+	return task.pending.mayTakeEffect(time.Now(), c.options.Settings.MaxOrderDelay)
 }
 
-// agreed gives the engine the new fencing number and lets it have work again.
-func (c *Controller) agreed(ctx context.Context, l lease.Lease, target *config.Target, task *task) verdict {
-	if !c.waitedOut(l, target) {
-		// A late order of the old holder may yet reload the engine: work that a drain
-		// keeps away now would be cut off.
-		return c.again(PhaseOldOrdersPending)
+// complete sends the engine the new fencing number and ends the drain.
+func (c *Controller) complete(ctx context.Context, l lease.Lease, target *config.Target, task *task) stepResult {
+	if !c.oldOrdersExpired(l, target) {
+		// A late order of the old holder may still reload the engine, and would abort the
+		// requests that come once the drain has ended.
+		return c.retry(PhaseOldOrdersPending)
 	}
-	if c.needsStamp(target, task, l) {
-		if v, ok := c.stamp(ctx, l, target, task); !ok {
+	if c.needsFencingUpdate(target, task, l) {
+		if v, ok := c.updateFencing(ctx, l, target, task); !ok {
 			return v
 		}
 	}
-	if l.Check() != nil && !c.options.hooks.skipCheck {
-		return c.again(PhaseNoLease)
+	if l.Check() != nil && !c.options.hooks.skipLeaseCheck {
+		return c.retry(PhaseNoLease)
 	}
-	c.options.hooks.agreed(target.Name, l.Fencing)
+	c.options.hooks.matched(target.Name, l.Fencing)
 	if task.drained && !c.resume(ctx, task) {
-		return c.again(PhaseDraining)
+		return c.retry(PhaseDraining)
 	}
-	return verdict{phase: PhaseAgreed, after: c.options.Settings.ReadBackInterval}
+	return stepResult{phase: PhaseAgreed, delay: c.options.Settings.ReadBackInterval}
 }
 
-// needsStamp: until an engine has seen the new number, it takes a late order of the
-// old holder, which could be a reload that cuts off work in hand.
-func (c *Controller) needsStamp(target *config.Target, task *task, l lease.Lease) bool {
-	if !target.RefusesOldFencing || c.options.hooks.skipStamp {
+// needsFencingUpdate reports whether the engine has not yet seen the new fencing number. Until then
+// it accepts a late order of the old holder, which may be a reload that aborts running requests.
+func (c *Controller) needsFencingUpdate(target *config.Target, task *task, l lease.Lease) bool {
+	if !target.RefusesOldFencing || c.options.hooks.skipFencingUpdate {
 		return false
 	}
-	return !task.stamped && task.state.Fencing < l.Fencing
+	return !task.fencingUpdated && task.state.Fencing < l.Fencing
 }
 
-// stamp sends the order that the engine already satisfies. It loads nothing, so it
-// is neither spaced nor preceded by a drain.
-func (c *Controller) stamp(ctx context.Context, l lease.Lease, target *config.Target, task *task) (verdict, bool) {
+// updateFencing sends the order that the engine already satisfies, with the new fencing number. It
+// loads nothing, so it needs neither the limits on loads nor a drain.
+func (c *Controller) updateFencing(ctx context.Context, l lease.Lease, target *config.Target, task *task) (stepResult, bool) {
 	order := newOrder(target, task.state, l.Fencing)
 	v, ok := c.order(ctx, l, target, task, order)
-	task.stamped = ok
+	task.fencingUpdated = ok
 	if ok {
-		task.pending = nil // its effect was there before
+		task.pending = nil // the engine already satisfied it
 	}
 	return v, ok
 }
 
-// repair drains the engine, waits its turn at the weight store and orders.
-func (c *Controller) repair(ctx context.Context, t *tenure, l lease.Lease, target *config.Target, task *task) verdict {
-	if !c.waitedOut(l, target) {
-		return c.again(PhaseOldOrdersPending)
+// repair drains the engine, waits for the limits on loads and sends the order.
+func (c *Controller) repair(ctx context.Context, t *tenure, l lease.Lease, target *config.Target, task *task) stepResult {
+	if !c.oldOrdersExpired(l, target) {
+		return c.retry(PhaseOldOrdersPending)
 	}
 	if v, ok := c.drain(ctx, l, target, task); !ok {
 		return v
 	}
-	if !c.mayLoad(t, task) {
-		return c.again(PhaseLoadLimited)
+	if !c.reserveLoad(t, task) {
+		return c.retry(PhaseLoadLimited)
 	}
-	if v, ok := c.lastLook(ctx, l, target, task); !ok {
+	if v, ok := c.recheck(ctx, l, target, task); !ok {
 		return v
 	}
 	v, _ := c.order(ctx, l, target, task, c.nextOrder(target, task, l))
 	return v
 }
 
-// waitedOut reports whether no order of an earlier holder can be under way to an
-// engine that would obey it. The old lease itself had ended when this one was
-// acquired, and the time counts from after that.
-func (c *Controller) waitedOut(l lease.Lease, target *config.Target) bool {
-	if target.RefusesOldFencing || l.Fencing == firstFencing || c.options.hooks.skipWait {
+// oldOrdersExpired reports whether no order of an earlier holder can still take effect on an engine
+// that ignores fencing numbers. It is always true for other engines. The old lease had ended when
+// this one was acquired, and the time is counted from then.
+func (c *Controller) oldOrdersExpired(l lease.Lease, target *config.Target) bool {
+	if target.RefusesOldFencing || l.Fencing == firstFencing || c.options.hooks.skipOldOrderWait {
 		return true
 	}
 	return l.SinceAcquired() >= c.options.Settings.MaxOrderDelay
 }
 
-// mayLoad takes the engine's turn at the weight store.
-func (c *Controller) mayLoad(t *tenure, own *task) bool {
+// reserveLoad reports whether the engine may load now. If so, it has taken the load from the rate
+// limit of the weight store.
+func (c *Controller) reserveLoad(t *tenure, own *task) bool {
 	c.mu.Lock()
 	loading := 0
 	for _, other := range t.tasks {
-		if other != own && (other.view.Phase == PhaseLoading || other.view.Phase == PhaseOrderInFlight) {
+		if other != own && (other.lastDump.Phase == PhaseLoading || other.lastDump.Phase == PhaseOrderInFlight) {
 			loading++
 		}
 	}
 	c.mu.Unlock()
-	return loading < c.options.Settings.MaxConcurrentLoads && t.loads.Allow()
+	return loading < c.options.Settings.MaxConcurrentLoads && t.loadLimiter.Allow()
 }
 
-// lastLook reads the entry and the engine once more directly before the order. A VM
-// that has just become the holder may not have the newest configuration, in which an
-// earlier holder has already reloaded the engine and let work in again. And the
-// earlier reading of the engine is from before the drain was seen confirmed: work or
-// another order may have come since.
-func (c *Controller) lastLook(ctx context.Context, l lease.Lease, target *config.Target, task *task) (verdict, bool) {
+// recheck reads the entry and the engine's state again directly before the order. A VM that has
+// just become the holder may not have the newest configuration, under which an earlier holder has
+// already reloaded the engine and ended the drain. And the earlier state of the engine is from
+// before the drain was seen confirmed: requests or another order may have arrived since.
+func (c *Controller) recheck(ctx context.Context, l lease.Lease, target *config.Target, task *task) (stepResult, bool) {
 	if c.options.hooks.skipDrain {
-		return verdict{}, true
+		return stepResult{}, true
 	}
 	if err := c.refresh(ctx); err != nil {
-		return c.slower(task, PhaseOutdated, err.Error()), false
+		return c.backOff(task, PhaseOutdated, err.Error()), false
 	}
 	if now := c.options.ConfigSource.Current().Targets[target.Name]; now == nil || now.Revision != target.Revision {
-		return c.again(PhaseOutdated), false
+		return c.retry(PhaseOutdated), false
 	}
 	state, err := c.read(ctx, target)
 	if err != nil {
-		return c.slower(task, PhaseUnreachable, err.Error()), false
+		return c.backOff(task, PhaseUnreachable, err.Error()), false
 	}
 	task.state = state
 	switch {
 	case state.Fencing > l.Fencing:
-		return c.slower(task, PhaseSuperseded, ""), false
+		return c.backOff(task, PhaseSuperseded, ""), false
 	case state.Loading:
-		return c.again(PhaseLoading), false
+		return c.retry(PhaseLoading), false
 	case state.Active > 0:
-		return c.again(PhaseBusy), false
-	case agrees(target, state), state.Model != "" && !task.drained:
-		return c.again(PhaseUnread), false // another order came between; start over
+		return c.retry(PhaseBusy), false
+	case stateMatches(target, state), state.Model != "" && !task.drained:
+		return c.retry(PhaseUnread), false // another order took effect meanwhile; start over
 	}
-	return verdict{}, true
+	return stepResult{}, true
 }
 
-// nextOrder repeats an order whose answer was lost and that had no effect, with its
-// ID, so that a copy which is late after all changes nothing.
+// nextOrder returns the order to send. An order whose answer was lost and that had no effect is
+// repeated with its ID, so that a copy which arrives later changes nothing.
 func (c *Controller) nextOrder(target *config.Target, task *task, l lease.Lease) engine.Order {
-	if p := task.pending; p != nil && p.ambiguous && asks(p.order, target) && !c.options.hooks.repeatBlind {
+	if p := task.pending; p != nil && p.ambiguous && orderMatches(p.order, target) && !c.options.hooks.resendUnresolved {
 		return p.order
 	}
 	return newOrder(target, task.state, l.Fencing)
 }
 
-func (c *Controller) again(phase Phase) verdict {
-	return verdict{phase: phase, after: c.options.Settings.RetryInterval}
+// retry returns a result after which the next step follows in RetryInterval.
+func (c *Controller) retry(phase Phase) stepResult {
+	return stepResult{phase: phase, delay: c.options.Settings.RetryInterval}
 }
 
-// slower looks again later each time, so that many engines which do not answer leave
-// the slots to the others.
-func (c *Controller) slower(task *task, phase Phase, detail string) verdict {
-	after := c.options.Settings.RetryInterval << min(task.failures, maxDoublings)
+// backOff returns a result whose delay grows with each failure in a row, so that many engines that
+// do not answer leave slots for the others.
+func (c *Controller) backOff(task *task, phase Phase, detail string) stepResult {
+	delay := c.options.Settings.RetryInterval << min(task.failures, maxDoublings)
 	task.failures++
-	return verdict{phase: phase, detail: detail, after: min(after, c.options.Settings.ReadBackInterval)}
+	return stepResult{phase: phase, detail: detail, delay: min(delay, c.options.Settings.ReadBackInterval)}
 }
--- a/internal/orders/task.go
+++ b/internal/orders/task.go
@@ -6,19 +6,19 @@
 	"geraniumcroft/internal/engine"
 )
 
-// task is the controller's work on one target during one tenure. Apart from busy
-// and next, which the controller's mutex guards, its fields belong to the one step
-// that runs; the dump reads a copy that is published when the step ends.
+// task is the controller's state for one target during one tenure. The controller's mutex guards
+// busy, next and lastDump, which is a copy for the dump that is set when a step ends. The other
+// fields belong to the step that runs.
 type task struct {
 	target string
 
-	// busy says that a step runs; next is when the next one is due.
+	// busy says that a step is running; next is when the next one is due.
 	busy bool
 	next time.Time
-	// revision is the entry's revision that the last step looked at.
+	// revision is the revision of the entry in the last step.
 	revision uint64
-	// view is what the last step left for the dump.
-	view TaskDump
+	// lastDump is the dump of the task after its last step.
+	lastDump TaskDump
 
 	state engine.State
 	// drained says that the controller asked for a drain and has not ended it.
@@ -26,17 +26,17 @@
 	// confirmed is when the drain was first seen confirmed, zero if it is not.
 	confirmed time.Time
 	pending   *pending
-	// stamped says that the engine was given this tenure's fencing number.
-	stamped bool
-	orders  int
-	// failures counts the looks in a row that led nowhere.
+	// fencingUpdated says that the engine accepted this tenure's fencing number.
+	fencingUpdated bool
+	ordersSent     int
+	// failures is the number of failed steps in a row.
 	failures int
 }
 
-// verdict is how a step ended.
-type verdict struct {
+// stepResult is the result of a step.
+type stepResult struct {
 	phase Phase
-	// detail is for the dump; after is when to look again.
+	// detail is for the dump; delay is the time until the next step.
 	detail string
-	after  time.Duration
+	delay  time.Duration
 }
