--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -62,8 +62,7 @@
 	}
 }
 
-// BenchmarkChooseAdHoc has no precomputed plans, so that every choice lays out a
-// path.
+// BenchmarkChooseAdHoc has no precomputed plans, so that every choice computes a path.
 func BenchmarkChooseAdHoc(b *testing.B) {
 	in := mixedInput(600, 10, 1)
 	set, err := Compute(in)
--- a/internal/plan/bound_test.go
+++ b/internal/plan/bound_test.go
@@ -11,13 +11,13 @@
 	"geraniumcroft/internal/config"
 )
 
-// slack allows for rounding.
-const slack = 1e-6
+// relTolerance is the relative tolerance for rounding errors.
+const relTolerance = 1e-6
 
-// limitKey names an engine's rate (To empty) or one of its links.
+// limitKey names an engine's rate (if to is empty) or one of its links.
 type limitKey struct{ target, to string }
 
-// linkOf is the oracle's own reading of which link a hop takes.
+// linkOf returns the link that a hop uses, independently of the code under test.
 func linkOf(from, to *config.Target) (config.Link, bool) {
 	for _, link := range from.Links {
 		if link.To == to.Name {
@@ -32,7 +32,7 @@
 	return config.Link{}, false
 }
 
-// addLoads adds what the stages take of each limit at a weight.
+// addLoads adds what the stages use of each limit at a weight.
 func addLoads(loads map[limitKey]float64, stages []Stage, weight float64) {
 	for i, stage := range stages {
 		loads[limitKey{stage.Target.Name, ""}] += weight * float64(stage.Layers.Len())
@@ -59,6 +59,8 @@
 	return limits
 }
 
+// checkSet checks that the set's plans cover the model, respect the limits, and that their weights
+// sum to the throughput and do not exceed the bound.
 func checkSet(t rapid.TB, in Input, set *Set) {
 	t.Helper()
 	loads := map[limitKey]float64{}
@@ -72,22 +74,22 @@
 	}
 	limits := limitsOf(in)
 	for key, load := range loads {
-		if load > limits[key]*(1+slack) {
+		if load > limits[key]*(1+relTolerance) {
 			t.Fatalf("%v carries %g of %g", key, load, limits[key])
 		}
 	}
-	if math.Abs(weights-set.Throughput()) > slack*weights {
+	if math.Abs(weights-set.Throughput()) > relTolerance*weights {
 		t.Fatalf("weights sum to %g, not to %g", weights, set.Throughput())
 	}
-	if set.Throughput() > set.Bound*(1+slack) {
+	if set.Throughput() > set.Bound*(1+relTolerance) {
 		t.Fatalf("weights sum to %g above the bound %g", set.Throughput(), set.Bound)
 	}
 }
 
-// An operator reads from the dump how near the plans come to what the hardware
-// allows. Plans that overload an engine or a link would promise tokens that never
-// come, and a bound that is too low would hide lost throughput.
-func TestPlansKeepLimitsAndTheBound(t *testing.T) {
+// The dump shows operators how near the plans come to what the hardware allows. Guards against
+// plans that overload an engine or a link, whose throughput could not be reached, and against a
+// bound that is too low, which would hide lost throughput.
+func TestPlansRespectLimitsAndBound(t *testing.T) {
 	var ratios []float64
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t, rapid.IntRange(1, 24).Draw(t, "layers"), rapid.IntRange(0, 20).Draw(t, "targets"))
@@ -101,8 +103,8 @@
 	reportRatios(t, "weights against the bound", ratios)
 }
 
-// On a graph as operators run it, with several engines of each sort, the weights
-// must reach the bound; less is throughput that nobody gets.
+// On a typical graph, with several engines of each kind, the weights must reach the bound. Guards
+// against lost throughput.
 func TestMixedGraphsReachTheBound(t *testing.T) {
 	for seed := range uint64(5) {
 		for _, targets := range []int{43, 120} {
@@ -130,7 +132,8 @@
 	return float64(below) / float64(len(ratios))
 }
 
-// allPaths lists every way to cover the layers, cut anywhere, a target once.
+// allPaths calls found with every list of stages that covers the layers, cut anywhere, with each
+// target at most once.
 func allPaths(in Input, stages []Stage, next int, found func([]Stage)) {
 	if next == in.Model.Layers {
 		found(append([]Stage(nil), stages...))
@@ -147,7 +150,7 @@
 	}
 }
 
-// optimum solves the whole programme, with every path listed, by gonum.
+// optimum solves the linear program over all paths with gonum.
 func optimum(t rapid.TB, in Input) float64 {
 	var paths [][]Stage
 	allPaths(in, nil, 0, func(stages []Stage) { paths = append(paths, stages) })
@@ -180,10 +183,10 @@
 	return -value
 }
 
-// The bound is compared with a programme that lists every path with cuts between
-// any two layers, solved by another library: it must not be below that optimum,
-// and the weights must come near to it.
-func TestBoundAgreesWithTheWholeProgramme(t *testing.T) {
+// The bound is compared with the optimum of a linear program over all paths, cut between any two
+// layers, as solved by another library. The bound must not be below that optimum, and the weights
+// must come near to it.
+func TestBoundMatchesExhaustiveLinearProgram(t *testing.T) {
 	var loose, reached []float64
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t, rapid.IntRange(1, 5).Draw(t, "layers"), rapid.IntRange(0, 3).Draw(t, "targets"))
--- a/internal/plan/chooser_test.go
+++ b/internal/plan/chooser_test.go
@@ -29,7 +29,8 @@
 	return names
 }
 
-// covers is the oracle of whether targets can cover layers: the furthest reach.
+// covers reports whether free targets can cover the layers, by always extending to the furthest
+// layer.
 func covers(in Input, layers config.LayerRange, free func(string) bool) bool {
 	for next := layers.From; next < layers.To; {
 		reach := next
@@ -46,8 +47,8 @@
 	return true
 }
 
-// A caller is refused when no plan can be had, so Choose must find one whenever
-// the targets with free slots hold all layers, and must never use another.
+// A caller is refused if no plan is found, so Choose must find one whenever the targets with free
+// slots hold all layers, and must never use any other target.
 func TestChooseFindsAPlanWheneverOneExists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t, rapid.IntRange(1, 16).Draw(t, "layers"), rapid.IntRange(0, 12).Draw(t, "targets"))
@@ -79,9 +80,8 @@
 	}
 }
 
-// The engines of one path are busy for long. When they come free, the requests
-// that follow must not all go there to make up for it: those engines would be full
-// at once and the others idle.
+// The engines of one path are busy for long. Guards against a burst once they are free: if all
+// following requests went to that path, its engines would be full at once and the others idle.
 func TestPathThatWasBusyGetsNoBurst(t *testing.T) {
 	in := Input{Model: &config.Model{Name: "m", Layers: 10}, Version: "1"}
 	for i, dataCentre := range []string{"x", "y", "z", "w"} {
@@ -102,9 +102,9 @@
 	}
 }
 
-// Engines that get more or less than their share make the whole pool wait for the
-// one that is overloaded. All VMs have the same set; if they took the same plans in
-// the same order, the first requests after a change would meet on a few engines.
+// If engines get more or less than their share, the whole pool waits for the one that is
+// overloaded. All VMs have the same set: if they chose the same plans in the same order, the first
+// requests after a change would all go to a few engines.
 func TestChooseSpreadsByWeightAndDiffersByVM(t *testing.T) {
 	in := mixedInput(60, 3, 1)
 	set := compute(t, in)
@@ -138,9 +138,9 @@
 	}
 }
 
-// A request whose prompt is cached at one of several like engines goes there while
-// that engine has room, and elsewhere when it has none: a hint never waits.
-func TestPreferredTargetGoesFirstWhileItHasRoom(t *testing.T) {
+// A request whose prompt is cached at one of several equal engines is sent there while that engine
+// has room, and otherwise to another one: a preference never makes a request wait.
+func TestPreferredTargetIsChosenWhileItHasRoom(t *testing.T) {
 	model := &config.Model{Name: "m", Layers: 4, Versions: []string{"1"}}
 	var targets []*config.Target
 	for _, name := range []string{"a", "b", "c"} {
--- a/internal/plan/column.go
+++ b/internal/plan/column.go
@@ -1,9 +1,9 @@
 package plan
 
-// column is a path as the programme sees it.
+// column is a path as a variable of the linear program.
 type column struct {
 	legs path
-	// shares are in parts of the rows' capacities.
-	shares []share
-	weight float64
+	// coefficients are relative to the capacities of the rows.
+	coefficients []coefficient
+	weight       float64
 }
--- a/internal/plan/compute.go
+++ b/internal/plan/compute.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Compute weighs plans for the input's model towards the bound. It returns a
-// *GapError when some layer has no usable target.
+// Compute returns plans for the input's model with weights whose sum approaches the bound. It
+// returns a *GapError if some layer has no usable target.
 func Compute(in Input) (*Set, error) {
 	g, err := newGraph(in)
 	if err != nil {
@@ -11,7 +11,7 @@
 	}
 	s := newSolver(g)
 	s.solve()
-	set := &Set{Bound: s.bound * s.unit, graph: g, rows: s.rows, price: slices.Clone(s.perUnit(s.proof))}
+	set := &Set{Bound: s.bound * s.unit, graph: g, rows: s.rows, price: slices.Clone(s.perUnit(s.boundPrices))}
 	for _, c := range s.lp.columns() {
 		set.paths = append(set.paths, weightedPath{legs: c.legs, weight: c.weight * s.unit})
 	}
--- a/internal/plan/edge.go
+++ b/internal/plan/edge.go
@@ -1,8 +1,8 @@
 package plan
 
-// edge is the way from one engine to another.
+// edge is the link from one engine to another.
 type edge struct {
 	latency float64 // seconds
-	// capacity is in tokens a second, +Inf when unbounded.
+	// capacity is in tokens per second, +Inf if unbounded.
 	capacity float64
 }
--- a/internal/plan/expand.go
+++ b/internal/plan/expand.go
@@ -2,22 +2,23 @@
 
 import "geraniumcroft/internal/config"
 
-// expansion turns paths over groups into plans over targets. Each path is cut
-// into pieces so that every member of a group on it carries the same share; a
-// member then carries no more than its part of what the group and its links may.
+// expansion converts paths over groups into plans over targets. Each path is cut into pieces so
+// that every member of a group carries the same share. A member then carries no more than its part
+// of the capacity of the group and its links.
 type expansion struct {
 	g     *graph
 	plans []Plan
-	// stages is room for the plans' stages, taken at once.
+	// stages holds the stages of all plans in one allocation.
 	stages []Stage
-	// legs are those of the present path.
+	// legs are those of the current path.
 	legs []expandedLeg
 }
 
+// expand returns the plans of the paths, with a share of the path's weight each.
 func (g *graph) expand(paths []weightedPath) []Plan {
 	plans, stages := 0, 0
 	for _, p := range paths {
-		pieces := g.mostPieces(p.legs)
+		pieces := g.maxPieces(p.legs)
 		plans += pieces
 		stages += pieces * len(p.legs)
 	}
@@ -28,8 +29,8 @@
 	return e.plans
 }
 
-// mostPieces bounds a path's pieces: each ends where some member's share does.
-func (g *graph) mostPieces(legs path) int {
+// maxPieces bounds the pieces of a path: each ends where some member's share ends.
+func (g *graph) maxPieces(legs path) int {
 	pieces := 0
 	for _, l := range legs {
 		pieces += g.memberCount(l.group)
@@ -37,8 +38,9 @@
 	return pieces
 }
 
+// add appends the plans of one path.
 func (e *expansion) add(p weightedPath) {
-	e.start(p.legs)
+	e.reset(p.legs)
 	for done := 0.0; done < 1; {
 		next := 1.0
 		for i := range e.legs {
@@ -54,9 +56,9 @@
 	}
 }
 
-// start puts each leg at its group's first member. A path that visits a group
-// again starts at the member after, so that no target has two stages.
-func (e *expansion) start(legs path) {
+// reset sets each leg to its group's first member. A path that visits a group again starts at the
+// next member, so that no target has two stages.
+func (e *expansion) reset(legs path) {
 	e.legs = e.legs[:0]
 	for i, l := range legs {
 		members := e.g.groups[l.group].members
@@ -67,7 +69,7 @@
 	}
 }
 
-// piece takes from each leg's group the member whose turn it is.
+// piece returns the stages of the current members of the legs.
 func (e *expansion) piece() []Stage {
 	start := len(e.stages)
 	for i := range e.legs {
--- a/internal/plan/expanded_leg.go
+++ b/internal/plan/expanded_leg.go
@@ -2,18 +2,19 @@
 
 import "geraniumcroft/internal/config"
 
-// expandedLeg is a leg and how far its members have got their shares.
+// expandedLeg is a leg and the member that the current piece of its path uses.
 type expandedLeg struct {
 	layers  config.LayerRange
 	members []*config.Target
-	// turn counts the members that have their share; offset shifts them all.
-	turn, offset int
-	// end is where the present member's share ends, as a part of the path.
+	// index is the number of members that already have their share; offset is added to it to get
+	// the current member.
+	index, offset int
+	// end is where the current member's share ends, as a fraction of the path.
 	end float64
 }
 
 func (l *expandedLeg) member() *config.Target {
-	at := l.turn + l.offset
+	at := l.index + l.offset
 	if at >= len(l.members) {
 		at -= len(l.members)
 	}
@@ -21,6 +22,6 @@
 }
 
 func (l *expandedLeg) advance() {
-	l.turn++
-	l.end = float64(l.turn+1) / float64(len(l.members))
+	l.index++
+	l.end = float64(l.index+1) / float64(len(l.members))
 }
--- a/internal/plan/fixture_test.go
+++ b/internal/plan/fixture_test.go
@@ -19,9 +19,9 @@
 
 func always(string) bool { return true }
 
-// mixedInput is 3 kinds of accelerators with rates of 1 to 4 to 10 that hold
-// ranges which do not line up, in dataCentres data centres whose links differ a
-// hundredfold in bandwidth.
+// mixedInput returns targets of 3 kinds of accelerators with rates in the ratio 1 to 4 to 10, whose
+// ranges do not line up, in dataCentres data centres whose links differ by a factor of a hundred in
+// bandwidth.
 func mixedInput(targets, dataCentres int, seed uint64) Input {
 	random := rand.New(rand.NewPCG(seed, 1))
 	model := &config.Model{Name: "m", Layers: 80, Versions: []string{"1"}, ActivationBytes: 16 << 10}
@@ -47,7 +47,7 @@
 	return in
 }
 
-// mixedLinks are 100, 10 or 1 MB/s, and 0.25 to 25 ms, by the pair of data centres.
+// mixedLinks returns links of 100, 10 or 1 MB/s and 0.25, 2.5 or 25 ms, by the pair of data centres.
 func mixedLinks(centre, dataCentres int) []config.Link {
 	var links []config.Link
 	for to := range dataCentres {
--- a/internal/plan/graph.go
+++ b/internal/plan/graph.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// defaultLayerRate stands for a target whose rate is not configured, in layers
-	// times tokens a second.
+	// defaultLayerRate is the rate of a target without a configured one, in layers times tokens
+	// per second.
 	defaultLayerRate = 10_000.0
-	// localLatency and remoteLatency stand for links that are not configured,
-	// within a data centre and between two.
+	// localLatency and remoteLatency are those of links that are not configured, within a data
+	// centre and between two.
 	localLatency  = 50 * time.Microsecond
 	remoteLatency = 250 * time.Microsecond
 )
 
-// graph is the engines that hold a model, cut at the ends of their ranges.
-// Between two neighbouring cuts every engine holds either all layers or none.
-// Stages that begin and end at cuts then lose no throughput, but for one case: an
-// engine that does little work and relays for two that have no good link between
-// them. refined makes that case possible too.
+// graph is the engines that hold a model, and the model's layers cut at the ends of their ranges.
+// Between two adjacent cuts every engine holds either all layers or none. Stages that begin and end
+// at cuts lose no throughput, except in one case: an engine that does little work and connects two
+// engines without a good link between them. refined covers that case too.
 type graph struct {
 	model   *config.Model
 	version string
 	adapter string
-	cuts    []int
+	// cuts are layers in ascending order, from 0 to the number of layers.
+	cuts []int
+	// centres gives a data centre's index.
 	centres map[string]int
 	groups  []*group
-	// groupOf gives a target's index in groups.
+	// groupOf gives the index in groups of a target's group.
 	groupOf map[string]int
 }
 
@@ -43,6 +44,7 @@
 	return defaultLayerRate
 }
 
+// newGraph returns the graph of the input's eligible targets, or a *GapError.
 func newGraph(in Input) (*graph, error) {
 	targets := in.eligible()
 	g := &graph{model: in.Model, version: in.Version, adapter: in.Adapter, centres: map[string]int{}, groupOf: map[string]int{}}
@@ -70,39 +72,42 @@
 }
 
 func (g *graph) addGroups(targets []*config.Target) {
-	named := namedTargets(targets)
+	linkTarget := linkTargets(targets)
 	byKey := map[string]int{}
 	for _, target := range targets {
-		key := groupKey(target, named[target.Name])
+		key := groupKey(target, linkTarget[target.Name])
 		index, ok := byKey[key]
 		if !ok {
 			index = len(g.groups)
 			byKey[key] = index
-			g.groups = append(g.groups, g.newGroup(target, named[target.Name]))
+			g.groups = append(g.groups, g.newGroup(target, linkTarget[target.Name]))
 		}
 		g.groups[index].members = append(g.groups[index].members, target)
 		g.groupOf[target.Name] = index
 	}
 }
 
-func (g *graph) newGroup(target *config.Target, named bool) *group {
+func (g *graph) newGroup(target *config.Target, linkTarget bool) *group {
 	from, _ := slices.BinarySearch(g.cuts, target.Layers.From)
 	to, _ := slices.BinarySearch(g.cuts, target.Layers.To)
-	return &group{from: from, to: to, rate: rateOf(target), centre: g.centres[target.DataCentre], named: named}
+	return &group{from: from, to: to, rate: rateOf(target), centre: g.centres[target.DataCentre], linkTarget: linkTarget}
 }
 
-func namedTargets(targets []*config.Target) map[string]bool {
-	named := map[string]bool{}
+// linkTargets returns the names of the targets and data centres that links lead to.
+func linkTargets(targets []*config.Target) map[string]bool {
+	linkTarget := map[string]bool{}
 	for _, target := range targets {
 		for _, link := range target.Links {
-			named[link.To] = true
+			linkTarget[link.To] = true
 		}
 	}
-	return named
+	return linkTarget
 }
 
-func groupKey(target *config.Target, named bool) string {
-	if named {
+// groupKey returns a key that is the same for targets of one group. A target that a link names is
+// a group of its own.
+func groupKey(target *config.Target, linkTarget bool) string {
+	if linkTarget {
 		return "target " + target.Name
 	}
 	var key strings.Builder
@@ -147,6 +152,7 @@
 	}
 }
 
+// tokensOver returns the capacity of a link in tokens per second.
 func (g *graph) tokensOver(link config.Link) float64 {
 	if link.BytesPerSecond <= 0 || g.model.ActivationBytes <= 0 {
 		return math.Inf(1)
@@ -154,7 +160,7 @@
 	return link.BytesPerSecond / float64(g.model.ActivationBytes)
 }
 
-// refined returns the same groups with a cut between any two layers.
+// refined returns a graph of the same groups with a cut between any two layers.
 func (g *graph) refined() *graph {
 	fine := *g
 	fine.cuts = make([]int, g.model.Layers+1)
@@ -170,14 +176,14 @@
 	return &fine
 }
 
-// whole is the span of all layers.
+// whole returns the span of all layers.
 func (g *graph) whole() span {
 	return span{from: 0, to: len(g.cuts) - 1, before: noGroup, after: noGroup}
 }
 
 func (g *graph) memberCount(index int) int { return len(g.groups[index].members) }
 
-// segmentLayers returns the layers between a cut and the next one.
+// segmentLayers returns the number of layers between a cut and the next one.
 func (g *graph) segmentLayers(cut int) int { return g.cuts[cut+1] - g.cuts[cut] }
 
 // uncovered returns the first layer that no group holds.
--- a/internal/plan/group.go
+++ b/internal/plan/group.go
@@ -2,18 +2,19 @@
 
 import "geraniumcroft/internal/config"
 
-// group is engines that are alike in range, rate, data centre and links, so
-// that one plan for the group stands for a plan for each of its members.
+// group is the engines with the same range, rate, data centre, accelerator and links, so that one
+// plan for the group represents a plan for each of its members.
 type group struct {
 	members []*config.Target
-	// from and to index the graph's cuts.
+	// from and to are indices of the graph's cuts.
 	from, to int
-	rate     float64
+	// rate is that of one member, in layers times tokens per second.
+	rate float64
 	// centre is the index of the data centre.
 	centre int
-	// named says that links name the group's only member.
-	named bool
-	// toCentre is indexed by data centre; toGroup holds links to named targets.
+	// linkTarget says that links name the group's only member.
+	linkTarget bool
+	// toCentre is indexed by data centre; toGroup holds the links that name a target, by group.
 	toCentre []edge
 	toGroup  map[int]edge
 }
--- a/internal/plan/input.go
+++ b/internal/plan/input.go
@@ -6,20 +6,20 @@
 	"geraniumcroft/internal/config"
 )
 
-// Input is what a plan is made from.
+// Input is the input of Compute.
 type Input struct {
 	Model   *config.Model
 	Version string
 	// Adapter is empty for the base model.
 	Adapter string
-	// Targets may hold other models, versions and services; they are left out.
+	// Targets may include targets of other models, versions and services, which are ignored.
 	Targets []*config.Target
-	// Usable leaves out targets for which it is false; nil takes all.
+	// Usable reports whether a target may be used; nil stands for all.
 	Usable func(name string) bool
 }
 
-// eligible returns the targets that hold a part of the model, in order of name
-// so that the result does not depend on the order of a map.
+// eligible returns the targets that hold a part of the model, sorted by name so that the result
+// does not depend on the order of a map.
 func (in Input) eligible() []*config.Target {
 	var kept []*config.Target
 	for _, target := range in.Targets {
@@ -36,6 +36,8 @@
 	return kept
 }
 
+// holds reports whether the target is a usable engine that holds a part of the model, and the
+// adapter if there is one.
 func (in Input) holds(target *config.Target) bool {
 	if target.Kind != config.KindEngine || !target.TakesWork() {
 		return false
--- a/internal/plan/leg.go
+++ b/internal/plan/leg.go
@@ -1,6 +1,6 @@
 package plan
 
-// leg is a group's part of a path, from one layer to another.
+// leg is the part of a path that one group serves, from one layer up to another.
 type leg struct {
 	group    int
 	from, to int
--- a/internal/plan/packing.go
+++ b/internal/plan/packing.go
@@ -2,24 +2,25 @@
 
 import "math"
 
-// packing is a linear programme: find weights of columns, zero or more, whose
-// sum is the greatest while no row takes more than 1. Columns are added as they
-// are found, since there are far too many paths to list. It is the revised
-// simplex method with the inverse of the basis kept whole; all weights zero is a
-// solution, so there is no first phase.
+// packing is a packing linear program: maximize the sum of the columns' weights, which are not
+// negative, such that no row exceeds 1. Columns are added as they are found, because there are far
+// too many paths to list. It is solved by the revised simplex method with an explicit inverse of
+// the basis. All weights zero is a feasible solution, so there is no first phase.
 type packing struct {
-	// limit is the rows' right side. It lies below 1 by less than perturbation, each
-	// by another amount: with equal limits many pivots would change nothing.
+	// limit is the right-hand side of the rows. Each is below 1 by less than perturbation and by a
+	// different amount: with equal limits many pivots would be degenerate.
 	limit []float64
-	// basic is the column of each row's basic variable, nil for the row's own slack
-	// or the slack named in slackOf.
-	basic   []*column
-	slackOf []int
-	value   []float64
+	// basicColumn is the column of each row's basic variable, nil if that is a slack; slackOf is
+	// the row of that slack.
+	basicColumn []*column
+	slackOf     []int
+	// value is the value of the basic variable of each row.
+	value []float64
 	// inverse holds the columns of the inverse of the basis.
 	inverse [][]float64
 	// price is the dual value of each row.
-	price     []float64
+	price []float64
+	// direction is how much the basic variables fall per unit of the entering one.
 	direction []float64
 	// touched are the rows that a pivot changes.
 	touched []int
@@ -32,13 +33,13 @@
 
 func newPacking(size int) *packing {
 	p := &packing{
-		limit: make([]float64, size), basic: make([]*column, size), slackOf: make([]int, size),
+		limit: make([]float64, size), basicColumn: make([]*column, size), slackOf: make([]int, size),
 		value: make([]float64, size), inverse: make([][]float64, size),
 		price: make([]float64, size), direction: make([]float64, size),
 	}
 	flat := make([]float64, size*size)
 	for i := range size {
-		// The fractional parts of the golden ratio's multiples spread evenly.
+		// The fractional parts of the golden ratio's multiples are evenly distributed.
 		part := float64(i+1) * 0.6180339887498949
 		p.limit[i] = 1 - perturbation*(part-float64(int(part)))
 		p.value[i] = p.limit[i]
@@ -49,18 +50,18 @@
 	return p
 }
 
-// cost returns a column's price; below 1 the column improves the sum.
+// cost returns the price of a column. If it is below 1, the column improves the objective.
 func (p *packing) cost(c *column) float64 {
 	total := 0.0
-	for _, s := range c.shares {
+	for _, s := range c.coefficients {
 		total += s.amount * p.price[s.row]
 	}
 	return total
 }
 
-// worstPrice returns the row with the lowest price and that price. Below zero,
-// the row's slack improves the sum.
-func (p *packing) worstPrice() (int, float64) {
+// lowestPrice returns the row with the lowest price and that price. If it is negative, the row's
+// slack improves the objective.
+func (p *packing) lowestPrice() (int, float64) {
 	worst, lowest := 0, p.price[0]
 	for i, price := range p.price {
 		if price < lowest {
@@ -70,10 +71,10 @@
 	return worst, lowest
 }
 
-// enterColumn brings a column into the basis.
+// enterColumn brings a column into the basis. It reports false if that fails, as pivot does.
 func (p *packing) enterColumn(c *column) bool {
 	clear(p.direction)
-	for _, s := range c.shares {
+	for _, s := range c.coefficients {
 		for i, entry := range p.inverse[s.row] {
 			p.direction[i] += s.amount * entry
 		}
@@ -81,26 +82,26 @@
 	return p.pivot(c, 0, 1-p.cost(c))
 }
 
-// enterSlack brings a row's slack into the basis.
+// enterSlack brings a row's slack into the basis. It reports false if that fails, as pivot does.
 func (p *packing) enterSlack(row int) bool {
 	copy(p.direction, p.inverse[row])
 	return p.pivot(nil, row, -p.price[row])
 }
 
-// pivot replaces the basic variable that reaches zero first. It reports false
-// when no variable does, which only rounding can bring about.
+// pivot replaces the basic variable that reaches zero first. It reports false if no variable does,
+// which only rounding errors can cause.
 func (p *packing) pivot(c *column, slack int, gain float64) bool {
 	leaving := p.ratioTest()
 	if leaving < 0 {
 		return false
 	}
 	p.replaceRow(leaving, gain)
-	p.basic[leaving], p.slackOf[leaving] = c, slack
+	p.basicColumn[leaving], p.slackOf[leaving] = c, slack
 	return true
 }
 
-// ratioTest returns the row whose variable reaches zero first; among equal ones
-// that with the largest step, which keeps rounding errors small.
+// ratioTest returns the row whose variable reaches zero first, -1 if none does. Among equal ones it
+// returns that with the largest step, which keeps rounding errors small.
 func (p *packing) ratioTest() int {
 	least := math.Inf(1)
 	for i, step := range p.direction {
@@ -120,8 +121,8 @@
 	return leaving
 }
 
-// replaceRow updates inverse, values and prices. Most entries are zero, because
-// a row whose slack is basic has but one.
+// replaceRow updates inverse, values and prices. Most entries are zero, because a row whose slack
+// is basic has only one.
 func (p *packing) replaceRow(leaving int, gain float64) {
 	divisor := p.direction[leaving]
 	p.direction[leaving] = 0
@@ -147,10 +148,10 @@
 	}
 }
 
-// columns returns the columns with a weight.
+// columns returns the columns with a weight above zero and sets their weight.
 func (p *packing) columns() []*column {
 	var found []*column
-	for i, c := range p.basic {
+	for i, c := range p.basicColumn {
 		if c != nil && p.value[i] > tolerance {
 			c.weight = p.value[i]
 			found = append(found, c)
--- a/internal/plan/path.go
+++ b/internal/plan/path.go
@@ -1,6 +1,6 @@
 package plan
 
-// path is a plan over groups rather than over single targets.
+// path is a plan over groups instead of single targets.
 type path []leg
 
 // uses counts the legs that take the group.
@@ -14,10 +14,9 @@
 	return count
 }
 
-// mergeRevisits joins the legs of a group that the path visits more often than
-// the group has members. An engine knows a request by its id and could not tell
-// two stages of it apart; the layers between lie within the engine's range, so
-// the engine can take them too.
+// mergeRevisits merges the legs of a group that the path visits more often than the group has free
+// members. An engine identifies a request by its id and could not distinguish two stages of it. The
+// layers between the legs lie within the engine's range, so the engine can serve them too.
 func (g *graph) mergeRevisits(p path, free func(group int) int) path {
 	for first := 0; first < len(p); first++ {
 		if p.uses(p[first].group) <= free(p[first].group) {
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -3,12 +3,12 @@
 // Plan is a list of stages that covers a model's layers once and in order.
 type Plan struct {
 	Stages []Stage
-	// Weight is the plan's share in tokens a second; 0 for a plan made for one request.
+	// Weight is the plan's throughput in tokens per second; 0 for a plan made for one request.
 	Weight float64
 }
 
-// Check returns a *CoverError unless the stages cover layers 0 to layers once
-// and in order, each within its target's range and each on a target of its own.
+// Check returns a *CoverError unless the stages cover the layers from 0 up to the given number once
+// and in order, each within its target's range and each on a different target.
 func (p Plan) Check(layers int) error {
 	next := 0
 	seen := make(map[string]bool, len(p.Stages))
@@ -25,6 +25,7 @@
 	return nil
 }
 
+// problem returns what is wrong with a stage that should start at layer next, or "".
 func (p Plan) problem(stage Stage, next int, seen map[string]bool) string {
 	switch {
 	case stage.Target == nil:
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -7,7 +7,7 @@
 	"geraniumcroft/internal/config"
 )
 
-func TestCheckRefusesPlansThatDoNotCoverOnceInOrder(t *testing.T) {
+func TestCheckRejectsInvalidCoverage(t *testing.T) {
 	a, b := engineTarget("a", "x", 0, 6, 1), engineTarget("b", "x", 4, 10, 1)
 	stage := func(target *config.Target, from, to int) Stage {
 		return Stage{Target: target, Layers: config.LayerRange{From: from, To: to}}
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestComputeLeavesOutWhatCannotServe(t *testing.T) {
+func TestComputeExcludesUnsuitableTargets(t *testing.T) {
 	draining := engineTarget("draining", "x", 0, 10, 100)
 	draining.State = config.StateDraining
 	other := engineTarget("other", "x", 0, 10, 100)
--- a/internal/plan/prices.go
+++ b/internal/plan/prices.go
@@ -1,35 +1,34 @@
 package plan
 
-// prices are the cost of a path: for each group the cost of one layer, and for
-// each hop the cost of the link. All are zero or more.
+// prices define the cost of a path: the cost of one layer for each group, and the cost of the link
+// for each hop. None is negative.
 type prices struct {
 	layer []float64
 	// hop returns the cost of going from a group to a data centre.
 	hop func(from, centre int) float64
-	// namedHop returns the cost of going to a group that links name.
-	namedHop func(from, to int) float64
+	// targetHop returns the cost of going over a link that names the group's target.
+	targetHop func(from, to int) float64
 }
 
-// hopOverhead is what a hop costs besides its link, in seconds; it keeps paths
-// from hopping for nothing.
+// hopOverhead is the cost of a hop besides its link, in seconds. It prevents needless hops.
 const hopOverhead = 20e-6
 
-// latencyPrices make the cheapest path the one on which a token arrives soonest;
-// they are in seconds.
+// latencyPrices returns prices in seconds, with which the cheapest path is the one of the least
+// latency of a token.
 func (g *graph) latencyPrices() prices {
 	layer := make([]float64, len(g.groups))
 	for index, grp := range g.groups {
 		layer[index] = 1 / grp.rate
 	}
 	return prices{
-		layer:    layer,
-		hop:      func(from, centre int) float64 { return g.groups[from].toCentre[centre].latency + hopOverhead },
-		namedHop: func(from, to int) float64 { return g.groups[from].toGroup[to].latency + hopOverhead },
+		layer:     layer,
+		hop:       func(from, centre int) float64 { return g.groups[from].toCentre[centre].latency + hopOverhead },
+		targetHop: func(from, to int) float64 { return g.groups[from].toGroup[to].latency + hopOverhead },
 	}
 }
 
-// rowPrices give layers and hops the prices of the limits that they use; price is
-// that of one unit of each limit.
+// rowPrices returns the prices of layers and hops by the rows that they use. price is that of one
+// unit of each row's capacity.
 func (g *graph) rowPrices(r *rows, price []float64) prices {
 	of := func(row int) float64 {
 		if row == noRow {
@@ -38,8 +37,8 @@
 		return price[row]
 	}
 	return prices{
-		layer:    price[:len(g.groups)],
-		hop:      func(from, centre int) float64 { return of(r.centreRow[from][centre]) },
-		namedHop: func(from, to int) float64 { return of(r.namedRow[[2]int{from, to}]) },
+		layer:     price[:len(g.groups)],
+		hop:       func(from, centre int) float64 { return of(r.centreRow[from][centre]) },
+		targetHop: func(from, to int) float64 { return of(r.targetRow[[2]int{from, to}]) },
 	}
 }
--- a/internal/plan/repair.go
+++ b/internal/plan/repair.go
@@ -6,54 +6,55 @@
 	"geraniumcroft/internal/config"
 )
 
-// Repair replaces the failed stages of a plan. Stages that still stand are kept
-// as they are, because the KV cache that they hold stays valid; usable is not
-// asked about them, for their slots are in hand. When the missing layers cannot
-// be covered by other targets, Repair lays out a whole new plan.
+// Repair replaces the failed stages of a plan. The others are kept as they are, because the KV
+// cache that they hold stays valid; usable is not called for them, because the request already has
+// their slots. If other targets cannot cover the missing layers, Repair computes a whole new plan.
 func (c *Chooser) Repair(current Plan, failed map[string]bool, usable func(target string) bool) (Plan, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if plan, ok := c.patch(current, failed, usable); ok {
+	if plan, ok := c.replaceFailed(current, failed, usable); ok {
 		return plan, true
 	}
 	free := func(name string) bool { return !failed[name] && (current.Uses(name) || usable(name)) }
-	return c.layOut(c.finder, c.graph.whole(), free)
+	return c.cheapestPlan(c.pathSearch, c.graph.whole(), free)
 }
 
-func (c *Chooser) patch(current Plan, failed map[string]bool, usable func(string) bool) (Plan, bool) {
-	var patched Plan
+// replaceFailed returns the plan with other targets for each run of failed stages. It reports false
+// if they cannot be covered.
+func (c *Chooser) replaceFailed(current Plan, failed map[string]bool, usable func(string) bool) (Plan, bool) {
+	var repaired Plan
 	for i := 0; i < len(current.Stages); i++ {
 		if !failed[current.Stages[i].Target.Name] {
-			patched.Stages = append(patched.Stages, current.Stages[i])
+			repaired.Stages = append(repaired.Stages, current.Stages[i])
 			continue
 		}
 		end := i
 		for end+1 < len(current.Stages) && failed[current.Stages[end+1].Target.Name] {
 			end++
 		}
-		finder, missing := c.span(current, i, end)
+		pathSearch, missing := c.span(current, i, end)
 		free := func(name string) bool {
-			return !failed[name] && !current.Uses(name) && !patched.Uses(name) && usable(name)
+			return !failed[name] && !current.Uses(name) && !repaired.Uses(name) && usable(name)
 		}
-		part, ok := c.layOut(finder, missing, free)
+		part, ok := c.cheapestPlan(pathSearch, missing, free)
 		if !ok {
 			return Plan{}, false
 		}
-		patched.Stages = append(patched.Stages, part.Stages...)
+		repaired.Stages = append(repaired.Stages, part.Stages...)
 		i = end
 	}
-	return patched, true
+	return repaired, true
 }
 
-// span returns the layers of stages first to last with their neighbours, and a
-// search whose cuts include both ends: a plan may be cut within a range.
+// span returns the span of the stages first to last with the groups of the adjacent stages, and a
+// search whose cuts include both ends, as a plan may be cut within a range.
 func (c *Chooser) span(current Plan, first, last int) (*search, span) {
 	layers := config.LayerRange{From: current.Stages[first].Layers.From, To: current.Stages[last].Layers.To}
-	finder := c.finder
+	pathSearch := c.pathSearch
 	from, fromOK := slices.BinarySearch(c.graph.cuts, layers.From)
 	to, toOK := slices.BinarySearch(c.graph.cuts, layers.To)
 	if !fromOK || !toOK {
-		finder, from, to = c.fineFinder(), layers.From, layers.To
+		pathSearch, from, to = c.lazyRefinedSearch(), layers.From, layers.To
 	}
 	over := span{from: from, to: to, before: noGroup, after: noGroup}
 	if first > 0 {
@@ -62,16 +63,18 @@
 	if last+1 < len(current.Stages) {
 		over.after = c.groupIndex(current.Stages[last+1])
 	}
-	return finder, over
+	return pathSearch, over
 }
 
-func (c *Chooser) fineFinder() *search {
-	if c.fine == nil {
-		c.fine = newSearch(c.graph.refined())
+// lazyRefinedSearch returns the search with a cut between any two layers.
+func (c *Chooser) lazyRefinedSearch() *search {
+	if c.refinedSearch == nil {
+		c.refinedSearch = newSearch(c.graph.refined())
 	}
-	return c.fine
+	return c.refinedSearch
 }
 
+// groupIndex returns the index of the group of the stage's target, or noGroup.
 func (c *Chooser) groupIndex(stage Stage) int {
 	if index, ok := c.graph.groupOf[stage.Target.Name]; ok {
 		return index
--- a/internal/plan/repair_test.go
+++ b/internal/plan/repair_test.go
@@ -8,10 +8,10 @@
 	"geraniumcroft/internal/config"
 )
 
-// A stage dies in the middle of a draft. The other stages hold KV cache of the
-// draft; were they moved too, the whole prompt would be replayed and the caller
-// would wait for it. So they stay whenever other targets can take the lost layers.
-func TestRepairKeepsTheStagesThatStand(t *testing.T) {
+// A stage dies in the middle of a draft. The other stages hold KV cache of the draft. Guards against
+// moving them although other targets can serve the lost layers: the whole prompt would be replayed
+// while the caller waits.
+func TestRepairKeepsRemainingStages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t, rapid.IntRange(1, 16).Draw(t, "layers"), rapid.IntRange(0, 12).Draw(t, "targets"))
 		chooser := NewChooser(compute(t, in), 1)
@@ -31,12 +31,13 @@
 			return
 		}
 		checkFree(t, in, repaired, free)
-		if len(failed) == 1 { // two may need the same spare target
+		if len(failed) == 1 { // with two failures, both may need the same spare target
 			checkKept(t, in, current, repaired, failed, usable)
 		}
 	})
 }
 
+// checkKept checks that all remaining stages are kept if spare targets can cover each failed one.
 func checkKept(t rapid.TB, in Input, current, repaired Plan, failed map[string]bool, usable func(string) bool) {
 	t.Helper()
 	spare := func(name string) bool { return !failed[name] && !current.Uses(name) && usable(name) }
@@ -56,8 +57,8 @@
 	}
 }
 
-// A plan that was cut within the engines' ranges, as Compute does where links
-// limit, is repaired at that cut: the stage that stands keeps just its layers.
+// A plan that was cut within the engines' ranges, as by Compute where links limit the throughput,
+// is repaired at that cut: the remaining stage keeps exactly its layers.
 func TestRepairOfAPlanCutWithinRanges(t *testing.T) {
 	in := Input{Model: &config.Model{Name: "m", Layers: 10}, Version: "1", Targets: []*config.Target{
 		engineTarget("a", "x", 0, 7, 100), engineTarget("b", "x", 3, 10, 100), engineTarget("c", "x", 3, 10, 100),
--- a/internal/plan/row.go
+++ b/internal/plan/row.go
@@ -1,9 +1,9 @@
 package plan
 
-// row is one limit on the plans' weights: an engine group's rate or a link's
-// bandwidth.
+// row is a constraint of the linear program: the rate of a group of engines or the bandwidth of
+// a link limits the weights of the paths that use it.
 type row struct {
-	// capacity is in layers times tokens a second for a group, and in tokens a
-	// second for a link.
+	// capacity is in layers times tokens per second for a group, and in tokens per second for a
+	// link.
 	capacity float64
 }
--- a/internal/plan/saturation_test.go
+++ b/internal/plan/saturation_test.go
@@ -8,10 +8,9 @@
 	"geraniumcroft/internal/config"
 )
 
-// saturation keeps as many requests in hand as slots allow and returns the mean
-// of what they would get, each engine and link shared equally by tokens, as a part
-// of the bound.
-func saturation(in Input, slotsPer float64, steps int, choose func(usable func(string) bool) (Plan, bool)) float64 {
+// simulateSaturation keeps as many requests running as slots allow and returns their mean
+// throughput in tokens per second, with each engine and link shared max-min fairly.
+func simulateSaturation(in Input, slotsPer float64, steps int, choose func(usable func(string) bool) (Plan, bool)) float64 {
 	random := rand.New(rand.NewPCG(7, 7))
 	inFlight := map[string]int{}
 	slots := map[string]int{}
@@ -34,21 +33,22 @@
 			running = append(running, chosen)
 		}
 		if step > steps/4 && step%50 == 0 {
-			total += throughputOf(limits, running)
+			total += maxMinThroughput(limits, running)
 			samples++
 		}
-		gone := random.IntN(len(running))
-		for _, stage := range running[gone].Stages {
+		ended := random.IntN(len(running))
+		for _, stage := range running[ended].Stages {
 			inFlight[stage.Target.Name]--
 		}
-		running[gone] = running[len(running)-1]
+		running[ended] = running[len(running)-1]
 		running = running[:len(running)-1]
 	}
 	return total / float64(samples)
 }
 
-// throughputOf fills max-min fairly.
-func throughputOf(limits map[limitKey]float64, running []Plan) float64 {
+// maxMinThroughput returns the total throughput of the running plans under max-min fair sharing of
+// the limits.
+func maxMinThroughput(limits map[limitKey]float64, running []Plan) float64 {
 	type part struct {
 		key    limitKey
 		amount float64
@@ -99,31 +99,31 @@
 	return total
 }
 
-// A pool is full of drafts and more wait. Those that waited take the slots that
-// come free; if each took any path that fits at the moment, the mix would drift
-// from the weights and the pool would make fewer tokens than it can.
-func TestFullPoolKeepsToTheWeights(t *testing.T) {
+// A pool is full of drafts and more wait. Guards against a mix that drifts from the weights: if each
+// waiting request took any path that fits at the moment, the pool would make fewer tokens than it
+// can.
+func TestFullPoolFollowsTheWeights(t *testing.T) {
 	for seed := range uint64(2) {
 		in := mixedInput(30, 3, seed)
 		set := compute(t, in)
 		share := func(eligible func(string) bool) float64 {
 			chooser := NewChooser(set, 1)
 			chooser.SetEligible(eligible)
-			return saturation(in, 8, 400, func(usable func(string) bool) (Plan, bool) {
+			return simulateSaturation(in, 8, 400, func(usable func(string) bool) (Plan, bool) {
 				return chooser.Choose(Query{Urgency: config.Bulk, Usable: usable})
 			}) / set.Bound
 		}
 		waiting, anyPath := share(always), share(nil)
-		t.Logf("seed %d: %.3f of the bound, %.3f when any path will do", seed, waiting, anyPath)
+		t.Logf("seed %d: %.3f of the bound, %.3f with any path", seed, waiting, anyPath)
 		if waiting < 0.85 || waiting < anyPath {
-			t.Errorf("seed %d: %.3f of the bound, %.3f when any path will do", seed, waiting, anyPath)
+			t.Errorf("seed %d: %.3f of the bound, %.3f with any path", seed, waiting, anyPath)
 		}
 	}
 }
 
-// A range's engines are gone from every weighted path, but other engines hold its
-// layers. Waiting would not help: the request gets a path of its own at once.
-func TestRequestDoesNotWaitForPathsThatAreGone(t *testing.T) {
+// No weighted path has eligible engines, but another engine holds the layers. Guards against a
+// request that waits for paths that will not become free: it gets an unweighted one at once.
+func TestRequestDoesNotWaitForUnavailablePaths(t *testing.T) {
 	in := mixedInput(60, 3, 1)
 	spare := engineTarget("spare", "dc0", 0, in.Model.Layers, 1)
 	in.Targets = append(in.Targets, spare)
@@ -132,13 +132,13 @@
 	alone := func(name string) bool { return name == "spare" }
 	chooser.SetEligible(always)
 	if _, ok := chooser.Choose(Query{Urgency: config.Bulk, Usable: alone}); ok {
-		t.Error("bulk took a path beside the weights while weighted ones stand")
+		t.Error("bulk took an unweighted path while weighted ones are eligible")
 	}
 	if _, ok := chooser.Choose(Query{Urgency: config.Urgent, Usable: alone}); !ok {
 		t.Error("urgent waited")
 	}
 	chooser.SetEligible(alone)
 	if _, ok := chooser.Choose(Query{Urgency: config.Bulk, Usable: alone}); !ok {
-		t.Error("bulk waits for paths that are gone")
+		t.Error("bulk waits for paths without eligible engines")
 	}
 }
--- a/internal/plan/search.go
+++ b/internal/plan/search.go
@@ -2,57 +2,62 @@
 
 import "math"
 
+// noGroup stands for a missing group.
 const noGroup = -1
 
-// search finds the cheapest path by dynamic programming over the cuts. It keeps
-// its arrays between calls, so one search is not for concurrent use.
+// search finds the cheapest path by dynamic programming over the cuts. It reuses its arrays between
+// calls, so it is not safe for concurrent use.
 type search struct {
 	g *graph
-	// cost is the cheapest way to have done the layers up to the present cut with
-	// the group last; origin[cut][group] is the group before, itself when it went on.
-	cost, next []float64
-	origin     [][]int
-	byCentre   []float64
-	centreFrom []int
+	// cost is the least cost of the layers up to the current cut with the group as the last one.
+	// predecessor[cut][group] is the group before the cut on that path, the group itself if it
+	// continues.
+	cost, next  []float64
+	predecessor [][]int
+	// centreCost is the least cost of getting to each data centre, centrePredecessor the group that
+	// the way starts from.
+	centreCost        []float64
+	centrePredecessor []int
 }
 
 func newSearch(g *graph) *search {
 	s := &search{
-		g:          g,
-		cost:       make([]float64, len(g.groups)),
-		next:       make([]float64, len(g.groups)),
-		origin:     make([][]int, len(g.cuts)),
-		byCentre:   make([]float64, len(g.centres)),
-		centreFrom: make([]int, len(g.centres)),
+		g:                 g,
+		cost:              make([]float64, len(g.groups)),
+		next:              make([]float64, len(g.groups)),
+		predecessor:       make([][]int, len(g.cuts)),
+		centreCost:        make([]float64, len(g.centres)),
+		centrePredecessor: make([]int, len(g.centres)),
 	}
 	flat := make([]int, len(g.cuts)*len(g.groups))
-	for cut := range s.origin {
-		s.origin[cut] = flat[cut*len(g.groups) : (cut+1)*len(g.groups)]
+	for cut := range s.predecessor {
+		s.predecessor[cut] = flat[cut*len(g.groups) : (cut+1)*len(g.groups)]
 	}
 	return s
 }
 
-// run returns the cheapest path over the span and its cost; ok is false when
-// the allowed groups do not cover it. A nil allowed takes all groups.
+// run returns the cheapest path over the span and its cost. ok is false if the allowed groups do
+// not cover it. If allowed is nil, all groups are allowed.
 func (s *search) run(over span, p prices, allowed []bool) (found path, cost float64, ok bool) {
-	s.start(over, p, allowed)
+	s.initialize(over, p, allowed)
 	for cut := over.from + 1; cut < over.to; cut++ {
-		s.step(cut, p, allowed)
+		s.extend(cut, p, allowed)
 	}
-	last, cost := s.cheapest(over, p)
+	last, cost := s.cheapestEnd(over, p)
 	if last == noGroup {
 		return nil, math.Inf(1), false
 	}
-	return s.trace(over, last), cost, true
+	return s.backtrack(over, last), cost, true
 }
 
-func (s *search) start(over span, p prices, allowed []bool) {
+// initialize sets the costs of the span's first segment.
+func (s *search) initialize(over span, p prices, allowed []bool) {
 	for index, grp := range s.g.groups {
 		s.cost[index] = math.Inf(1)
-		if !grp.covers(over.from) || !permitted(allowed, index) {
+		if !grp.covers(over.from) || !isAllowed(allowed, index) {
 			continue
 		}
-		s.origin[over.from][index] = noGroup
+		s.predecessor[over.from][index] = noGroup
 		s.cost[index] = p.layer[index] * float64(s.g.segmentLayers(over.from))
 		if over.before != noGroup {
 			s.cost[index] += s.hop(over.before, index, p)
@@ -60,68 +65,71 @@
 	}
 }
 
-func (s *search) step(cut int, p prices, allowed []bool) {
+// extend continues the paths by the segment after the cut.
+func (s *search) extend(cut int, p prices, allowed []bool) {
 	s.relaxCentres(p)
 	for index, grp := range s.g.groups {
 		s.next[index] = math.Inf(1)
-		if !grp.covers(cut) || !permitted(allowed, index) {
+		if !grp.covers(cut) || !isAllowed(allowed, index) {
 			continue
 		}
-		cost, origin := s.enter(index, p)
+		cost, predecessor := s.cheapestEntry(index, p)
 		if s.cost[index] <= cost {
-			cost, origin = s.cost[index], index
+			cost, predecessor = s.cost[index], index
 		}
 		s.next[index] = cost + p.layer[index]*float64(s.g.segmentLayers(cut))
-		s.origin[cut][index] = origin
+		s.predecessor[cut][index] = predecessor
 	}
 	s.cost, s.next = s.next, s.cost
 }
 
-// relaxCentres finds the cheapest way into each data centre.
+// relaxCentres computes the least cost of getting to each data centre.
 func (s *search) relaxCentres(p prices) {
-	for centre := range s.byCentre {
-		s.byCentre[centre], s.centreFrom[centre] = math.Inf(1), noGroup
+	for centre := range s.centreCost {
+		s.centreCost[centre], s.centrePredecessor[centre] = math.Inf(1), noGroup
 	}
 	for index, cost := range s.cost {
 		if math.IsInf(cost, 1) {
 			continue
 		}
-		for centre, best := range s.byCentre {
+		for centre, best := range s.centreCost {
 			if cost >= best {
 				continue
 			}
 			if total := cost + p.hop(index, centre); total < best {
-				s.byCentre[centre], s.centreFrom[centre] = total, index
+				s.centreCost[centre], s.centrePredecessor[centre] = total, index
 			}
 		}
 	}
 }
 
-func (s *search) enter(index int, p prices) (float64, int) {
+// cheapestEntry returns the least cost of changing to a group from another one, and that one.
+func (s *search) cheapestEntry(index int, p prices) (float64, int) {
 	grp := s.g.groups[index]
-	if !grp.named {
-		return s.byCentre[grp.centre], s.centreFrom[grp.centre]
+	if !grp.linkTarget {
+		return s.centreCost[grp.centre], s.centrePredecessor[grp.centre]
 	}
-	best, origin := math.Inf(1), noGroup
+	best, predecessor := math.Inf(1), noGroup
 	for from, cost := range s.cost {
 		if cost >= best {
 			continue
 		}
 		if total := cost + s.hop(from, index, p); total < best {
-			best, origin = total, from
+			best, predecessor = total, from
 		}
 	}
-	return best, origin
+	return best, predecessor
 }
 
 func (s *search) hop(from, to int, p prices) float64 {
 	if _, ok := s.g.groups[from].toGroup[to]; ok {
-		return p.namedHop(from, to)
+		return p.targetHop(from, to)
 	}
 	return p.hop(from, s.g.groups[to].centre)
 }
 
-func (s *search) cheapest(over span, p prices) (int, float64) {
+// cheapestEnd returns the group with which the cheapest path ends, and its cost.
+func (s *search) cheapestEnd(over span, p prices) (int, float64) {
 	last, best := noGroup, math.Inf(1)
 	for index, cost := range s.cost {
 		if over.after != noGroup && !math.IsInf(cost, 1) {
@@ -134,18 +142,19 @@
 	return last, best
 }
 
-func (s *search) trace(over span, last int) path {
+// backtrack returns the path that ends with the given group.
+func (s *search) backtrack(over span, last int) path {
 	var legs path
 	cuts := s.g.cuts
 	current := leg{group: last, to: cuts[over.to]}
 	for cut := over.to - 1; cut >= over.from; cut-- {
-		origin := s.origin[cut][current.group]
-		if origin == current.group {
+		predecessor := s.predecessor[cut][current.group]
+		if predecessor == current.group {
 			continue
 		}
 		current.from = cuts[cut]
 		legs = append(legs, current)
-		current = leg{group: origin, to: cuts[cut]}
+		current = leg{group: predecessor, to: cuts[cut]}
 	}
 	for i, j := 0, len(legs)-1; i < j; i, j = i+1, j-1 {
 		legs[i], legs[j] = legs[j], legs[i]
@@ -155,4 +164,4 @@
 
 func (grp *group) covers(cut int) bool { return grp.from <= cut && cut < grp.to }
 
-func permitted(allowed []bool, index int) bool { return allowed == nil || allowed[index] }
+func isAllowed(allowed []bool, index int) bool { return allowed == nil || allowed[index] }
--- a/internal/plan/span.go
+++ b/internal/plan/span.go
@@ -1,7 +1,7 @@
 package plan
 
-// span is what a path has to cover, and what it is joined to: the groups of the
-// stage before and the stage after, or noGroup.
+// span is the range of cuts that a path has to cover, and the groups of the stages before and after
+// it, or noGroup.
 type span struct {
 	from, to      int
 	before, after int
--- a/internal/plan/stage.go
+++ b/internal/plan/stage.go
@@ -6,14 +6,14 @@
 	"geraniumcroft/internal/config"
 )
 
-// Stage is one engine's part of a plan.
+// Stage is the part of a plan that one engine serves.
 type Stage struct {
 	Target *config.Target
-	// Layers lie within the target's range and may be a part of it.
+	// Layers is the target's range or a part of it.
 	Layers config.LayerRange
 }
 
-// Latency returns what one token spends in the stage's engine at its full rate.
+// Latency returns the time that one token takes in the stage's engine at its full rate.
 func (s Stage) Latency() time.Duration {
 	seconds := float64(s.Layers.Len()) / rateOf(s.Target)
 	return time.Duration(seconds * float64(time.Second))
--- a/internal/plan/without.go
+++ b/internal/plan/without.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// topUps bounds the paths added to use what the missing targets left idle.
-	topUps = 12
-	// leastResidual is the share of a limit below which nothing more is put on it.
-	leastResidual = 1e-6
-	// spread keeps the prices of limits that are nearly used up finite.
-	spread = 0.02
+	// maxAddedPaths bounds the paths that are added to use what is idle without the missing
+	// targets.
+	maxAddedPaths = 12
+	// minResidual is the fraction of a row's capacity below which the row counts as used up.
+	minResidual = 1e-6
+	// priceDamping keeps the prices of rows that are nearly used up finite.
+	priceDamping = 0.02
 )
 
-// Without returns a set that does without some targets, in much less time than a
-// Compute: weights are lowered where the rest of a group cannot carry them, and a
-// few paths are added over what lies idle. Its bound holds, but is proven with the
-// old set's prices and may be higher than that of a Compute. The set has no Plans
-// until Expanded. It returns a *GapError when some layer has no target left.
+// Without returns a set without some targets, in much less time than Compute: weights are lowered
+// where the rest of a group cannot carry them, and a few paths are added over idle capacity. The
+// bound of the set is valid, but it is proved with the old set's prices and may be higher than that
+// of Compute. The set has no Plans; see Expanded. It returns a *GapError if some layer has no
+// target left.
 func (s *Set) Without(missing map[string]bool) (*Set, error) {
 	g := s.graph.without(missing)
 	if layer, ok := g.uncovered(); ok {
@@ -30,8 +31,8 @@
 	for i, limit := range next.rows.list {
 		next.Bound += s.price[i] * limit.capacity
 	}
-	residual := next.keep(s.paths)
-	next.topUp(residual)
+	residual := next.keepPaths(s.paths)
+	next.addPaths(residual)
 	return next, nil
 }
 
@@ -51,14 +52,14 @@
 	return &rest
 }
 
-// keep takes over the old paths with weights that the limits allow, and returns
-// what is left of each limit.
-func (s *Set) keep(old []weightedPath) []float64 {
-	shares := make([][]share, len(old))
+// keepPaths adds the old paths with weights that the rows allow, and returns what is left of each
+// row's capacity.
+func (s *Set) keepPaths(old []weightedPath) []float64 {
+	coefficients := make([][]coefficient, len(old))
 	load := make([]float64, len(s.rows.list))
 	for i, p := range old {
-		shares[i] = s.graph.shares(s.rows, p.legs)
-		for _, part := range shares[i] {
+		coefficients[i] = s.graph.coefficients(s.rows, p.legs)
+		for _, part := range coefficients[i] {
 			load[part.row] += part.amount * p.weight
 		}
 	}
@@ -67,19 +68,19 @@
 		residual[i] = limit.capacity
 	}
 	for i, p := range old {
-		if !s.graph.possible(p.legs) {
+		if !s.graph.hasMembers(p.legs) {
 			continue
 		}
-		for _, part := range shares[i] {
+		for _, part := range coefficients[i] {
 			p.weight = min(p.weight, old[i].weight*s.rows.list[part.row].capacity/load[part.row])
 		}
-		s.add(p, shares[i], residual)
+		s.add(p, coefficients[i], residual)
 	}
 	return residual
 }
 
-// possible reports whether each group still has a member for each of its legs.
-func (g *graph) possible(legs path) bool {
+// hasMembers reports whether each group has a member for each of its legs.
+func (g *graph) hasMembers(legs path) bool {
 	for _, l := range legs {
 		if legs.uses(l.group) > g.memberCount(l.group) {
 			return false
@@ -88,47 +89,49 @@
 	return true
 }
 
-func (s *Set) add(p weightedPath, shares []share, residual []float64) {
+// add adds a path and subtracts what it uses from the residual capacities.
+func (s *Set) add(p weightedPath, coefficients []coefficient, residual []float64) {
 	s.paths = append(s.paths, p)
-	for _, part := range shares {
+	for _, part := range coefficients {
 		residual[part.row] -= part.amount * p.weight
 	}
 }
 
-// topUp adds paths over the limits that have the most left.
-func (s *Set) topUp(residual []float64) {
-	finder := newSearch(s.graph)
+// addPaths adds paths over the rows with the most residual capacity.
+func (s *Set) addPaths(residual []float64) {
+	pathSearch := newSearch(s.graph)
 	allowed := make([]bool, len(s.graph.groups))
 	price := make([]float64, len(residual))
-	for range topUps {
+	for range maxAddedPaths {
 		s.priceResidual(residual, price, allowed)
-		legs, _, ok := finder.run(s.graph.whole(), s.graph.rowPrices(s.rows, price), allowed)
+		legs, _, ok := pathSearch.run(s.graph.whole(), s.graph.rowPrices(s.rows, price), allowed)
 		if !ok {
 			return
 		}
 		legs = s.graph.mergeRevisits(legs, s.graph.memberCount)
-		shares := s.graph.shares(s.rows, legs)
+		coefficients := s.graph.coefficients(s.rows, legs)
 		weight := math.Inf(1)
-		for _, part := range shares {
+		for _, part := range coefficients {
 			weight = min(weight, residual[part.row]/part.amount)
 		}
-		if weight <= leastResidual*s.Bound {
+		if weight <= minResidual*s.Bound {
 			return
 		}
-		s.add(weightedPath{legs: legs, weight: weight}, shares, residual)
+		s.add(weightedPath{legs: legs, weight: weight}, coefficients, residual)
 	}
 }
 
-// priceResidual makes what is scarce dear and leaves out groups that are used up.
+// priceResidual sets high prices for rows with little residual capacity, and excludes the groups
+// that are used up.
 func (s *Set) priceResidual(residual, price []float64, allowed []bool) {
 	for i, limit := range s.rows.list {
 		left := 0.0
 		if limit.capacity > 0 {
 			left = max(0, residual[i]/limit.capacity)
 		}
-		price[i] = 1 / (left*left + spread*spread) / max(limit.capacity, math.SmallestNonzeroFloat64)
+		price[i] = 1 / (left*left + priceDamping*priceDamping) / max(limit.capacity, math.SmallestNonzeroFloat64)
 		if i < len(allowed) {
-			allowed[i] = left > leastResidual
+			allowed[i] = left > minResidual
 		}
 	}
 }
--- a/internal/plan/without_test.go
+++ b/internal/plan/without_test.go
@@ -8,31 +8,31 @@
 	"geraniumcroft/internal/config"
 )
 
-// A target dies and the next Compute is not there yet. The set without it must not
-// promise more than the rest can carry, and its bound must still be one.
-func TestWithoutKeepsTheLimitsOfTheRest(t *testing.T) {
+// A target dies and the next Compute has not finished. The set without the target must not exceed
+// what the rest can carry, and its bound must be an upper bound.
+func TestWithoutRespectsRemainingLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t, rapid.IntRange(1, 16).Draw(t, "layers"), rapid.IntRange(2, 20).Draw(t, "targets"))
 		dead := rapid.SampledFrom(in.Targets).Draw(t, "dead").Name
 		next, err := compute(t, in).Without(map[string]bool{dead: true})
 		in.Usable = func(name string) bool { return name != dead }
-		anew, anewErr := Compute(in)
-		if (err == nil) != (anewErr == nil) {
-			t.Fatalf("%v, but anew %v", err, anewErr)
+		recomputed, recomputedErr := Compute(in)
+		if (err == nil) != (recomputedErr == nil) {
+			t.Fatalf("%v, but anew %v", err, recomputedErr)
 		}
 		if err != nil {
 			return
 		}
 		checkSet(t, in, next.Expanded())
-		if next.Bound < anew.Throughput()*(1-slack) {
-			t.Fatalf("bound %g, but plans computed anew reach %g", next.Bound, anew.Throughput())
+		if next.Bound < recomputed.Throughput()*(1-relTolerance) {
+			t.Fatalf("bound %g, but plans computed anew reach %g", next.Bound, recomputed.Throughput())
 		}
 	})
 }
 
-// The bound of a set without a target is proven with the old set's prices, so
-// these must hold for paths cut anywhere. They once were those of the first
-// search, cut at ends of ranges alone, and the dump showed a bound that plans passed.
+// The bound of a set without a target is proved with the old set's prices, so these must hold for
+// paths cut anywhere. Guards against prices from the first search, which cuts only at the ends of
+// ranges: the dump then showed a bound that plans exceeded.
 func TestWithoutProvesItsBoundForPathsCutAnywhere(t *testing.T) {
 	link := func(target *config.Target, to string, bytes float64) *config.Target {
 		target.Links = []config.Link{{To: to, BytesPerSecond: bytes}}
