--- a/internal/census/census.go
+++ b/internal/census/census.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// round reads the list and then writes this VM's row. The write is skipped once, when the
-// current row is found in the table.
+// round reads the list and then writes this VM's row. The write is skipped once, when the current
+// row is first found in the table.
 func (c *Census) round(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, minInterval/2)
 	defer cancel()
@@ -118,8 +118,8 @@
 // The first round that finds it needs no write: when all VMs of a fleet start together, two
 // writes by each were a tenth of the calls to the store in the first minute (390 of 3,271 calls
 // of 195 VMs). The row of an earlier process of this VM is current too if the others count it
-// until this process writes. The list is then complete, and a restart costs one call instead of
-// three.
+// until this process writes; its heartbeat is then taken over. The list is complete in that case,
+// and a restart costs one call instead of three.
 func (c *Census) hasCurrentRow(rows []platform.Row) bool {
 	row := c.ownRow(rows)
 	var vm VM
@@ -187,7 +187,8 @@
 	return rows[0].ReadAt
 }
 
-// update replaces the list of VMs by those whose rows have changed within expiryRounds rounds.
+// update sets the list of VMs to this one and those whose rows have changed within expiryRounds
+// rounds.
 func (c *Census) update(rows []platform.Row) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/orders/history_test.go
+++ b/internal/orders/history_test.go
@@ -23,7 +23,8 @@
 	maxDelay = 2 * time.Second
 )
 
-// event is an order that an engine received, or a holder's finding that an engine matches its entry.
+// event is an order that an engine received, or a holder's finding that an engine matches its
+// entry.
 type event struct {
 	target   string
 	fencing  uint64
@@ -88,8 +89,8 @@
 
 func (r result) passed() bool { return r.linearizable && r.violations == 0 && r.aborted == 0 }
 
-// run has three VMs control four engines, two of each kind, under a configuration that changes, with
-// pauses, outages, lost answers and late orders drawn from the seed.
+// run has three VMs control four engines, two of each kind, under a configuration that changes,
+// with pauses, outages, lost answers and late orders drawn from the seed.
 func run(t *testing.T, seed uint64, injected hooks) result {
 	var r result
 	synctest.Test(t, func(*testing.T) {
--- a/internal/orders/options.go
+++ b/internal/orders/options.go
@@ -19,8 +19,8 @@
 	// Refresh updates ConfigSource to what the table holds, before each order. It may be nil if
 	// ConfigSource is always up to date.
 	Refresh func(ctx context.Context) error
-	// IsLeaving tells which targets are about to go and are not worth a load; it may
-	// be nil.
+	// IsLeaving reports whether a target is about to leave, so that a load is not worth it. It
+	// may be nil.
 	IsLeaving func(target string) bool
 	// Invariants may be nil only in tests, where a violation then panics.
 	Invariants *invariant.Registry
--- a/internal/orders/step.go
+++ b/internal/orders/step.go
@@ -9,7 +9,7 @@
 	"geraniumcroft/internal/lease"
 )
 
-// maxDoublings bounds how often the retry interval of an engine that does not answer is doubled.
+// maxDoublings bounds how often RetryInterval is doubled after failures in a row.
 const maxDoublings = 5
 
 // step reads the engine's state and takes the next action that makes it match its entry.
--- a/internal/placer/order.go
+++ b/internal/placer/order.go
@@ -37,8 +37,8 @@
 
 // dropSupersededOrders deletes orders after which the replica has begun another one. An order to
 // a replica's earlier incarnation may be carried out seconds later by the next incarnation, which
-// counts its orders from 0 again. The placer must not go on waiting for the layers that it has
-// ordered since, as they will not be loaded.
+// counts its orders from 0 again. Without this the placer would go on waiting for layers that it
+// has ordered since and that the replica no longer loads.
 func (p *Placer) dropSupersededOrders() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/plan/expanded_leg.go
+++ b/internal/plan/expanded_leg.go
@@ -6,8 +6,8 @@
 type expandedLeg struct {
 	layers  config.LayerRange
 	members []*config.Target
-	// index is the number of members that already have their share; offset is added to it to get
-	// the current member.
+	// index is the number of members that already have their share. The current member is index
+	// plus offset, modulo the number of members.
 	index, offset int
 	// end is where the current member's share ends, as a fraction of the path.
 	end float64
--- a/internal/plan/fixture_test.go
+++ b/internal/plan/fixture_test.go
@@ -47,7 +47,8 @@
 	return in
 }
 
-// mixedLinks returns links of 100, 10 or 1 MB/s and 0.25, 2.5 or 25 ms, by the pair of data centres.
+// mixedLinks returns links of 100, 10 or 1 MB/s and 0.25, 2.5 or 25 ms, by the pair of data
+// centres.
 func mixedLinks(centre, dataCentres int) []config.Link {
 	var links []config.Link
 	for to := range dataCentres {
--- a/internal/plan/repair_test.go
+++ b/internal/plan/repair_test.go
@@ -8,9 +8,9 @@
 	"geraniumcroft/internal/config"
 )
 
-// A stage dies in the middle of a draft. The other stages hold KV cache of the draft. Guards against
-// moving them although other targets can serve the lost layers: the whole prompt would be replayed
-// while the caller waits.
+// A stage dies in the middle of a draft. The other stages hold KV cache of the draft. Guards
+// against moving them although other targets can serve the lost layers: the whole prompt would be
+// replayed while the caller waits.
 func TestRepairKeepsRemainingStages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t, rapid.IntRange(1, 16).Draw(t, "layers"), rapid.IntRange(0, 12).Draw(t, "targets"))
--- a/internal/plan/saturation_test.go
+++ b/internal/plan/saturation_test.go
@@ -99,9 +99,9 @@
 	return total
 }
 
-// A pool is full of drafts and more wait. Guards against a mix that drifts from the weights: if each
-// waiting request took any path that fits at the moment, the pool would make fewer tokens than it
-// can.
+// A pool is full of drafts and more wait. Guards against a mix that drifts from the weights: if
+// each waiting request took any path that fits at the moment, the pool would make fewer tokens than
+// it can.
 func TestFullPoolFollowsTheWeights(t *testing.T) {
 	for seed := range uint64(2) {
 		in := mixedInput(30, 3, seed)
--- a/internal/plan/search.go
+++ b/internal/plan/search.go
@@ -14,8 +14,8 @@
 	// continues.
 	cost, next  []float64
 	predecessor [][]int
-	// centreCost is the least cost of getting to each data centre, centrePredecessor the group that
-	// the way starts from.
+	// centreCost is the least cost of a hop to each data centre, centrePredecessor the group where
+	// that hop starts. Both are for the current cut.
 	centreCost        []float64
 	centrePredecessor []int
 }
@@ -83,7 +83,7 @@
 	s.cost, s.next = s.next, s.cost
 }
 
-// relaxCentres computes the least cost of getting to each data centre.
+// relaxCentres computes centreCost and centrePredecessor.
 func (s *search) relaxCentres(p prices) {
 	for centre := range s.centreCost {
 		s.centreCost[centre], s.centrePredecessor[centre] = math.Inf(1), noGroup
@@ -103,7 +103,7 @@
 	}
 }
 
-// cheapestEntry returns the least cost of changing to a group from another one, and that one.
+// cheapestEntry returns the least cost of a hop to the group, and the group where the hop starts.
 func (s *search) cheapestEntry(index int, p prices) (float64, int) {
 	grp := s.g.groups[index]
 	if !grp.linkTarget {
@@ -128,7 +128,8 @@
 	return p.hop(from, s.g.groups[to].centre)
 }
 
-// cheapestEnd returns the group with which the cheapest path ends, and its cost.
+// cheapestEnd returns the group with which the cheapest path ends, and its cost. The group is
+// noGroup if no path covers the span.
 func (s *search) cheapestEnd(over span, p prices) (int, float64) {
 	last, best := noGroup, math.Inf(1)
 	for index, cost := range s.cost {
