--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -19,7 +19,7 @@
 }
 
 // followsFeed reports whether this VM is one of those that read the store's feed themselves.
-func (p *Process) followsFeed() bool { return p.census.Follows() }
+func (p *Process) followsFeed() bool { return p.census.FollowsFeed() }
 
 // changesSince returns the changes of a table after a revision, with their age, for a peer that
 // asks.
--- a/internal/entry/placement.go
+++ b/internal/entry/placement.go
@@ -28,7 +28,7 @@
 // itself and would be among the first, so that of 195 VMs that start together all would read the
 // lease; it is no candidate by its place.
 func (p *Process) IsCandidate() bool {
-	first := p.census.Known() && p.census.Among(maxCandidates)
+	first := p.census.Loaded() && p.census.IsAmongLargest(maxCandidates)
 	return p.Holds() || first || p.loadCache.Age(p.started) > holderTimeout
 }
 
@@ -46,8 +46,8 @@
 func (p *Process) runPlacer(service string) {
 	placer.New(placer.Options{
 		Engines: p.Adapter.Engines, Holder: p, Logger: p.Logger,
-		Model: func() (*layers.Spec, []layers.Replica) { return p.respondingReplicas(service) },
-		Heard: p.view.observeReport, Reported: p.loadCache.Reported,
+		Model:              func() (*layers.Spec, []layers.Replica) { return p.respondingReplicas(service) },
+		ObserveIncarnation: p.view.observeReport, LastReport: p.loadCache.Reported,
 	}).Run(p.ctx)
 }
 
--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -35,7 +35,7 @@
 	chooser := NewChooser(set, 1)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, ok := chooser.Choose(Wish{Urgency: config.Bulk, Usable: always}); !ok {
+		if _, ok := chooser.Choose(Query{Urgency: config.Bulk, Usable: always}); !ok {
 			b.Fatal("no plan")
 		}
 	}
@@ -62,8 +62,7 @@
 	}
 }
 
-// BenchmarkChooseAdHoc has no precomputed plans, so that every choice lays out a
-// path.
+// BenchmarkChooseAdHoc has no precomputed plans, so that every choice computes a path.
 func BenchmarkChooseAdHoc(b *testing.B) {
 	in := mixedInput(600, 10, 1)
 	set, err := Compute(in)
@@ -73,7 +72,7 @@
 	chooser := NewChooser(&Set{graph: set.graph}, 1)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, ok := chooser.Choose(Wish{Urgency: config.Bulk, Usable: always}); !ok {
+		if _, ok := chooser.Choose(Query{Urgency: config.Bulk, Usable: always}); !ok {
 			b.Fatal("no plan")
 		}
 	}
@@ -86,7 +85,7 @@
 		b.Fatal(err)
 	}
 	chooser := NewChooser(set, 1)
-	current, _ := chooser.Choose(Wish{Urgency: config.Bulk, Usable: always})
+	current, _ := chooser.Choose(Query{Urgency: config.Bulk, Usable: always})
 	failed := map[string]bool{current.Stages[1].Target.Name: true}
 	b.ReportAllocs()
 	for b.Loop() {
