--- a/internal/layers/bench_test.go
+++ b/internal/layers/bench_test.go
@@ -28,7 +28,7 @@
 		table.Update(testSpec(), benchReplicas(n))
 		b.ReportAllocs()
 		for b.Loop() {
-			reservation, err := table.Reserve(usual)
+			reservation, err := table.Reserve(meanQuery)
 			if err == nil {
 				err = do(reservation)
 			}
--- a/internal/layers/bottleneck.go
+++ b/internal/layers/bottleneck.go
@@ -16,7 +16,7 @@
 	now := time.Now()
 	var lines []string
 	for _, dc := range t.dataCentres() {
-		s := search{table: t, need: need, now: now, to: t.spec.Layers, fromDC: need.DataCentre, entry: true, onlyDC: dc}
+		s := search{table: t, query: need, now: now, to: t.spec.Layers, fromDC: need.DataCentre, fromCaller: true, onlyDC: dc}
 		s.collect()
 		lines = append(lines, dc+": "+s.bottleneck())
 	}
@@ -48,12 +48,12 @@
 }
 
 // obstacle says what keeps the request from a replica, "" if nothing does.
-func (s *search) obstacle(r *state, entry bool) string {
-	a := s.table.sharers.allowance(r.DataCentre)
-	if entry && !r.enters(s.table.spec.Slots, a, s.now) {
-		return fmt.Sprintf("takes no more entries: %d of this VM", r.first)
+func (s *search) obstacle(r *replicaState, entry bool) string {
+	a := s.table.vmCounts.allowance(r.DataCentre)
+	if entry && !r.admitsEntry(s.table.spec.Slots, a, s.now) {
+		return fmt.Sprintf("takes no more entries: %d of this VM", r.entryRequests)
 	}
-	if r.fits(s.need.tokens(), a, s.now) {
+	if r.fits(s.query.tokens(), a, s.now) {
 		return ""
 	}
 	usage, known := r.usage(s.now)
--- a/internal/layers/bottleneck_test.go
+++ b/internal/layers/bottleneck_test.go
@@ -12,7 +12,7 @@
 	table := placedTable(testSpec(), append(near, far...))
 	table.SetVMCounts(VMCounts{DataCentre: "a", Fleet: 1, Local: 1})
 	reportAll(table, 2)
-	need := usual
+	need := meanQuery
 	need.DataCentre = "a"
 	if got := table.Bottleneck(need); strings.Count(got, "is full") < 2 {
 		t.Errorf("full cards: %s", got)
--- a/internal/layers/walk.go
+++ b/internal/layers/cheapest_path.go
@@ -13,13 +13,13 @@
 // step is the cheapest way to one cut and data centre.
 type step struct {
 	cost   float64
-	holder *state
+	holder *replicaState
 	cut    int
 	dc     int
 }
 
-// walk finds the cheapest way to each cut and data centre.
-func (s *search) walk() {
+// computeSteps finds the cheapest way to each cut and data centre.
+func (s *search) computeSteps() {
 	s.steps = make([][]step, len(s.cuts))
 	for i := range s.steps {
 		s.steps[i] = make([]step, len(s.dcs))
@@ -30,23 +30,23 @@
 	for i := 0; i+1 < len(s.cuts); i++ {
 		for _, r := range s.holders {
 			if r.Held.From <= s.cuts[i] && r.Held.To > s.cuts[i] {
-				s.extend(i, r)
+				s.extendSteps(i, r)
 			}
 		}
 	}
 }
 
-// extend walks on from a cut over one replica, to each cut that it reaches.
-func (s *search) extend(i int, r *state) {
+// extendSteps walks on from a cut over one replica, to each cut that it reaches.
+func (s *search) extendSteps(i int, r *replicaState) {
 	d, _ := slices.BinarySearch(s.dcs, r.DataCentre)
-	arrival, from := s.arrival(i, r)
+	arrival, from := s.arrivalCost(i, r)
 	if math.IsInf(arrival, 1) {
 		return
 	}
 	for j := i + 1; j < len(s.cuts) && s.cuts[j] <= r.Held.To; j++ {
 		cost := arrival + s.stageCost(r, s.cuts[j]-s.cuts[i])
 		if j == len(s.cuts)-1 && s.toDC != "" && s.toDC != r.DataCentre {
-			cost += s.crossing(r.DataCentre, s.toDC)
+			cost += s.crossingCost(r.DataCentre, s.toDC)
 		}
 		if cost < s.steps[j][d].cost {
 			s.steps[j][d] = step{cost: cost, holder: r, cut: i, dc: from}
@@ -54,17 +54,17 @@
 	}
 }
 
-// arrival returns the cheapest cost of reaching the replica at a cut, and the data
+// arrivalCost returns the cheapest cost of reaching the replica at a cut, and the data
 // centre that it comes from.
-func (s *search) arrival(i int, r *state) (float64, int) {
+func (s *search) arrivalCost(i int, r *replicaState) (float64, int) {
 	if i == 0 {
-		return s.enter(r), -1
+		return s.firstStageCost(r), -1
 	}
 	best, from := math.Inf(1), -1
 	for d, at := range s.steps[i] {
 		cost := at.cost
 		if s.dcs[d] != r.DataCentre {
-			cost += s.crossing(s.dcs[d], r.DataCentre)
+			cost += s.crossingCost(s.dcs[d], r.DataCentre)
 		}
 		if cost < best && at.holder != r {
 			best, from = cost, d
@@ -73,8 +73,8 @@
 	return best, from
 }
 
-// trace follows the steps back from the end.
-func (s *search) trace() Path {
+// backtrack follows the steps back from the end.
+func (s *search) backtrack() Path {
 	cut, dc := len(s.cuts)-1, -1
 	best := math.Inf(1)
 	for d, at := range s.steps[cut] {
--- a/internal/layers/cost.go
+++ b/internal/layers/cost.go
@@ -9,15 +9,15 @@
 	// suspectCost is added for a stage on a suspected replica. It is longer than any
 	// path takes, so such a stage is used only where nobody else holds the layers.
 	suspectCost = 100 * time.Second
-	// entryCost is added when the first stage is in another data centre than the
+	// remoteEntryCost is added when the first stage is in another data centre than the
 	// request, whose whole answer then crosses between them.
-	entryCost = 150 * time.Millisecond
+	remoteEntryCost = 150 * time.Millisecond
 	// crossingWeight multiplies the time of a prompt's transfer between data centres.
 	// Transfers go one after another, so each also delays those behind it.
 	crossingWeight = 6.0
-	// pipeShare is the part of a usual prompt's transfer that each token is taken to wait
+	// linkQueueShare is the part of a usual prompt's transfer that each token is taken to wait
 	// for the link between two data centres, behind the prompts of others.
-	pipeShare = 0.4
+	linkQueueShare = 0.4
 	// stageOverhead is the mean wait for a pass under way at each stage, in units of
 	// the stage's own step.
 	stageOverhead = 0.5
@@ -28,38 +28,38 @@
 	loadWeight = 2.0
 )
 
-// enter is the cost of reaching a path's first replica.
-func (s *search) enter(r *state) float64 {
-	if s.entry && !r.enters(s.table.spec.Slots, s.table.sharers.allowance(r.DataCentre), s.now) {
+// firstStageCost is the cost of reaching a path's first replica.
+func (s *search) firstStageCost(r *replicaState) float64 {
+	if s.fromCaller && !r.admitsEntry(s.table.spec.Slots, s.table.vmCounts.allowance(r.DataCentre), s.now) {
 		return math.Inf(1)
 	}
-	if s.entry && !s.open(r) {
+	if s.fromCaller && !s.gateOpen(r) {
 		return math.Inf(1)
 	}
 	if s.fromDC == "" || s.fromDC == r.DataCentre {
 		return 0
 	}
-	if s.entry {
-		return entryCost.Seconds()
+	if s.fromCaller {
+		return remoteEntryCost.Seconds()
 	}
-	return s.crossing(s.fromDC, r.DataCentre)
+	return s.crossingCost(s.fromDC, r.DataCentre)
 }
 
 // share is this VM's part of what all VMs share of a replica.
-func (s *search) share(r *state) float64 { return s.table.sharers.share(r.DataCentre) }
+func (s *search) share(r *replicaState) float64 { return s.table.vmCounts.share(r.DataCentre) }
 
-// crossing is the cost of sending the request's activations from one data centre to
+// crossingCost is the cost of sending the request's activations from one data centre to
 // another. It is infinite while this VM has used up its part of the link.
-func (s *search) crossing(from, to string) float64 {
+func (s *search) crossingCost(from, to string) float64 {
 	spec := s.table.spec
 	if !s.table.mayCross(from, to, s.now) {
 		return math.Inf(1)
 	}
-	cost := float64(s.need.Answer) * spec.LinkDelay.Seconds()
+	cost := float64(s.query.Answer) * spec.LinkDelay.Seconds()
 	if spec.LinkMbps > 0 {
 		perToken := spec.ActivationBytes * 8 / (spec.LinkMbps * 1e6)
-		cost += crossingWeight * float64(s.need.Prompt) * perToken
-		cost += pipeShare * float64(s.need.Answer) * float64(spec.MeanPrompt) * perToken
+		cost += crossingWeight * float64(s.query.Prompt) * perToken
+		cost += linkQueueShare * float64(s.query.Answer) * float64(spec.MeanPrompt) * perToken
 	}
 	return cost
 }
@@ -67,19 +67,19 @@
 // stageCost is the time that the request takes on n layers of the replica, in
 // seconds, weighted by how full the replica is. A replica without room costs
 // infinitely much.
-func (s *search) stageCost(r *state, n int) float64 {
+func (s *search) stageCost(r *replicaState, n int) float64 {
 	spec := s.table.spec
-	amount := s.need.tokens() * float64(n)
-	if !r.fits(amount, s.table.sharers.allowance(r.DataCentre), s.now) || s.need.MaxUsage > 0 && r.fullerThan(s.need.MaxUsage, s.now) {
+	amount := s.query.tokens() * float64(n)
+	if !r.fits(amount, s.table.vmCounts.allowance(r.DataCentre), s.now) || s.query.MaxUsage > 0 && r.usageAbove(s.query.MaxUsage, s.now) {
 		return math.Inf(1)
 	}
-	used := r.fullness(s.share(r))
+	used := r.shareUsed(s.share(r))
 	part := float64(n) / float64(spec.Layers)
-	batch := used * r.capacity / max(1, float64(r.Held.Len())) / s.need.tokens()
-	step := spec.stepTime(r.kind, batch, s.need.tokens()) * part
-	slow := r.slowness(s.now)
-	write := float64(s.need.Answer) * (step*(1+stageOverhead)*slow + hopCost.Seconds())
-	read := spec.readTime(r.kind, float64(s.need.Prompt), n) * slow
+	batch := used * r.capacity / max(1, float64(r.Held.Len())) / s.query.tokens()
+	step := spec.stepTime(r.kind, batch, s.query.tokens()) * part
+	slow := r.slowdown(s.now)
+	write := float64(s.query.Answer) * (step*(1+stageOverhead)*slow + hopCost.Seconds())
+	read := spec.prefillTime(r.kind, float64(s.query.Prompt), n) * slow
 	cost := (write + read) * (1 + loadWeight*used*used)
 	if r.suspected(s.now) {
 		cost += suspectCost.Seconds()
--- a/internal/layers/coverage.go
+++ b/internal/layers/coverage.go
@@ -2,9 +2,9 @@
 
 import "geraniumcroft/internal/config"
 
-// uncovered stands for the room of a layer that nobody holds, in requests. It keeps
+// uncoveredRoom stands for the room of a layer that nobody holds, in requests. It keeps
 // the shortage finite, and far above that of any layer with room for one request.
-const uncovered = 0.05
+const uncoveredRoom = 0.05
 
 // coverage is how many usual requests the replicas of a group have room for at each
 // layer.
@@ -26,7 +26,7 @@
 
 // requests is how many usual requests fit beside n layers of a card.
 func (c *coverage) requests(k Accelerator, n int) float64 {
-	return c.spec.room(k, n) / c.spec.usualTokens()
+	return c.spec.room(k, n) / c.spec.meanTokens()
 }
 
 // requestsAt is requests for one of the layers. Those that enter at a card are bounded by
@@ -41,7 +41,7 @@
 
 // layersFor is how many layers a card holds beside room for so many requests.
 func (c *coverage) layersFor(k Accelerator, room float64) int {
-	perLayer := c.spec.LayerMB + room*c.spec.usualTokens()*c.spec.KVBytes/float64(c.spec.Layers)/1e6
+	perLayer := c.spec.LayerMB + room*c.spec.meanTokens()*c.spec.KVBytes/float64(c.spec.Layers)/1e6
 	return min(c.spec.maxLayers(k), int(k.MemoryMB/perLayer))
 }
 
@@ -50,7 +50,7 @@
 func (c *coverage) roomFor(set []Replica, l layout) float64 {
 	const steps = 1.1
 	for _, wanted := range []float64{l.redundancy, 1} {
-		for room := l.room; room >= leastRoom; room /= steps {
+		for room := l.room; room >= minRoom; room /= steps {
 			held := 0
 			for _, r := range set {
 				held += c.layersFor(c.spec.kind(r.Kind), room)
@@ -60,7 +60,7 @@
 			}
 		}
 	}
-	return leastRoom
+	return minRoom
 }
 
 // shortage says how badly the layers are covered: the sum of what one more request
@@ -69,49 +69,49 @@
 func (c *coverage) shortage() float64 {
 	sum := 0.0
 	for _, room := range c.room {
-		sum += short(room)
+		sum += layerShortage(room)
 	}
 	return sum
 }
 
-func short(room float64) float64 { return 1 / (max(0, room) + uncovered) }
+func layerShortage(room float64) float64 { return 1 / (max(0, room) + uncoveredRoom) }
 
-// best returns the range for a card, whose present range is not counted in c, that
+// bestRange returns the range for a card, whose present range is not counted in c, that
 // leaves the least shortage, and that shortage.
-func (c *coverage) best(k Accelerator) (config.LayerRange, float64) {
-	return c.bestOf(k, config.LayerRange{}, func(config.LayerRange) bool { return true })
+func (c *coverage) bestRange(k Accelerator) (config.LayerRange, float64) {
+	return c.bestAllowed(k, config.LayerRange{}, func(config.LayerRange) bool { return true })
 }
 
-// wider is best among the ranges that contain the present one, which it returns where
+// bestWider is best among the ranges that contain the present one, which it returns where
 // none is better.
-func (c *coverage) wider(k Accelerator, held config.LayerRange) (config.LayerRange, float64) {
-	return c.bestOf(k, held, func(r config.LayerRange) bool { return r.Contains(held) })
+func (c *coverage) bestWider(k Accelerator, held config.LayerRange) (config.LayerRange, float64) {
+	return c.bestAllowed(k, held, func(r config.LayerRange) bool { return r.Contains(held) })
 }
 
-// narrower is best among the parts of the present range, which it returns where none is
+// bestNarrower is best among the parts of the present range, which it returns where none is
 // better.
-func (c *coverage) narrower(k Accelerator, held config.LayerRange) (config.LayerRange, float64) {
-	return c.bestOf(k, held, held.Contains)
+func (c *coverage) bestNarrower(k Accelerator, held config.LayerRange) (config.LayerRange, float64) {
+	return c.bestAllowed(k, held, held.Contains)
 }
 
-// bestOf returns the range with the least shortage among those that are allowed, or the
+// bestAllowed returns the range with the least shortage among those that are allowed, or the
 // present one where none is better.
-func (c *coverage) bestOf(k Accelerator, held config.LayerRange, allowed func(config.LayerRange) bool) (config.LayerRange, float64) {
-	before := c.sums(0)
+func (c *coverage) bestAllowed(k Accelerator, held config.LayerRange, allowed func(config.LayerRange) bool) (config.LayerRange, float64) {
+	before := c.shortageSums(0)
 	total := before[c.spec.Layers]
 	with := func(r config.LayerRange, sums []float64) float64 {
 		return total - (before[r.To] - before[r.From]) + (sums[r.To] - sums[r.From])
 	}
 	best, least := held, total
 	if held.Len() > 0 {
-		least = with(held, c.sums(c.requests(k, held.Len())))
+		least = with(held, c.shortageSums(c.requests(k, held.Len())))
 	}
 	for n := 1; n <= c.spec.maxLayers(k); n++ {
 		room := c.requests(k, n)
 		if room < 1 {
 			break
 		}
-		sums := c.sums(room)
+		sums := c.shortageSums(room)
 		for from := 0; from+n <= c.spec.Layers; from++ {
 			r := config.LayerRange{From: from, To: from + n}
 			if !allowed(r) {
@@ -125,21 +125,21 @@
 	return best, least
 }
 
-// hasHole reports whether nobody holds some layer of the range.
-func (c *coverage) hasHole(held config.LayerRange) bool {
+// hasGap reports whether nobody holds some layer of the range.
+func (c *coverage) hasGap(held config.LayerRange) bool {
 	for l := max(0, held.From); l < min(held.To, c.spec.Layers); l++ {
-		if c.room[l] < uncovered {
+		if c.room[l] < uncoveredRoom {
 			return true
 		}
 	}
 	return false
 }
 
-// sums returns the running sums of the shortage if every layer had more room.
-func (c *coverage) sums(more float64) []float64 {
+// shortageSums returns the running shortageSums of the shortage if every layer had more room.
+func (c *coverage) shortageSums(more float64) []float64 {
 	sums := make([]float64, c.spec.Layers+1)
 	for l, room := range c.room {
-		sums[l+1] = sums[l] + short(room+more)
+		sums[l+1] = sums[l] + layerShortage(room+more)
 	}
 	return sums
 }
--- a/internal/layers/crowd.go
+++ b/internal/layers/detour_capacity.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// readShare is the part of its time that a replica has for reading beside the tokens that it
+	// prefillShare is the part of its time that a replica has for reading beside the tokens that it
 	// writes for other requests.
-	readShare = 0.4
-	// minRead bounds the time of reading one stream from below.
-	minRead = 100 * time.Microsecond
+	prefillShare = 0.4
+	// minPrefill bounds the time of reading one stream from below.
+	minPrefill = 100 * time.Microsecond
 )
 
 // DetourCapacity is what comes to the replicas that nearby streams would be moved to when some stages stop.
@@ -33,12 +33,12 @@
 	now := time.Now()
 	crowd.MovableFraction = 1
 	err := r.eachReplacement(stopped, written, true, now, func(p detourPart) {
-		streams := t.streamsThrough(r.path[p.at.from:p.at.to], now)
-		need := p.need
+		streams := t.streamsThrough(r.path[p.replaced.from:p.replaced.to], now)
+		need := p.query
 		for _, stage := range p.stages {
 			crowd.Holders = append(crowd.Holders, stage.Replica.Key())
-			crowd.MovableFraction = min(crowd.MovableFraction, t.readable(stage, need, within, now)/streams)
-			need = need.avoiding(stage.Replica.Key())
+			crowd.MovableFraction = min(crowd.MovableFraction, t.prefillCapacity(stage, need, within, now)/streams)
+			need = need.excluding(stage.Replica.Key())
 		}
 	})
 	if err != nil {
@@ -56,29 +56,29 @@
 		if s == nil {
 			continue
 		}
-		held := s.reserved / t.sharers.share(s.DataCentre)
-		if s.reported(now) {
+		held := s.reserved / t.vmCounts.share(s.DataCentre)
+		if s.hasFreshLoad(now) {
 			held = s.load.Used
 		}
-		most = max(most, held/(t.spec.usualTokens()*float64(max(1, stage.Layers.Len()))))
+		most = max(most, held/(t.spec.meanTokens()*float64(max(1, stage.Layers.Len()))))
 	}
 	return most
 }
 
-// readable is how many moved streams the holders of a stage's layers in its data centre can read
+// prefillCapacity is how many moved streams the holders of a stage's layers in its data centre can read
 // within a time, taken to be like the one that was found. The table is locked.
-func (t *Table) readable(stage Stage, need Query, within time.Duration, now time.Time) float64 {
+func (t *Table) prefillCapacity(stage Stage, need Query, within time.Duration, now time.Time) float64 {
 	s := t.replicas[stage.Replica.Key()]
 	if s == nil {
 		return 0
 	}
-	near := search{table: t, need: need, now: now, from: stage.Layers.From, to: stage.Layers.To, onlyDC: s.DataCentre}
+	near := search{table: t, query: need, now: now, from: stage.Layers.From, to: stage.Layers.To, onlyDC: s.DataCentre}
 	alike := 0
 	for _, other := range t.replicas {
 		if near.admits(other) && other.Held.Contains(stage.Layers) {
 			alike++
 		}
 	}
-	each := t.spec.readTime(s.kind, float64(need.Prompt), stage.Layers.Len()) * s.slowness(now)
-	return float64(max(1, alike)) * readShare * within.Seconds() / max(each, minRead.Seconds())
+	each := t.spec.prefillTime(s.kind, float64(need.Prompt), stage.Layers.Len()) * s.slowdown(now)
+	return float64(max(1, alike)) * prefillShare * within.Seconds() / max(each, minPrefill.Seconds())
 }
--- a/internal/layers/crowd_test.go
+++ b/internal/layers/detour_capacity_test.go
@@ -24,7 +24,7 @@
 		{ID: "4", Address: "4", DataCentre: "a", Kind: "large", Held: config.LayerRange{From: 60, To: 80}},
 	}
 	table.Update(spec, append(others, stopped))
-	reservation, err := table.Reserve(usual)
+	reservation, err := table.Reserve(meanQuery)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 	table.Update(spec, append(others, stopped, spare))
 	capacity := spec.room(spec.kind("large"), stopped.Held.Len()) * float64(stopped.Held.Len())
 	table.SetLoads(map[incarnation.Key]Load{stopped.Key(): {
-		Used: float64(streams) * spec.usualTokens() * float64(stopped.Held.Len()), Total: capacity, Held: stopped.Held, At: time.Now(),
+		Used: float64(streams) * spec.meanTokens() * float64(stopped.Held.Len()), Total: capacity, Held: stopped.Held, At: time.Now(),
 	}})
 	return table, reservation
 }
@@ -48,7 +48,7 @@
 		if !ok || len(crowd.Holders) != 1 || crowd.Holders[0].ID != "2b" {
 			t.Fatalf("%+v, %t", crowd, ok)
 		}
-		each := table.spec.readTime(table.spec.kind("large"), float64(usual.Prompt+50), 20) / readShare
+		each := table.spec.prefillTime(table.spec.kind("large"), float64(meanQuery.Prompt+50), 20) / prefillShare
 		random := rand.New(rand.NewPCG(uint64(streams), 1))
 		moved, late := 0, 0
 		for range streams {
@@ -81,7 +81,7 @@
 // Guards against streams that could be moved taking the room of replicas that are nearly full.
 func TestPathOfRoomyReplicasOnly(t *testing.T) {
 	table, _ := crowdedTable(t, 5)
-	need := usual
+	need := meanQuery
 	need.MaxUsage = 0.6
 	if _, err := table.Reserve(need); !errors.Is(err, ErrNoRoom) {
 		t.Errorf("nothing is known of the replicas' room: %v", err)
--- a/internal/layers/gate.go
+++ b/internal/layers/gate.go
@@ -25,15 +25,15 @@
 func (openGate) Open(incarnation.Key, time.Time) (bool, time.Time) { return true, time.Time{} }
 func (openGate) Take(incarnation.Key, time.Time) bool              { return true }
 
-// open reports whether the replica may be sent a request.
-func (s *search) open(r *state) bool {
+// gateOpen reports whether the replica may be sent a request.
+func (s *search) gateOpen(r *replicaState) bool {
 	open, _ := s.table.gate.Open(r.Key(), s.now)
 	return open
 }
 
-// heldOr returns why no path was found: that all replicas which it could begin at have asked not to
+// heldErrorOr returns why no path was found: that all replicas which it could begin at have asked not to
 // be sent requests now, or else the error.
-func (s *search) heldOr(err error) error {
+func (s *search) heldErrorOr(err error) error {
 	if !errors.Is(err, ErrNoRoom) {
 		return err
 	}
--- a/internal/layers/layout.go
+++ b/internal/layers/layout.go
@@ -13,17 +13,17 @@
 	// one holder then stops all streams of the data centre. At 0.5 a data centre of 12 cards
 	// got layers with one holder throughout; at 0.7 it doubles a quarter.
 	lossWeight = 0.7
-	// usualFill is how full cards are taken to be for the time of a step. It is a guess:
+	// assumedFill is how full cards are taken to be for the time of a step. It is a guess:
 	// from 0 to 1 a step takes about twice as long, on all kinds alike.
-	usualFill = 0.6
+	assumedFill = 0.6
 )
 
 // Parameters of the layouts that are compared. Fewer sets leave more memory for
 // requests, and more room in a card keeps layers off it. The grid spans what was best on
 // 13 cards a data centre (120 and 1.25) and on 34 (240 and 1).
 var (
-	triedRooms        = []float64{60, 90, 120, 150, 180, 240}
-	triedRedundancies = []float64{1, 1.12, 1.25, 1.5}
+	roomCandidates       = []float64{60, 90, 120, 150, 180, 240}
+	redundancyCandidates = []float64{1, 1.12, 1.25, 1.5}
 )
 
 // layout is a way to give the cards of a group that holds nothing their layers.
@@ -37,20 +37,20 @@
 	redundancy float64
 }
 
-// cellCards is how many cards are laid out together. Larger groups are dealt into cells of
+// maxCellCards is how many cards are laid out together. Larger groups are dealt into cells of
 // like cards, and one cell's best layout serves all: comparing layouts costs 20 ms of a
 // core for 34 cards and grows with the square of their number; with 333 cards a data
 // centre and 0.19 of a core the first layout came after the first requests.
-const cellCards = 48
+const maxCellCards = 48
 
-// layOut gives the cards of a group that holds nothing whole sets of layers, in the way
+// placeFromScratch gives the cards of a group that holds nothing whole sets of layers, in the way
 // that carries the most requests a second.
-func layOut(spec *Spec, group []Replica, placed map[string]config.LayerRange) {
+func placeFromScratch(spec *Spec, group []Replica, placed map[string]config.LayerRange) {
 	cells := cellsOf(spec, group)
 	best := bestLayout(spec, cells[0])
 	for _, cell := range cells {
 		best.place(spec, cell, placed)
-		if merit(spec, cell, placed) == 0 {
+		if throughput(spec, cell, placed) == 0 {
 			// This cell is short of a card that the first one has, and a layer of its was left out.
 			bestLayout(spec, cell).place(spec, cell, placed)
 		}
@@ -60,13 +60,13 @@
 // cellsOf deals a group, whose fast cards come first, into cells of like cards that each
 // hold the model; if they could not, the group is one cell.
 func cellsOf(spec *Spec, group []Replica) [][]Replica {
-	n := (len(group) + cellCards - 1) / cellCards
+	n := (len(group) + maxCellCards - 1) / maxCellCards
 	cells := make([][]Replica, max(1, n))
 	for i, r := range group {
 		cells[i%len(cells)] = append(cells[i%len(cells)], r)
 	}
 	for _, cell := range cells {
-		if mostSets(spec, cell) == 0 {
+		if maxSets(spec, cell) == 0 {
 			return [][]Replica{group}
 		}
 	}
@@ -79,7 +79,7 @@
 	for _, l := range layouts(spec, group) {
 		tried := map[string]config.LayerRange{}
 		l.place(spec, group, tried)
-		if merit := merit(spec, group, tried); merit > most {
+		if merit := throughput(spec, group, tried); merit > most {
 			best, most = l, merit
 		}
 	}
@@ -89,9 +89,9 @@
 // layouts lists the layouts to compare.
 func layouts(spec *Spec, group []Replica) []layout {
 	var all []layout
-	for sets := 1; sets <= max(1, mostSets(spec, group)); sets++ {
-		for _, room := range triedRooms {
-			for _, redundancy := range triedRedundancies {
+	for sets := 1; sets <= max(1, maxSets(spec, group)); sets++ {
+		for _, room := range roomCandidates {
+			for _, redundancy := range redundancyCandidates {
 				all = append(all, layout{sets: sets, room: room, redundancy: redundancy})
 			}
 		}
@@ -142,16 +142,16 @@
 	}
 	for _, r := range left {
 		k := spec.kind(r.Kind)
-		if held, _ := c.best(k); held.Len() > 0 {
+		if held, _ := c.bestRange(k); held.Len() > 0 {
 			placed[r.ID] = held
 			c.add(k, held, 1)
 		}
 	}
 }
 
-// merit estimates how many requests a second the group carries: the room at the layer
+// throughput estimates how many requests a second the group carries: the room at the layer
 // that has the least, over the time that a request holds it.
-func merit(spec *Spec, group []Replica, placed map[string]config.LayerRange) float64 {
+func throughput(spec *Spec, group []Replica, placed map[string]config.LayerRange) float64 {
 	c := newCoverage(spec)
 	pace := make([]float64, spec.Layers)
 	stages := make([]float64, spec.Layers)
@@ -160,7 +160,7 @@
 		c.add(k, held, 1)
 		for layer := held.From; layer < held.To; layer++ {
 			room := c.requestsAt(k, held.Len(), layer)
-			pace[layer] += room * spec.stepTime(k, usualFill*room, spec.usualTokens())
+			pace[layer] += room * spec.stepTime(k, assumedFill*room, spec.meanTokens())
 			stages[layer] += room / float64(held.Len())
 		}
 	}
--- a/internal/layers/pipe_test.go
+++ b/internal/layers/link_budget_test.go
@@ -38,7 +38,7 @@
 func countRoom(table *Table) int {
 	n := 0
 	for ; n < 1000; n++ {
-		if _, err := table.Reserve(usual); err != nil {
+		if _, err := table.Reserve(meanQuery); err != nil {
 			break
 		}
 	}
@@ -60,7 +60,7 @@
 		crossed := 0
 		for time.Since(begin) < 20*time.Second {
 			reportAll(table, 0)
-			reservation, err := table.Reserve(usual)
+			reservation, err := table.Reserve(meanQuery)
 			switch {
 			case err == nil:
 				crossed++
@@ -70,8 +70,8 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		bytes := float64(crossed) * usual.tokens() * spec.ActivationBytes
-		fleet := bytes * vms / goBeyond
+		bytes := float64(crossed) * meanQuery.tokens() * spec.ActivationBytes
+		fleet := bytes * vms / maxFreeShares
 		link := spec.LinkMbps / 8 * 1e6 * 20
 		if fleet < 0.3*link || fleet > 0.8*link {
 			t.Errorf("%d requests crossed; the VMs that do so at once fill %.2f of the link", crossed, fleet/link)
@@ -92,7 +92,7 @@
 	}
 	table.Update(spec, replicas)
 	for range 3 {
-		reservation, err := table.Reserve(usual)
+		reservation, err := table.Reserve(meanQuery)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/layers/pipes.go
+++ b/internal/layers/link_budgets.go
@@ -12,37 +12,37 @@
 	return link{a, b}
 }
 
-// pipes are this VM's parts of the links between data centres.
-type pipes map[link]*pipe
+// linkBudgets are this VM's parts of the links between data centres.
+type linkBudgets map[link]*linkBudget
 
-func (p pipes) of(a, b string) *pipe {
+func (p linkBudgets) of(a, b string) *linkBudget {
 	name := linkOf(a, b)
 	if p[name] == nil {
-		p[name] = &pipe{}
+		p[name] = &linkBudget{}
 	}
 	return p[name]
 }
 
-// pipeRate is this VM's part of a link, in bytes a second.
-func (t *Table) pipeRate() float64 {
+// linkRate is this VM's part of a link, in bytes a second.
+func (t *Table) linkRate() float64 {
 	const bitsPerMegabyte = 8
-	return pipeUse * t.sharers.freePart() * t.spec.LinkMbps / bitsPerMegabyte * 1e6
+	return linkTargetUse * t.vmCounts.freePart() * t.spec.LinkMbps / bitsPerMegabyte * 1e6
 }
 
 // mayCross reports whether a request may be sent between the two data centres now. The
 // table is locked.
 func (t *Table) mayCross(a, b string, now time.Time) bool {
-	return t.spec.LinkMbps <= 0 || t.pipes.of(a, b).open(now, t.pipeRate())
+	return t.spec.LinkMbps <= 0 || t.links.of(a, b).allows(now, t.linkRate())
 }
 
-// cross notes what a request sends between data centres along a part of its path, which
+// chargeCrossings notes what a request sends between data centres along a part of its path, which
 // begins behind a stage in the data centre from, if that is not empty. The table is
 // locked.
-func (t *Table) cross(from string, part Path, tokens float64, now time.Time) {
+func (t *Table) chargeCrossings(from string, part Path, tokens float64, now time.Time) {
 	for _, stage := range part {
 		at := stage.Replica.DataCentre
 		if from != "" && from != at && t.spec.LinkMbps > 0 {
-			t.pipes.of(from, at).take(now, t.pipeRate(), tokens*t.spec.ActivationBytes)
+			t.links.of(from, at).spend(now, t.linkRate(), tokens*t.spec.ActivationBytes)
 		}
 		from = at
 	}
--- a/internal/layers/load.go
+++ b/internal/layers/load.go
@@ -12,13 +12,13 @@
 // that their reports lag.
 const reportLag = time.Second
 
-// downTrust is for how long after a board shows a replica as down it is avoided. The next
+// downMaxAge is for how long after a board shows a replica as down it is avoided. The next
 // boards come each second and renew it.
-const downTrust = 3 * time.Second
+const downMaxAge = 3 * time.Second
 
-// loadTrust is how long a reported load is believed. Boards come each second and take
+// loadMaxAge is how long a reported load is believed. Boards come each second and take
 // one or two more to reach every VM.
-const loadTrust = 4 * time.Second
+const loadMaxAge = 4 * time.Second
 
 // Load is what a replica reports of itself.
 type Load struct {
@@ -53,12 +53,12 @@
 			continue
 		}
 		if load.Down {
-			s.downUntil = load.At.Add(downTrust)
+			s.downUntil = load.At.Add(downMaxAge)
 			continue
 		}
 		s.downUntil = time.Time{}
-		s.takeHeld(t.spec, load)
-		s.load, s.reservedThen, s.firstThen = load, s.reserved, s.first
+		s.applyReportedRange(t.spec, load)
+		s.load, s.reservedAtReport, s.entryRequestsAtReport = load, s.reserved, s.entryRequests
 		if load.Pace > 0 {
 			s.pace, s.paceAt = load.Pace, load.At
 		}
--- a/internal/layers/path_test.go
+++ b/internal/layers/path_test.go
@@ -13,7 +13,7 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-var usual = Query{Prompt: 770, Answer: 174, DataCentre: "a"}
+var meanQuery = Query{Prompt: 770, Answer: 174, DataCentre: "a"}
 
 // Whatever ranges replicas report, a path runs every layer once and in order and names
 // no replica twice; engines check neither gaps nor overlaps.
@@ -32,7 +32,7 @@
 		}
 		table.Update(spec, replicas)
 		for range rapid.IntRange(1, 30).Draw(t, "requests") {
-			reservation, err := table.Reserve(usual)
+			reservation, err := table.Reserve(meanQuery)
 			if err != nil {
 				if errors.Is(err, ErrNoPath) == table.Covered() {
 					t.Fatalf("%v, covered: %v", err, table.Covered())
@@ -51,7 +51,7 @@
 func TestPathStaysInOneDataCentre(t *testing.T) {
 	table := placedTable(testSpec(), threeDataCentres())
 	for range 60 {
-		reservation, err := table.Reserve(usual)
+		reservation, err := table.Reserve(meanQuery)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,7 +70,7 @@
 	table := placedTable(testSpec(), threeDataCentres())
 	var taken []*Reservation
 	for {
-		reservation, err := table.Reserve(usual)
+		reservation, err := table.Reserve(meanQuery)
 		if errors.Is(err, ErrNoRoom) {
 			break
 		}
@@ -83,7 +83,7 @@
 		t.Errorf("only %d requests found room", len(taken))
 	}
 	taken[0].Release(true)
-	if _, err := table.Reserve(usual); err != nil {
+	if _, err := table.Reserve(meanQuery); err != nil {
 		t.Errorf("no room after a request ended: %v", err)
 	}
 	for _, reservation := range taken {
@@ -108,7 +108,7 @@
 		{ID: "3", Address: "3", DataCentre: "b", Kind: "large", Held: config.LayerRange{From: 25, To: 62}},
 		{ID: "4", Address: "4", DataCentre: "a", Kind: "large", Held: config.LayerRange{From: 60, To: 80}},
 	})
-	reservation, err := table.Reserve(usual)
+	reservation, err := table.Reserve(meanQuery)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 func TestOldSuccessDoesNotEndSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := placedTable(testSpec(), threeDataCentres())
-		old, err := table.Reserve(usual)
+		old, err := table.Reserve(meanQuery)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -139,7 +139,7 @@
 		table.Suspect(leaving)
 		old.Release(true)
 		for range 50 {
-			next, err := table.Reserve(usual)
+			next, err := table.Reserve(meanQuery)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -153,7 +153,7 @@
 		if s := table.Dump(); s == nil {
 			t.Fatal("no dump")
 		}
-		again, err := table.Reserve(usual)
+		again, err := table.Reserve(meanQuery)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -179,7 +179,7 @@
 		turns := 0
 		for range 16 {
 			reportAll(table, 0.2)
-			reservation, err := table.Reserve(usual)
+			reservation, err := table.Reserve(meanQuery)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -203,7 +203,7 @@
 	for _, r := range cards("a", "large", 3) {
 		table.Suspect(r)
 	}
-	if _, err := table.Reserve(usual); err != nil {
+	if _, err := table.Reserve(meanQuery); err != nil {
 		t.Error(err)
 	}
 }
@@ -237,22 +237,22 @@
 		replicas[1].Held = config.LayerRange{From: 30, To: 60}
 		table.Update(spec, replicas)
 		time.Sleep(2 * reportLag)
-		if _, err := table.Reserve(usual); !errors.Is(err, ErrNoPath) {
+		if _, err := table.Reserve(meanQuery); !errors.Is(err, ErrNoPath) {
 			t.Fatalf("a path without the last layers: %v", err)
 		}
 		loaded := config.LayerRange{From: 60, To: 80}
 		table.SetLoads(map[incarnation.Key]Load{replicas[2].Key(): {Held: loaded, At: time.Now()}})
-		if _, err := table.Reserve(usual); err != nil {
+		if _, err := table.Reserve(meanQuery); err != nil {
 			t.Errorf("no path though the last layers were reported: %v", err)
 		}
 		table.Update(spec, replicas)
-		if _, err := table.Reserve(usual); err != nil {
+		if _, err := table.Reserve(meanQuery); err != nil {
 			t.Errorf("an older entry of discovery took the layers away: %v", err)
 		}
 		replicas[2].Held = config.LayerRange{From: 70, To: 80}
 		table.Update(spec, replicas)
 		table.SetLoads(map[incarnation.Key]Load{replicas[2].Key(): {Held: loaded, At: time.Now()}})
-		if _, err := table.Reserve(usual); !errors.Is(err, ErrNoPath) {
+		if _, err := table.Reserve(meanQuery); !errors.Is(err, ErrNoPath) {
 			t.Errorf("a report of before the newest entry counts: %v", err)
 		}
 	})
@@ -273,7 +273,7 @@
 	full := table.replicas[first[0].Key()]
 	full.load.EntryRequests = spec.Slots
 	for range 5 {
-		reservation, err := table.Reserve(usual)
+		reservation, err := table.Reserve(meanQuery)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -286,7 +286,7 @@
 func BenchmarkReserve(b *testing.B) {
 	table := placedTable(testSpec(), threeDataCentres())
 	for b.Loop() {
-		reservation, err := table.Reserve(usual)
+		reservation, err := table.Reserve(meanQuery)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -304,7 +304,7 @@
 		{ID: "3", Address: "3", DataCentre: "a", Kind: "large", Held: config.LayerRange{From: 40, To: 80}},
 	})
 	for spare, want := range []error{nil, nil, ErrNoSpareEntry} {
-		need := usual
+		need := meanQuery
 		need.SpareEntries = spare
 		reservation, err := table.Reserve(need)
 		if !errors.Is(err, want) {
@@ -315,7 +315,7 @@
 		}
 	}
 	table.Suspect(Replica{ID: "1"})
-	need := usual
+	need := meanQuery
 	need.SpareEntries = 1
 	if _, err := table.Reserve(need); !errors.Is(err, ErrNoSpareEntry) {
 		t.Errorf("a suspected replica counts as one that is left: %v", err)
@@ -331,7 +331,7 @@
 	table.Update(testSpec(), []Replica{
 		held("1", 0, 20), held("2", 20, 40), held("3", 40, 50), held("4", 50, 60), held("5", 60, 80),
 	})
-	reservation, err := table.Reserve(usual)
+	reservation, err := table.Reserve(meanQuery)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/layers/place.go
+++ b/internal/layers/place.go
@@ -8,9 +8,9 @@
 	"geraniumcroft/internal/config"
 )
 
-// leastRoom is for how many usual requests a card has to have room at least where memory
+// minRoom is for how many usual requests a card has to have room at least where memory
 // is short.
-const leastRoom = 4.0
+const minRoom = 4.0
 
 // Place returns the ranges that replicas are to hold. Replicas whose range stays as
 // it is are in the result too; one that is to hold nothing is not. It is a pure
@@ -41,7 +41,7 @@
 	for _, name := range slices.Sorted(maps.Keys(byDataCentre)) {
 		group := byDataCentre[name]
 		slices.SortFunc(group, func(a, b Replica) int { return compareReplicas(spec, a, b) })
-		if mostSets(spec, group) >= 1 {
+		if maxSets(spec, group) >= 1 {
 			whole = append(whole, group)
 		} else {
 			rest = append(rest, group...)
@@ -59,10 +59,10 @@
 	return cmp.Or(byPace, cmp.Compare(a.Address, b.Address), cmp.Compare(a.ID, b.ID))
 }
 
-// mostSets is how many sets of layers the replicas can hold beside some requests, 0 if
+// maxSets is how many sets of layers the replicas can hold beside some requests, 0 if
 // not even one.
-func mostSets(spec *Spec, group []Replica) int {
-	const beside = 1.1 // memory for a set and a few requests, in multiples of its weights
+func maxSets(spec *Spec, group []Replica) int {
+	const memoryPerSet = 1.1 // memory for a set and a few requests, in multiples of its weights
 	memory, most := 0.0, 0
 	for _, r := range group {
 		k := spec.kind(r.Kind)
@@ -72,15 +72,15 @@
 	if most < spec.Layers {
 		return 0
 	}
-	return max(1, int(memory/(beside*float64(spec.Layers)*spec.LayerMB)))
+	return max(1, int(memory/(memoryPerSet*float64(spec.Layers)*spec.LayerMB)))
 }
 
 func placeGroup(spec *Spec, group []Replica, placed map[string]config.LayerRange) {
 	for _, r := range group {
 		if r.Held.Len() > 0 {
-			improve(spec, group, placed)
+			rebalance(spec, group, placed)
 			return
 		}
 	}
-	layOut(spec, group, placed)
+	placeFromScratch(spec, group, placed)
 }
--- a/internal/layers/place_test.go
+++ b/internal/layers/place_test.go
@@ -46,7 +46,7 @@
 			if r.Held.From < 0 || r.Held.To > spec.Layers || float64(r.Held.Len())*spec.LayerMB > k.MemoryMB {
 				t.Fatalf("%s holds %s", r.ID, r.Held)
 			}
-			if room := spec.room(k, r.Held.Len()); room < spec.usualTokens() {
+			if room := spec.room(k, r.Held.Len()); room < spec.meanTokens() {
 				t.Fatalf("%s holds %s and has room for %.0f tokens", r.ID, r.Held, room)
 			}
 		}
@@ -60,7 +60,7 @@
 		replicas := drawInstallation(t)
 		most := 0
 		for _, r := range replicas {
-			most += newCoverage(spec).layersFor(spec.kind(r.Kind), leastRoom)
+			most += newCoverage(spec).layersFor(spec.kind(r.Kind), minRoom)
 		}
 		if most < spec.Layers {
 			return
@@ -164,7 +164,7 @@
 	spec := testSpec()
 	group := slices.Concat(cards("a", "large", 7), cards("a", "fast", 25), cards("a", "slow", 140), cards("a", "small", 145))
 	for b.Loop() {
-		layOut(spec, group, map[string]config.LayerRange{})
+		placeFromScratch(spec, group, map[string]config.LayerRange{})
 	}
 }
 
@@ -172,7 +172,7 @@
 	spec := testSpec()
 	group := slices.Concat(cards("a", "large", 1), cards("a", "fast", 2), cards("a", "slow", 13), cards("a", "small", 18))
 	for b.Loop() {
-		layOut(spec, group, map[string]config.LayerRange{})
+		placeFromScratch(spec, group, map[string]config.LayerRange{})
 	}
 }
 
--- a/internal/layers/need.go
+++ b/internal/layers/query.go
@@ -23,8 +23,8 @@
 	SpareEntries int
 }
 
-// avoiding returns the need with some more replicas to avoid; the map is its own.
-func (n Query) avoiding(keys ...incarnation.Key) Query {
+// excluding returns the need with some more replicas to avoid; the map is its own.
+func (n Query) excluding(keys ...incarnation.Key) Query {
 	avoid := make(map[incarnation.Key]bool, len(n.Exclude)+len(keys))
 	maps.Copy(avoid, n.Exclude)
 	for _, k := range keys {
--- a/internal/layers/improve.go
+++ b/internal/layers/rebalance.go
@@ -7,56 +7,56 @@
 )
 
 const (
-	// worthMoving is by how much a move must lessen the shortage for a card that holds
+	// minMoveGain is by how much a move must lessen the shortage for a card that holds
 	// layers already. Its present layers serve nobody new once it is ordered, and the
 	// load takes from the source that all loads share.
-	worthMoving = 0.15
-	// worthNarrowing is the same for a card that gives layers up which others hold. It
+	minMoveGain = 0.15
+	// minNarrowGain is the same for a card that gives layers up which others hold. It
 	// loads nothing and serves its other layers on, so a small gain is enough; at 0.15 a
 	// data centre of 14 cards whose h100 came back kept room for 59 requests in place of 192.
-	worthNarrowing = 0.01
-	// crowded is the room, in usual requests, below which a card may give layers up to
+	minNarrowGain = 0.01
+	// narrowBelowRoom is the room, in usual requests, below which a card may give layers up to
 	// others, as after it widened over a dead neighbour's. Above it a layer stays where it
 	// is: others may be slower by ten times, and more room there would serve nobody. 120
 	// is the room that was best for the fast cards of 13.
-	crowded = 120
-	// nearlyBest is the part of the best move's gain from which a cheaper card is moved
+	narrowBelowRoom = 120
+	// nearBestGain is the part of the best move's gain from which a cheaper card is moved
 	// instead.
-	nearlyBest = 0.8
-	// leavingCost multiplies the cost of a move that gives layers up. The card takes
+	nearBestGain = 0.8
+	// relocationCostFactor multiplies the cost of a move that gives layers up. The card takes
 	// nothing new for them and loads the others only when all streams that pass through
 	// it have ended, which takes seconds; a card that only widens goes on as before.
-	leavingCost = 1000
-	// movesAtOnce bounds the moves of one look at a group; the next look sees what they
+	relocationCostFactor = 1000
+	// maxMovesPerPass bounds the moves of one look at a group; the next look sees what they
 	// have brought.
-	movesAtOnce = 3
+	maxMovesPerPass = 3
 )
 
 // move is a card's change of layers.
 type move struct {
 	card int
 	to   config.LayerRange
-	// left is the shortage after it, gain by how much that is less.
-	left float64
-	gain float64
-	// worth is the part of the shortage that it has to lessen.
-	worth float64
+	// shortage is the shortage after it, gain by how much that is less.
+	shortage float64
+	gain     float64
+	// minGain is the part of the shortage that it has to lessen.
+	minGain float64
 	// cost is what is lost while the card moves, nothing for one that is empty.
 	cost float64
 }
 
-// improve moves cards of a group that holds layers, one after another, each to where
+// rebalance moves cards of a group that holds layers, one after another, each to where
 // it lessens the shortage most. A card that joined or doubles others goes into a hole;
 // where there is none, the neighbours of the hole widen.
-func improve(spec *Spec, group []Replica, placed map[string]config.LayerRange) {
+func rebalance(spec *Spec, group []Replica, placed map[string]config.LayerRange) {
 	c := newCoverage(spec)
 	for _, r := range group {
 		placed[r.ID] = r.Held
 		c.add(spec.kind(r.Kind), r.Held, 1)
 	}
-	settled := settledHolders(spec, group)
-	for moves := 0; moves < movesAtOnce; {
-		m, ok := chooseMove(movesOf(spec, group, placed, c, settled))
+	settled := reportedHolders(spec, group)
+	for moves := 0; moves < maxMovesPerPass; {
+		m, ok := chooseMove(worthwhileMoves(spec, group, placed, c, settled))
 		if !ok {
 			return
 		}
@@ -73,24 +73,24 @@
 	}
 }
 
-// movesOf lists the moves that are worth their load.
-func movesOf(spec *Spec, group []Replica, placed map[string]config.LayerRange, c *coverage, settled holderCounts) []move {
+// worthwhileMoves lists the moves that are worth their load.
+func worthwhileMoves(spec *Spec, group []Replica, placed map[string]config.LayerRange, c *coverage, settled holderCounts) []move {
 	now := c.shortage()
 	var moves []move
 	for i, r := range group {
 		switch held := placed[r.ID]; {
 		case held.Len() == 0:
-			to, left := c.best(spec.kind(r.Kind))
-			if part, leftPart := bestPart(spec, group, placed, c, r); part.Len() > 0 && leftPart < left {
+			to, left := c.bestRange(spec.kind(r.Kind))
+			if part, leftPart := bestTakeover(spec, group, placed, c, r); part.Len() > 0 && leftPart < left {
 				to, left = part, leftPart
 			}
-			if to.Len() > 0 && now > left && (!r.Joining || c.hasHole(to)) {
+			if to.Len() > 0 && now > left && (!r.Joining || c.hasGap(to)) {
 				moves = append(moves, move{card: i, to: to, gain: now - left})
 			}
 		case !r.Loading:
-			for _, m := range movesOfHolder(spec, r, held, c, settled) {
-				m.card, m.gain = i, now-m.left
-				if m.gain >= m.worth*now {
+			for _, m := range movesOfCard(spec, r, held, c, settled) {
+				m.card, m.gain = i, now-m.shortage
+				if m.gain >= m.minGain*now {
 					moves = append(moves, m)
 				}
 			}
@@ -99,37 +99,37 @@
 	return moves
 }
 
-// movesOfHolder lists the changes of a card that holds layers.
-func movesOfHolder(spec *Spec, r Replica, held config.LayerRange, c *coverage, settled holderCounts) []move {
+// movesOfCard lists the changes of a card that holds layers.
+func movesOfCard(spec *Spec, r Replica, held config.LayerRange, c *coverage, settled holderCounts) []move {
 	k := spec.kind(r.Kind)
 	c.add(k, held, -1)
 	defer c.add(k, held, 1)
 	cost := k.MemoryMB / max(1, k.StepTimeFactor)
 	var moves []move
-	if to, left := c.wider(k, held); to != held {
-		moves = append(moves, move{to: to, left: left, worth: worthMoving, cost: cost})
+	if to, left := c.bestWider(k, held); to != held {
+		moves = append(moves, move{to: to, shortage: left, minGain: minMoveGain, cost: cost})
 	}
-	if to, left := c.narrower(k, held); to != held && c.requests(k, held.Len()) < crowded && settled.spares(held, to) {
-		moves = append(moves, move{to: to, left: left, worth: worthNarrowing, cost: cost})
+	if to, left := c.bestNarrower(k, held); to != held && c.requests(k, held.Len()) < narrowBelowRoom && settled.canSpare(held, to) {
+		moves = append(moves, move{to: to, shortage: left, minGain: minNarrowGain, cost: cost})
 	}
-	if to, left := c.best(k); to != held && c.hasHole(to) && settled.spares(held, to) {
-		moves = append(moves, move{to: to, left: left, worth: worthMoving, cost: cost * leavingCost})
+	if to, left := c.bestRange(k); to != held && c.hasGap(to) && settled.canSpare(held, to) {
+		moves = append(moves, move{to: to, shortage: left, minGain: minMoveGain, cost: cost * relocationCostFactor})
 	}
 	return moves
 }
 
-// bestPart returns the part of another card's range that is best taken over by an empty
+// bestTakeover returns the part of another card's range that is best taken over by an empty
 // card, and the shortage once the other one has narrowed to the rest. A card that widened
 // over a dead neighbour's layers has little room; an empty card that only doubled what
 // has the least room would leave it so for good.
-func bestPart(spec *Spec, group []Replica, placed map[string]config.LayerRange, c *coverage, empty Replica) (config.LayerRange, float64) {
+func bestTakeover(spec *Spec, group []Replica, placed map[string]config.LayerRange, c *coverage, empty Replica) (config.LayerRange, float64) {
 	k := spec.kind(empty.Kind)
 	var best config.LayerRange
 	least := math.Inf(1)
 	for _, other := range group {
 		held := placed[other.ID]
 		holder := spec.kind(other.Kind)
-		if other.Loading || held.Len() < 2 || c.requests(holder, held.Len()) >= crowded {
+		if other.Loading || held.Len() < 2 || c.requests(holder, held.Len()) >= narrowBelowRoom {
 			continue
 		}
 		c.add(holder, held, -1)
@@ -165,7 +165,7 @@
 	var chosen move
 	found := false
 	for _, m := range moves {
-		if m.gain < nearlyBest*best {
+		if m.gain < nearBestGain*best {
 			continue
 		}
 		if !found || m.cost < chosen.cost || m.cost == chosen.cost && m.gain > chosen.gain {
@@ -178,7 +178,7 @@
 // holderCounts counts, for each layer, the cards of a group that report it.
 type holderCounts []int
 
-func settledHolders(spec *Spec, group []Replica) holderCounts {
+func reportedHolders(spec *Spec, group []Replica) holderCounts {
 	counts := make(holderCounts, spec.Layers)
 	for _, r := range group {
 		if !r.Loading {
@@ -194,9 +194,9 @@
 	}
 }
 
-// spares reports whether the group can do without the layers that a card gives up.
+// canSpare reports whether the group can do without the layers that a card gives up.
 // What is still being loaded does not count: the layers would be nobody's until then.
-func (h holderCounts) spares(from, to config.LayerRange) bool {
+func (h holderCounts) canSpare(from, to config.LayerRange) bool {
 	for l := max(0, from.From); l < min(from.To, len(h)); l++ {
 		kept := l >= to.From && l < to.To
 		if !kept && h[l] < 2 {
--- a/internal/layers/reservation.go
+++ b/internal/layers/reservation.go
@@ -7,9 +7,9 @@
 
 // Reservation is a path with the room that a request holds on it.
 type Reservation struct {
-	table *Table
-	need  Query
-	sent  time.Time
+	table      *Table
+	query      Query
+	reservedAt time.Time
 
 	// The table's lock guards the fields below.
 	path     Path
@@ -38,8 +38,8 @@
 	var parts []detourPart
 	next := 0
 	err := r.eachReplacement(stopped, written, near, now, func(p detourPart) {
-		path = append(append(path, r.path[next:p.at.from]...), p.stages...)
-		parts, next = append(parts, p), p.at.to
+		path = append(append(path, r.path[next:p.replaced.from]...), p.stages...)
+		parts, next = append(parts, p), p.replaced.to
 	})
 	if err != nil {
 		return nil, err
@@ -49,20 +49,20 @@
 		return nil, ErrNoPath // a stage that stays has started again and is on the detour as well
 	}
 	for _, p := range parts {
-		t.cross(r.path[p.at.from-1].Replica.DataCentre, p.stages, p.need.tokens(), now)
+		t.chargeCrossings(r.path[p.replaced.from-1].Replica.DataCentre, p.stages, p.query.tokens(), now)
 	}
-	r.hold(-1)
+	r.adjustReserved(-1)
 	r.path = path
-	r.hold(1)
+	r.adjustReserved(1)
 	return r.path, nil
 }
 
 // detourPart is a run of stopped stages and what replaces them.
 type detourPart struct {
-	at     span
-	stages Path
-	// need is what the stages were chosen for.
-	need Query
+	replaced span
+	stages   Path
+	// query is what the stages were chosen for.
+	query Query
 }
 
 // eachReplacement finds other holders for each run of stopped stages, in the path's order. No replica
@@ -72,28 +72,28 @@
 	if r.released || len(spans) == 0 || spans[0].from == 0 {
 		return ErrNoPath
 	}
-	need := r.detourNeed(stopped, written)
+	need := r.detourQuery(stopped, written)
 	for _, at := range spans {
 		stages, err := r.table.replacement(r.path, at, need, near, now)
 		if err != nil {
 			return err
 		}
-		do(detourPart{at: at, stages: stages, need: need})
-		need = need.avoiding(stages.keys()...)
+		do(detourPart{replaced: at, stages: stages, query: need})
+		need = need.excluding(stages.keys()...)
 	}
 	return nil
 }
 
-// detourNeed is what a detour needs: neither the path's replicas nor those that stopped. The table
+// detourQuery is what a detour needs: neither the path's replicas nor those that stopped. The table
 // is locked.
-func (r *Reservation) detourNeed(stopped []string, written int) Query {
+func (r *Reservation) detourQuery(stopped []string, written int) Query {
 	avoid := r.path.keys()
 	for k, s := range r.table.replicas {
 		if slices.Contains(stopped, s.Address) {
 			avoid = append(avoid, k)
 		}
 	}
-	need := r.need.avoiding(avoid...)
+	need := r.query.excluding(avoid...)
 	need.Prompt += written
 	return need
 }
@@ -101,7 +101,7 @@
 // replacement finds other holders of a span's layers. The table is locked.
 func (t *Table) replacement(path Path, at span, need Query, near bool, now time.Time) (Path, error) {
 	s := search{
-		table: t, need: need, now: now, from: path[at.from].Layers.From, to: path[at.to-1].Layers.To,
+		table: t, query: need, now: now, from: path[at.from].Layers.From, to: path[at.to-1].Layers.To,
 		fromDC: path[at.from-1].Replica.DataCentre,
 	}
 	if near {
@@ -123,27 +123,27 @@
 		return
 	}
 	r.released = true
-	r.hold(-1)
+	r.adjustReserved(-1)
 	if !ok {
 		return
 	}
 	for _, stage := range r.path {
 		if s := t.replicas[stage.Replica.Key()]; s != nil {
-			s.served(r.sent)
+			s.served(r.reservedAt)
 		}
 	}
 }
 
-// hold adds or, with -1, takes back the room on each stage. The table is locked.
-func (r *Reservation) hold(sign float64) {
+// adjustReserved adds or, with -1, takes back the room on each stage. The table is locked.
+func (r *Reservation) adjustReserved(sign float64) {
 	for i, stage := range r.path {
 		s := r.table.replicas[stage.Replica.Key()]
 		if s == nil {
 			continue
 		}
-		s.reserved = max(0, s.reserved+sign*r.need.tokens()*float64(stage.Layers.Len()))
+		s.reserved = max(0, s.reserved+sign*r.query.tokens()*float64(stage.Layers.Len()))
 		if i == 0 {
-			s.first = max(0, s.first+int(sign))
+			s.entryRequests = max(0, s.entryRequests+int(sign))
 		}
 	}
 }
--- a/internal/layers/restart_test.go
+++ b/internal/layers/restart_test.go
@@ -29,7 +29,7 @@
 		before, after := restartedCards()
 		table := NewTable()
 		table.Update(testSpec(), before)
-		cutOff, err := table.Reserve(usual)
+		cutOff, err := table.Reserve(meanQuery)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,10 +42,10 @@
 		table.SetPace(first, 8)
 		cutOff.Release(false)
 		fresh := table.replicas[after[0].Key()]
-		if fresh.suspected(time.Now()) || fresh.reserved != 0 || fresh.first != 0 || fresh.pace != 0 {
+		if fresh.suspected(time.Now()) || fresh.reserved != 0 || fresh.entryRequests != 0 || fresh.pace != 0 {
 			t.Errorf("the new incarnation: %+v", fresh)
 		}
-		if _, err := table.Reserve(usual); err != nil {
+		if _, err := table.Reserve(meanQuery); err != nil {
 			t.Error(err)
 		}
 	})
@@ -62,11 +62,11 @@
 		table.Update(testSpec(), after)
 		time.Sleep(2 * reportLag)
 		table.SetLoads(map[incarnation.Key]Load{before[0].Key(): {Total: 1e6, Pace: 1, Held: before[0].Held, At: time.Now()}})
-		if _, err := table.Reserve(usual); err == nil {
+		if _, err := table.Reserve(meanQuery); err == nil {
 			t.Error("a request goes over layers that were lost")
 		}
 		table.SetLoads(map[incarnation.Key]Load{after[0].Key(): {Total: 1e6, Pace: 1, Held: before[0].Held, At: time.Now()}})
-		if _, err := table.Reserve(usual); err != nil {
+		if _, err := table.Reserve(meanQuery); err != nil {
 			t.Errorf("once it reports them itself: %v", err)
 		}
 	})
@@ -81,7 +81,7 @@
 		table.Update(testSpec(), before)
 		time.Sleep(2 * reportLag)
 		table.SetLoads(map[incarnation.Key]Load{before[0].Key(): {Total: 1e6, Pace: 1, Held: config.LayerRange{From: -5, To: 5000}, At: time.Now()}})
-		r, err := table.Reserve(usual)
+		r, err := table.Reserve(meanQuery)
 		if err != nil || !r.Path().Covers(80) {
 			t.Errorf("%v", err)
 		}
@@ -95,7 +95,7 @@
 	before, after := restartedCards()
 	table := NewTable()
 	table.Update(testSpec(), before)
-	reservation, err := table.Reserve(usual)
+	reservation, err := table.Reserve(meanQuery)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/layers/search.go
+++ b/internal/layers/search.go
@@ -12,21 +12,21 @@
 // cut and the data centre of the last stage, as that decides the next crossing.
 type search struct {
 	table *Table
-	need  Query
+	query Query
 	now   time.Time
 	from  int
 	to    int
 	// fromDC and toDC are the data centres before and after the path; empty is open.
 	fromDC string
 	toDC   string
-	// entry says that the path begins at its caller and not behind another stage.
-	entry bool
+	// fromCaller says that the path begins at its caller and not behind another stage.
+	fromCaller bool
 	// onlyDC, if not empty, leaves out the replicas of other data centres.
 	onlyDC string
-	// doubtful lets suspected replicas in.
-	doubtful bool
+	// allowSuspected lets suspected replicas in.
+	allowSuspected bool
 
-	holders []*state
+	holders []*replicaState
 	dcs     []string
 	cuts    []int
 	steps   [][]step
@@ -37,7 +37,7 @@
 func (s *search) run() (Path, error) {
 	path, err := s.withoutRepeats()
 	if errors.Is(err, ErrNoPath) {
-		s.doubtful = true
+		s.allowSuspected = true
 		path, err = s.withoutRepeats()
 	}
 	return path, err
@@ -48,27 +48,27 @@
 // out.
 func (s *search) withoutRepeats() (Path, error) {
 	for {
-		path, err := s.once()
+		path, err := s.cheapest()
 		between, repeats := path.betweenRepeats()
 		if err != nil || !repeats {
 			return path, err
 		}
-		s.need = s.need.avoiding(between.Key())
+		s.query = s.query.excluding(between.Key())
 	}
 }
 
-// once finds the cheapest path, which may name a replica twice.
-func (s *search) once() (Path, error) {
+// cheapest finds the cheapest path, which may name a replica twice.
+func (s *search) cheapest() (Path, error) {
 	s.holders, s.dcs = nil, nil
 	s.collect()
 	if !s.covered() {
 		return nil, ErrNoPath
 	}
-	if s.entry && s.need.SpareEntries > 0 && s.entries() <= s.need.SpareEntries {
+	if s.fromCaller && s.query.SpareEntries > 0 && s.entries() <= s.query.SpareEntries {
 		return nil, ErrNoSpareEntry
 	}
-	s.walk()
-	path := s.trace()
+	s.computeSteps()
+	path := s.backtrack()
 	if path == nil {
 		return nil, ErrNoRoom
 	}
@@ -93,9 +93,9 @@
 }
 
 // admits reports whether a replica may serve some of the layers.
-func (s *search) admits(r *state) bool {
+func (s *search) admits(r *replicaState) bool {
 	switch {
-	case r.Draining, s.need.Exclude[r.Key()], !s.doubtful && r.suspected(s.now):
+	case r.Draining, s.query.Exclude[r.Key()], !s.allowSuspected && r.suspected(s.now):
 		return false
 	case s.onlyDC != "" && r.DataCentre != s.onlyDC:
 		return false
@@ -106,7 +106,7 @@
 // covered reports whether the holders hold every layer, with room or without.
 func (s *search) covered() bool {
 	for i := 0; i+1 < len(s.cuts); i++ {
-		held := slices.ContainsFunc(s.holders, func(r *state) bool {
+		held := slices.ContainsFunc(s.holders, func(r *replicaState) bool {
 			return r.Held.Contains(s.layers(i, i+1))
 		})
 		if !held {
--- a/internal/layers/spec.go
+++ b/internal/layers/spec.go
@@ -65,8 +65,8 @@
 	return max(0, free/(s.KVBytes*float64(n)/float64(s.Layers)))
 }
 
-// usualTokens is the context of a usual request at its end.
-func (s *Spec) usualTokens() float64 { return float64(max(1, s.MeanPrompt+s.MeanAnswer)) }
+// meanTokens is the context of a usual request at its end.
+func (s *Spec) meanTokens() float64 { return float64(max(1, s.MeanPrompt+s.MeanAnswer)) }
 
 // stepTime is the time of a token step over all layers on a card, in seconds, beside so
 // many requests of that many tokens.
@@ -75,7 +75,7 @@
 	return (s.StepBase.Seconds() + batch*(s.StepPerSequence.Seconds()+context*s.StepPerContext.Seconds())) * k.StepTimeFactor
 }
 
-// readTime is the time in which a card reads so many tokens through n layers, in seconds.
-func (s *Spec) readTime(k Accelerator, tokens float64, n int) float64 {
+// prefillTime is the time in which a card reads so many tokens through n layers, in seconds.
+func (s *Spec) prefillTime(k Accelerator, tokens float64, n int) float64 {
 	return tokens / max(1, s.PrefillTokensPerSecond) * k.PrefillTimeFactor * float64(n) / float64(max(1, s.Layers))
 }
--- a/internal/layers/suspicion.go
+++ b/internal/layers/suspicion.go
@@ -11,8 +11,8 @@
 	// leavingSuspicion and maxLeaving take their place for a replica that turned a request
 	// away though it has room: it is about to leave, or gives the layers up, and stays so
 	// for seconds. While the store is away discovery does not tell of it.
-	leavingSuspicion = 4 * time.Second
-	maxLeaving       = 16 * time.Second
+	leavingSuspicion    = 4 * time.Second
+	maxLeavingSuspicion = 16 * time.Second
 )
 
 // suspicion says whether a replica is avoided for now.
--- a/internal/layers/table.go
+++ b/internal/layers/table.go
@@ -16,22 +16,22 @@
 type Table struct {
 	mu       sync.Mutex // guards the fields below
 	spec     *Spec
-	replicas map[incarnation.Key]*state
-	sharers  VMCounts
-	pipes    pipes
+	replicas map[incarnation.Key]*replicaState
+	vmCounts VMCounts
+	links    linkBudgets
 	gate     Gate
 }
 
 // NewTable returns a table without replicas.
 func NewTable() *Table {
-	return &Table{spec: &Spec{}, replicas: map[incarnation.Key]*state{}, sharers: VMCounts{Fleet: 1, Local: 1}, pipes: pipes{}, gate: openGate{}}
+	return &Table{spec: &Spec{}, replicas: map[incarnation.Key]*replicaState{}, vmCounts: VMCounts{Fleet: 1, Local: 1}, links: linkBudgets{}, gate: openGate{}}
 }
 
 // SetVMCounts tells how many VMs share the replicas' memory.
 func (t *Table) SetVMCounts(s VMCounts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sharers = s
+	t.vmCounts = s
 }
 
 // Update takes over the model's description and the replicas as discovery lists
@@ -40,11 +40,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.spec = spec
-	next := make(map[incarnation.Key]*state, len(replicas))
+	next := make(map[incarnation.Key]*replicaState, len(replicas))
 	for _, r := range replicas {
 		s := t.replicas[r.Key()]
 		if s == nil {
-			s = &state{}
+			s = &replicaState{}
 		}
 		s.reset(spec, r)
 		next[r.Key()] = s
@@ -94,17 +94,17 @@
 func (t *Table) Reserve(need Query) (*Reservation, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := search{table: t, need: need, now: time.Now(), to: t.spec.Layers, fromDC: need.DataCentre, entry: true}
+	s := search{table: t, query: need, now: time.Now(), to: t.spec.Layers, fromDC: need.DataCentre, fromCaller: true}
 	path, err := s.run()
 	if err != nil {
-		return nil, s.heldOr(err)
+		return nil, s.heldErrorOr(err)
 	}
 	if !t.gate.Take(path.First().Key(), s.now) {
-		return nil, s.heldOr(ErrNoRoom)
+		return nil, s.heldErrorOr(ErrNoRoom)
 	}
-	r := &Reservation{table: t, need: need, sent: s.now, path: path}
-	r.hold(1)
-	t.cross("", path, need.tokens(), s.now)
+	r := &Reservation{table: t, query: need, reservedAt: s.now, path: path}
+	r.adjustReserved(1)
+	t.chargeCrossings("", path, need.tokens(), s.now)
 	return r, nil
 }
 
@@ -118,17 +118,17 @@
 // Suspect avoids a replica for a while: a request found it dead, silent or without
 // the layers that it reported. A later incarnation of the replica is not meant.
 func (t *Table) Suspect(r Replica) {
-	t.of(r, func(s *state) { s.suspect(time.Now()) })
+	t.updateReplica(r, func(s *replicaState) { s.suspect(time.Now()) })
 }
 
 // RecordRefusal avoids a replica that did not take a request, for longer if it has room.
 func (t *Table) RecordRefusal(r Replica) {
-	t.of(r, func(s *state) { s.turnedAway(time.Now()) })
+	t.updateReplica(r, func(s *replicaState) { s.recordRefusal(time.Now()) })
 }
 
 // SetPace takes what a replica's report says of its speed.
 func (t *Table) SetPace(r Replica, pace float64) {
-	t.of(r, func(s *state) { s.pace, s.paceAt = pace, time.Now() })
+	t.updateReplica(r, func(s *replicaState) { s.pace, s.paceAt = pace, time.Now() })
 }
 
 // ReplicaAt returns the replica that is listed at an address. Ok is false if there is none.
@@ -143,8 +143,8 @@
 	return Replica{}, false
 }
 
-// of changes what this VM knows of a replica, if it is still listed.
-func (t *Table) of(r Replica, change func(*state)) {
+// updateReplica changes what this VM knows updateReplica a replica, if it is still listed.
+func (t *Table) updateReplica(r Replica, change func(*replicaState)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.replicas[r.Key()]; s != nil {
--- a/internal/layers/sharers.go
+++ b/internal/layers/vm_counts.go
@@ -1,18 +1,18 @@
 package layers
 
-// awayPart is how much of a replica's memory the VMs of other data centres may fill
+// remotePart is how much of a replica's memory the VMs of other data centres may fill
 // together. Paths stay in their request's data centre unless something is missing
 // there; then two data centres carry what three did.
-const awayPart = 0.5
+const remotePart = 0.5
 
-// goBeyond is how many even parts of the room that a report shows free one VM may take:
+// maxFreeShares is how many even parts of the room that a report shows free one VM may take:
 // a third of the VMs at most go beyond their share at the same time.
-const goBeyond = 3.0
+const maxFreeShares = 3.0
 
-// boost is how many even shares of a replica's room one VM may use while the reports
+// maxShares is how many even shares of a replica's room one VM may use while the reports
 // show it as not full. Requests come to VMs at random: some VMs need more than their share
 // at any time, while all together hardly ever need more than the whole.
-const boost = 2.5
+const maxShares = 2.5
 
 // VMCounts says how many VMs send requests to the same replicas. Each sees its own
 // requests only and keeps to its share.
@@ -29,7 +29,7 @@
 	if s.DataCentre == "" || dataCentre == s.DataCentre {
 		return 1 / float64(max(1, s.Local))
 	}
-	return awayPart / float64(max(1, s.Fleet-s.Local))
+	return remotePart / float64(max(1, s.Fleet-s.Local))
 }
 
 // allowance is what one VM may fill of a replica.
@@ -37,16 +37,16 @@
 	// share is the part that it may always fill, most the part while the replica is not
 	// reported as full.
 	share float64
-	most  float64
+	limit float64
 	// free is the part that it may fill of the room which a report shows free.
 	free float64
 }
 
 func (s VMCounts) allowance(dataCentre string) allowance {
 	share := s.share(dataCentre)
-	return allowance{share: share, most: min(1, boost*share), free: s.freePart()}
+	return allowance{share: share, limit: min(1, maxShares*share), free: s.freePart()}
 }
 
 // freePart is the part of the room that a report shows free which this VM may take
 // until the next one. Few VMs go beyond their share at the same time.
-func (s VMCounts) freePart() float64 { return min(1, goBeyond/float64(max(1, s.Fleet))) }
+func (s VMCounts) freePart() float64 { return min(1, maxFreeShares/float64(max(1, s.Fleet))) }
