--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -15,7 +15,7 @@
 )
 
 func (p *Process) follower(table string, onChange func(platform.TableView)) *follow.Follower {
-	return follow.New(follow.Options{Table: table, Feed: p.store, Peers: p.peers, Logger: p.Logger, Follows: p.followsFeed, VMs: func() int { return len(p.census.VMs()) }, Tries: p.tries, OnChange: onChange})
+	return follow.New(follow.Options{Table: table, Feed: p.store, Peers: p.peers, Logger: p.Logger, FollowsFeed: p.followsFeed, VMs: func() int { return len(p.census.VMs()) }, RetryGroup: p.tries, OnChange: onChange})
 }
 
 // followsFeed reports whether this VM is one of those that follow the store's feed.
@@ -28,7 +28,7 @@
 		return p.board.Since(after)
 	case quarantine.TableName:
 		return p.sharing.Since(after)
-	case p.Wiring.ReplicaTable:
+	case p.Adapter.ReplicaTable:
 		return p.view.replicas.Since(after)
 	}
 	return p.view.operator.Since(after)
@@ -41,9 +41,9 @@
 	case loads.TableName:
 		p.board.Take(change, age)
 	case quarantine.TableName:
-		p.sharing.Take(change, age)
+		p.sharing.Apply(change, age)
 	case pushbacksharing.TableName:
-		p.pushbackSharing.Take(change, age)
+		p.pushbackSharing.Apply(change, age)
 	}
 }
 
@@ -57,13 +57,13 @@
 
 // peersAmong says whom of the VMs this one asks.
 func (p *Process) peersAmong(vms []census.VM) mirror.Peers {
-	peers := mirror.Peers{Others: append(addressesOf(vms), p.Settings.Peers.Seeds...)}
+	peers := mirror.Peers{Fallback: append(addressesOf(vms), p.Settings.Peers.Seeds...)}
 	for dataCentre, followers := range p.census.Followers() {
 		if dataCentre == p.Settings.VM.DataCentre {
-			peers.Near = addressesOf(followers)
+			peers.LocalFollowers = addressesOf(followers)
 			continue
 		}
-		peers.Far = append(peers.Far, addressesOf(followers))
+		peers.RemoteFollowers = append(peers.RemoteFollowers, addressesOf(followers))
 	}
 	return peers
 }
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -53,7 +53,7 @@
 	// cleared says that a run of this generation went well.
 	cleared bool
 	// pace is that of the events so far.
-	pace stall.Pace
+	pace stall.GapStats
 
 	mu sync.Mutex // guards the fields below against the watch of a stalled stream
 	// lastEvent is the id of the last event that the caller has.
@@ -144,7 +144,7 @@
 
 // pay takes one more send out of the retry budget.
 func (g *generation) pay() bool {
-	return g.h.Budgets.of(g.q.service).Take()
+	return g.h.RetryBudgets.of(g.q.service).Take()
 }
 
 // payInTime is pay, but a stream that its caller has in part waits for the budget. To
@@ -173,7 +173,7 @@
 	for _, k := range without {
 		need.Exclude[k] = true
 	}
-	need.SpareEntries = verdict.Spare
+	need.SpareEntries = verdict.SpareReplicas
 	reservation, err := g.table.Reserve(need)
 	if err != nil {
 		return false
@@ -238,7 +238,7 @@
 		if quarantined = g.h.crashes.refusal(g.q); quarantined != nil {
 			return true
 		}
-		need.SpareEntries = g.h.crashes.judge(g.q).Spare // an end may have been counted while it waited
+		need.SpareEntries = g.h.crashes.judge(g.q).SpareReplicas // an end may have been counted while it waited
 		r, err := g.table.Reserve(need)
 		none = nil
 		if errors.Is(err, layers.ErrNoPath) || errors.Is(err, layers.ErrNoSpareEntry) || !g.begun && g.h.heldTooLong(g.q, err) != nil {
