--- a/internal/layers/accelerator.go
+++ b/internal/layers/accelerator.go
@@ -1,11 +1,11 @@
 package layers
 
-// Accelerator is a kind of accelerator card.
+// Accelerator describes a kind of accelerator card.
 type Accelerator struct {
-	// MemoryMB is the card's memory in MB, for layers and requests together.
+	// MemoryMB is the card's memory in MB, shared by the weights and the requests.
 	MemoryMB float64
-	// StepTimeFactor multiplies the time of a token step.
+	// StepTimeFactor multiplies the time of a decoding step.
 	StepTimeFactor float64
-	// PrefillTimeFactor multiplies the time of reading a prompt.
+	// PrefillTimeFactor multiplies the time of prefill.
 	PrefillTimeFactor float64
 }
--- a/internal/layers/bench_test.go
+++ b/internal/layers/bench_test.go
@@ -7,7 +7,8 @@
 	"geraniumcroft/internal/config"
 )
 
-// benchReplicas are n small cards in three data centres, each of which holds the model a few times.
+// benchReplicas returns n small cards in three data centres. Each data centre holds the
+// model several times.
 func benchReplicas(n int) []Replica {
 	const layers = 7
 	var replicas []Replica
@@ -21,8 +22,8 @@
 	return replicas
 }
 
-// benchReserved reserves paths over n replicas, and gives each back after do.
-func benchReserved(b *testing.B, n int, do func(*Reservation) error) {
+// benchReserve measures a reservation on n replicas, a call of do with it, and its release.
+func benchReserve(b *testing.B, n int, do func(*Reservation) error) {
 	b.Run(fmt.Sprint(n, " replicas"), func(b *testing.B) {
 		table := NewTable()
 		table.Update(testSpec(), benchReplicas(n))
@@ -40,17 +41,17 @@
 	})
 }
 
-// BenchmarkReserveOfSizes chooses a path and gives it back.
+// BenchmarkReserveOfSizes reserves and releases a path for several numbers of replicas.
 func BenchmarkReserveOfSizes(b *testing.B) {
 	for _, n := range []int{39, 99, 216} {
-		benchReserved(b, n, func(*Reservation) error { return nil })
+		benchReserve(b, n, func(*Reservation) error { return nil })
 	}
 }
 
-// BenchmarkDetour replaces two stages of a path as well.
+// BenchmarkDetour also replaces two stages of the path.
 func BenchmarkDetour(b *testing.B) {
 	for _, n := range []int{99, 216} {
-		benchReserved(b, n, func(r *Reservation) error {
+		benchReserve(b, n, func(r *Reservation) error {
 			path := r.Path()
 			_, err := r.Detour([]string{path[3].Replica.Address, path[7].Replica.Address}, 50, true)
 			return err
--- a/internal/layers/bottleneck.go
+++ b/internal/layers/bottleneck.go
@@ -6,48 +6,47 @@
 	"time"
 )
 
-// Bottleneck says, for each data centre, why a request finds no path inside it now: the
-// first layers that none of its replicas can take, and what keeps each holder from it.
-// It is for the log's line about a request that was refused, as without it nobody can
-// tell a full card from a VM that has used up its part of one.
-func (t *Table) Bottleneck(need Query) string {
+// Bottleneck describes, for each data centre, why a request finds no path inside it now: the
+// first layers that none of its replicas can serve, and the reason for each holder. It is
+// logged with a refused request, to tell a full card from a VM that has used up its share.
+func (t *Table) Bottleneck(query Query) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	var lines []string
 	for _, dc := range t.dataCentres() {
-		s := search{table: t, query: need, now: now, to: t.spec.Layers, fromDC: need.DataCentre, fromCaller: true, onlyDC: dc}
+		s := search{table: t, query: query, now: now, to: t.spec.Layers, fromDC: query.DataCentre, fromCaller: true, onlyDC: dc}
 		s.collect()
 		lines = append(lines, dc+": "+s.bottleneck())
 	}
 	return strings.Join(lines, "; ")
 }
 
-// bottleneck describes the first layers without a holder that has room.
+// bottleneck describes the first layers that no holder can serve.
 func (s *search) bottleneck() string {
 	for i := 0; i+1 < len(s.cuts); i++ {
 		layers := s.layers(i, i+1)
-		var full []string
+		var blocked []string
 		free := false
 		for _, r := range s.holders {
 			if !r.Held.Contains(layers) {
 				continue
 			}
-			why := s.obstacle(r, i == 0)
-			free = free || why == ""
-			full = append(full, fmt.Sprintf("%s %s", r.Address, why))
+			reason := s.obstacle(r, i == 0)
+			free = free || reason == ""
+			blocked = append(blocked, fmt.Sprintf("%s %s", r.Address, reason))
 		}
 		switch {
-		case len(full) == 0:
+		case len(blocked) == 0:
 			return "nobody holds " + layers.String()
 		case !free:
-			return "layers " + layers.String() + " at " + strings.Join(full, ", ")
+			return "layers " + layers.String() + " at " + strings.Join(blocked, ", ")
 		}
 	}
 	return "room"
 }
 
-// obstacle says what keeps the request from a replica, "" if nothing does.
+// obstacle returns why a replica cannot serve the request, empty if it can.
 func (s *search) obstacle(r *replicaState, entry bool) string {
 	a := s.table.vmCounts.allowance(r.DataCentre)
 	if entry && !r.admitsEntry(s.table.spec.Slots, a, s.now) {
--- a/internal/layers/cheapest_path.go
+++ b/internal/layers/cheapest_path.go
@@ -7,10 +7,11 @@
 	"geraniumcroft/internal/config"
 )
 
-// maxStages is the longest path that engines take.
+// maxStages is the largest number of stages that engines accept.
 const maxStages = 32
 
-// step is the cheapest way to one cut and data centre.
+// step is the last stage of the cheapest path to a cut that ends in a certain data centre.
+// The stage begins at cut and follows a stage in the data centre with index dc.
 type step struct {
 	cost   float64
 	holder *replicaState
@@ -18,7 +19,7 @@
 	dc     int
 }
 
-// computeSteps finds the cheapest way to each cut and data centre.
+// computeSteps finds the cheapest path to each cut and data centre.
 func (s *search) computeSteps() {
 	s.steps = make([][]step, len(s.cuts))
 	for i := range s.steps {
@@ -36,15 +37,16 @@
 	}
 }
 
-// extendSteps walks on from a cut over one replica, to each cut that it reaches.
+// extendSteps continues the paths that end at a cut over one replica, to each cut within
+// the replica's range.
 func (s *search) extendSteps(i int, r *replicaState) {
 	d, _ := slices.BinarySearch(s.dcs, r.DataCentre)
-	arrival, from := s.arrivalCost(i, r)
-	if math.IsInf(arrival, 1) {
+	arrivalCost, from := s.arrivalCost(i, r)
+	if math.IsInf(arrivalCost, 1) {
 		return
 	}
 	for j := i + 1; j < len(s.cuts) && s.cuts[j] <= r.Held.To; j++ {
-		cost := arrival + s.stageCost(r, s.cuts[j]-s.cuts[i])
+		cost := arrivalCost + s.stageCost(r, s.cuts[j]-s.cuts[i])
 		if j == len(s.cuts)-1 && s.toDC != "" && s.toDC != r.DataCentre {
 			cost += s.crossingCost(r.DataCentre, s.toDC)
 		}
@@ -54,8 +56,8 @@
 	}
 }
 
-// arrivalCost returns the cheapest cost of reaching the replica at a cut, and the data
-// centre that it comes from.
+// arrivalCost returns the least cost of a path that reaches the replica at a cut, and the
+// index of the data centre from which it comes, -1 if it begins there.
 func (s *search) arrivalCost(i int, r *replicaState) (float64, int) {
 	if i == 0 {
 		return s.firstStageCost(r), -1
@@ -73,7 +75,8 @@
 	return best, from
 }
 
-// backtrack follows the steps back from the end.
+// backtrack follows the steps back from the last cut. It returns nil if no path reaches it
+// within maxStages.
 func (s *search) backtrack() Path {
 	cut, dc := len(s.cuts)-1, -1
 	best := math.Inf(1)
--- a/internal/layers/cost.go
+++ b/internal/layers/cost.go
@@ -6,34 +6,35 @@
 )
 
 const (
-	// suspectCost is added for a stage on a suspected replica. It is longer than any
-	// path takes, so such a stage is used only where nobody else holds the layers.
+	// suspectCost is added for a stage on a suspected replica. It is longer than any path
+	// takes, so such a stage is used only if nobody else holds the layers.
 	suspectCost = 100 * time.Second
 	// remoteEntryCost is added when the first stage is in another data centre than the
-	// request, whose whole answer then crosses between them.
+	// request. The whole answer then crosses between them.
 	remoteEntryCost = 150 * time.Millisecond
-	// crossingWeight multiplies the time of a prompt's transfer between data centres.
-	// Transfers go one after another, so each also delays those behind it.
+	// crossingWeight multiplies the time to send a prompt between data centres. Transfers are
+	// sent one after another, so each one also delays those after it.
 	crossingWeight = 6.0
-	// linkQueueShare is the part of a usual prompt's transfer that each token is taken to wait
-	// for the link between two data centres, behind the prompts of others.
+	// linkQueueShare is the fraction of a mean prompt's transfer time for which each token is
+	// assumed to wait for the link between two data centres, behind other prompts.
 	linkQueueShare = 0.4
-	// stageOverhead is the mean wait for a pass under way at each stage, in units of
-	// the stage's own step.
+	// stageOverhead is the mean wait for a step in progress at each stage, in units of the
+	// stage's own step time.
 	stageOverhead = 0.5
-	// hopCost is added for each stage and token, for the hop itself.
+	// hopCost is added for each stage and token, for the network hop.
 	hopCost = 100 * time.Microsecond
-	// loadWeight is how strongly a filling replica is avoided: at the VM's even share
-	// its cost is 1 + loadWeight times that of an empty one.
+	// loadWeight is how strongly a replica is avoided as it fills: at the VM's even share its
+	// cost is 1 + loadWeight times that of an empty one.
 	loadWeight = 2.0
 )
 
-// firstStageCost is the cost of reaching a path's first replica.
+// firstStageCost returns the cost of reaching a path's first replica, in seconds. It is
+// infinite if the replica takes no request now.
 func (s *search) firstStageCost(r *replicaState) float64 {
 	if s.fromCaller && !r.admitsEntry(s.table.spec.Slots, s.table.vmCounts.allowance(r.DataCentre), s.now) {
 		return math.Inf(1)
 	}
-	if s.fromCaller && !s.gateOpen(r) {
+	if s.fromCaller && !s.open(r) {
 		return math.Inf(1)
 	}
 	if s.fromDC == "" || s.fromDC == r.DataCentre {
@@ -45,11 +46,11 @@
 	return s.crossingCost(s.fromDC, r.DataCentre)
 }
 
-// share is this VM's part of what all VMs share of a replica.
+// share returns the fraction of a replica that this VM may always use.
 func (s *search) share(r *replicaState) float64 { return s.table.vmCounts.share(r.DataCentre) }
 
-// crossingCost is the cost of sending the request's activations from one data centre to
-// another. It is infinite while this VM has used up its part of the link.
+// crossingCost returns the cost of sending the request's activations from one data centre to
+// another, in seconds. It is infinite while this VM has used up its part of the link.
 func (s *search) crossingCost(from, to string) float64 {
 	spec := s.table.spec
 	if !s.table.mayCross(from, to, s.now) {
@@ -64,9 +65,8 @@
 	return cost
 }
 
-// stageCost is the time that the request takes on n layers of the replica, in
-// seconds, weighted by how full the replica is. A replica without room costs
-// infinitely much.
+// stageCost returns the time that the request takes on n layers of the replica, in seconds,
+// weighted by how full the replica is. It is infinite for a replica without enough memory.
 func (s *search) stageCost(r *replicaState, n int) float64 {
 	spec := s.table.spec
 	amount := s.query.tokens() * float64(n)
--- a/internal/layers/detour_capacity_test.go
+++ b/internal/layers/detour_capacity_test.go
@@ -11,8 +11,9 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// crowdedTable holds layers 20 to 40 on two cards, one of which many streams pass through.
-func crowdedTable(t *testing.T, streams int) (*Table, *Reservation) {
+// tableWithSpare returns a table in which two cards hold layers 20 to 40. One of them carries
+// the given number of streams, and the returned reservation passes through it.
+func tableWithSpare(t *testing.T, streams int) (*Table, *Reservation) {
 	t.Helper()
 	spec := testSpec()
 	table := NewTable()
@@ -38,21 +39,22 @@
 	return table, reservation
 }
 
-// Guards against all streams of a stopped card waiting for one holder, which reads them one after
-// the other, when other paths are free.
-func TestStreamsThatCantBeReadInTimeGoElsewhere(t *testing.T) {
+// When a card stops, all its streams need another holder, which reads them one after
+// another. No more of them may be moved than it can read in time, so that the others take
+// other paths.
+func TestDetourCapacityIsWhatCanBeReadInTime(t *testing.T) {
 	const within = 150 * time.Millisecond
 	for _, streams := range []int{5, 40, 150, 600} {
-		table, reservation := crowdedTable(t, streams)
-		crowd, ok := reservation.DetourCapacity([]string{"2"}, 50, within)
-		if !ok || len(crowd.Holders) != 1 || crowd.Holders[0].ID != "2b" {
-			t.Fatalf("%+v, %t", crowd, ok)
+		table, reservation := tableWithSpare(t, streams)
+		capacity, ok := reservation.DetourCapacity([]string{"2"}, 50, within)
+		if !ok || len(capacity.Holders) != 1 || capacity.Holders[0].ID != "2b" {
+			t.Fatalf("detour capacity %+v, %t", capacity, ok)
 		}
 		each := table.spec.prefillTime(table.spec.kind("large"), float64(meanQuery.Prompt+50), 20) / prefillShare
 		random := rand.New(rand.NewPCG(uint64(streams), 1))
 		moved, late := 0, 0
 		for range streams {
-			if random.Float64() >= crowd.MovableFraction {
+			if random.Float64() >= capacity.MovableFraction {
 				continue
 			}
 			moved++
@@ -61,7 +63,7 @@
 			}
 		}
 		if late > streams/10 {
-			t.Errorf("%d streams: %d moved, %d of them are read too late", streams, moved, late)
+			t.Errorf("%d streams: %d moved, %d of them read too late", streams, moved, late)
 		}
 		if all := float64(streams)*each <= within.Seconds(); all && moved < streams {
 			t.Errorf("%d streams: only %d moved though there is time for all", streams, moved)
@@ -69,29 +71,31 @@
 	}
 }
 
-func TestNoDetourNearbyIsNoCrowd(t *testing.T) {
-	_, reservation := crowdedTable(t, 10)
+// There is no capacity for a detour without another holder nearby.
+func TestNoDetourCapacityWithoutNearbyHolder(t *testing.T) {
+	_, reservation := tableWithSpare(t, 10)
 	for _, stopped := range []string{"1", "3", "none"} {
-		if crowd, ok := reservation.DetourCapacity([]string{stopped}, 5, time.Second); ok {
-			t.Errorf("without %s: %+v", stopped, crowd)
+		if capacity, ok := reservation.DetourCapacity([]string{stopped}, 5, time.Second); ok {
+			t.Errorf("detour capacity without %s: %+v", stopped, capacity)
 		}
 	}
 }
 
-// Guards against streams that could be moved taking the room of replicas that are nearly full.
-func TestPathOfRoomyReplicasOnly(t *testing.T) {
-	table, _ := crowdedTable(t, 5)
-	need := meanQuery
-	need.MaxUsage = 0.6
-	if _, err := table.Reserve(need); !errors.Is(err, ErrNoRoom) {
-		t.Errorf("nothing is known of the replicas' room: %v", err)
+// Streams that could stay where they are must not be moved to replicas that are nearly
+// full.
+func TestMaxUsageExcludesFullReplicas(t *testing.T) {
+	table, _ := tableWithSpare(t, 5)
+	query := meanQuery
+	query.MaxUsage = 0.6
+	if _, err := table.Reserve(query); !errors.Is(err, ErrNoRoom) {
+		t.Errorf("reservation without load reports: %v", err)
 	}
 	reportAll(table, 0.3)
-	if _, err := table.Reserve(need); err != nil {
-		t.Errorf("there is room: %v", err)
+	if _, err := table.Reserve(query); err != nil {
+		t.Errorf("reservation at usage 0.3: %v", err)
 	}
 	reportAll(table, 0.7)
-	if _, err := table.Reserve(need); !errors.Is(err, ErrNoRoom) {
-		t.Errorf("the replicas are fuller: %v", err)
+	if _, err := table.Reserve(query); !errors.Is(err, ErrNoRoom) {
+		t.Errorf("reservation at usage 0.7: %v", err)
 	}
 }
--- a/internal/layers/errors.go
+++ b/internal/layers/errors.go
@@ -3,11 +3,11 @@
 import "github.com/cockroachdb/errors"
 
 var (
-	// ErrNoPath means that some layer is held by no replica; waiting for room is no use.
+	// ErrNoPath means that no replica holds some layer. Waiting for capacity does not help.
 	ErrNoPath = errors.New("no path covers every layer")
-	// ErrNoRoom means that the replicas that hold the layers are full; a request may wait.
+	// ErrNoRoom means that the replicas that hold the layers are full. A request may wait.
 	ErrNoRoom = errors.New("no path has room")
-	// ErrNoSpareEntry means that too few replicas are left that a path can begin at, as
-	// Need.SpareEntries asks for. Waiting may take until one of them is replaced.
+	// ErrNoSpareEntry means that fewer replicas at which a path can begin are left than
+	// Query.SpareEntries asks for. It may last until one of them is replaced.
 	ErrNoSpareEntry = errors.New("too few replicas are left that a path can begin at")
 )
--- a/internal/layers/gate.go
+++ b/internal/layers/gate.go
@@ -9,13 +9,14 @@
 	"geraniumcroft/internal/pushback"
 )
 
-// Gate knows which replicas have asked not to be sent requests now. A request is sent to the first
-// replica of its path alone. It must not block.
+// Gate decides whether a replica may be sent a request, by what the replica asked for. A
+// request is sent only to the first replica of its path. The methods must not block.
 type Gate interface {
-	// Open reports whether the replica may be sent a request, and else when it may be at the earliest,
-	// zero if only other VMs may send to it.
+	// Open reports whether the replica may be sent a request. If not, at is the earliest
+	// time at which it may be, zero if only other VMs may send to it.
 	Open(replica incarnation.Key, now time.Time) (open bool, at time.Time)
-	// Take uses up one request that the replica takes, and reports whether it may be sent.
+	// Take consumes one of the requests that the replica accepts, and reports whether it
+	// may be sent.
 	Take(replica incarnation.Key, now time.Time) bool
 }
 
@@ -25,14 +26,14 @@
 func (openGate) Open(incarnation.Key, time.Time) (bool, time.Time) { return true, time.Time{} }
 func (openGate) Take(incarnation.Key, time.Time) bool              { return true }
 
-// gateOpen reports whether the replica may be sent a request.
-func (s *search) gateOpen(r *replicaState) bool {
+// open reports whether the replica may be sent a request.
+func (s *search) open(r *replicaState) bool {
 	open, _ := s.table.gate.Open(r.Key(), s.now)
 	return open
 }
 
-// heldErrorOr returns why no path was found: that all replicas which it could begin at have asked not to
-// be sent requests now, or else the error.
+// heldErrorOr returns a *pushback.HeldError if err is ErrNoRoom and all replicas at which
+// the path could begin have asked not to be sent requests now, else err.
 func (s *search) heldErrorOr(err error) error {
 	if !errors.Is(err, ErrNoRoom) {
 		return err
--- a/internal/layers/helpers_test.go
+++ b/internal/layers/helpers_test.go
@@ -6,7 +6,7 @@
 	"geraniumcroft/internal/config"
 )
 
-// testSpec is a model of 80 layers that no card of testKinds holds whole.
+// testSpec returns a model of 80 layers that does not fit on one of its accelerators.
 func testSpec() *Spec {
 	return &Spec{
 		Layers: 80, LayerMB: 1750, KVBytes: 590000, ActivationBytes: 29500, Slots: 192,
@@ -21,7 +21,7 @@
 	}
 }
 
-// cards returns n empty replicas of a kind.
+// cards returns n replicas of a kind that hold no layers.
 func cards(dataCentre, kind string, n int) []Replica {
 	var replicas []Replica
 	for i := range n {
@@ -31,7 +31,7 @@
 	return replicas
 }
 
-// threeDataCentres is an installation in which each data centre holds the model.
+// threeDataCentres returns replicas in three data centres that can each hold the model.
 func threeDataCentres() []Replica {
 	var all []Replica
 	for _, c := range []struct {
@@ -47,15 +47,15 @@
 	return all
 }
 
-// placedTable returns a table whose replicas hold what Place gives them.
+// placedTable returns a table whose replicas hold the ranges that Place returns.
 func placedTable(spec *Spec, replicas []Replica) *Table {
 	table := NewTable()
-	table.Update(spec, carriedOut(replicas, Place(spec, replicas)))
+	table.Update(spec, withRanges(replicas, Place(spec, replicas)))
 	return table
 }
 
-// carriedOut returns the replicas with the ranges that they were given.
-func carriedOut(replicas []Replica, placed map[string]config.LayerRange) []Replica {
+// withRanges returns the replicas with the ranges of a placement.
+func withRanges(replicas []Replica, placed map[string]config.LayerRange) []Replica {
 	held := make([]Replica, len(replicas))
 	for i, r := range replicas {
 		held[i] = r
--- a/internal/layers/layout.go
+++ b/internal/layers/layout.go
@@ -8,57 +8,61 @@
 )
 
 const (
-	// lossWeight is the weight of the room that is left on average after the loss of one
-	// card against that of the whole group. Cards die several times a day; a layer with
-	// one holder then stops all streams of the data centre. At 0.5 a data centre of 12 cards
-	// got layers with one holder throughout; at 0.7 it doubles a quarter.
+	// lossWeight is the weight of the capacity that remains on average after the loss of one
+	// card, against the capacity of the whole group. Cards fail several times a day, and a
+	// layer with one holder then stops all streams of the data centre. At 0.5 a data centre
+	// of 12 cards had one holder for every layer; at 0.7 a quarter of the layers
+	// had two.
 	lossWeight = 0.7
-	// assumedFill is how full cards are taken to be for the time of a step. It is a guess:
-	// from 0 to 1 a step takes about twice as long, on all kinds alike.
+	// assumedFill is how full cards are assumed to be when the time of a step is computed.
+	// From empty to full a step takes about twice as long, on all kinds of cards alike.
 	assumedFill = 0.6
 )
 
-// Parameters of the layouts that are compared. Fewer sets leave more memory for
-// requests, and more room in a card keeps layers off it. The grid spans what was best on
-// 13 cards a data centre (120 and 1.25) and on 34 (240 and 1).
+// Parameters of the candidate layouts. Fewer sets leave more memory for requests, and more
+// capacity for requests on a card leaves less memory for layers. The grid includes what
+// was best for 13 cards a data centre (room 120, redundancy 1.25) and for 34 (room 240,
+// redundancy 1).
 var (
 	roomCandidates       = []float64{60, 90, 120, 150, 180, 240}
 	redundancyCandidates = []float64{1, 1.12, 1.25, 1.5}
 )
 
-// layout is a way to give the cards of a group that holds nothing their layers.
+// layout describes how layers are assigned to the cards of a group that holds none.
 type layout struct {
-	// sets is how many whole sets of layers are laid out.
+	// sets is the number of complete sets of layers.
 	sets int
-	// room is for how many usual requests a card needs no more room.
+	// room is the number of mean requests beyond which a card needs no more memory for
+	// requests.
 	room float64
-	// redundancy is how many times the cards of a set shall be able to hold the model
-	// beside requests. What is above 1 doubles layers.
+	// redundancy is how many times the cards of a set should be able to hold the model
+	// beside the requests. What exceeds 1 gives layers a second holder.
 	redundancy float64
 }
 
-// maxCellCards is how many cards are laid out together. Larger groups are dealt into cells of
-// like cards, and one cell's best layout serves all: comparing layouts costs 20 ms of a
-// core for 34 cards and grows with the square of their number; with 333 cards a data
-// centre and 0.19 of a core the first layout came after the first requests.
+// maxCellCards is the largest number of cards that are laid out together. Larger groups
+// are dealt into similar cells, and the best layout of one cell is used for all. Comparing
+// layouts takes 20 ms of a core for 34 cards and grows with the square of their number:
+// for 333 cards in a data centre and 0.19 of a core the first layout was ready only after
+// the first requests had arrived.
 const maxCellCards = 48
 
-// placeFromScratch gives the cards of a group that holds nothing whole sets of layers, in the way
-// that carries the most requests a second.
+// placeFromScratch assigns complete sets of layers to the cards of a group that holds none,
+// with the layout that has the highest throughput.
 func placeFromScratch(spec *Spec, group []Replica, placed map[string]config.LayerRange) {
 	cells := cellsOf(spec, group)
 	best := bestLayout(spec, cells[0])
 	for _, cell := range cells {
 		best.place(spec, cell, placed)
 		if throughput(spec, cell, placed) == 0 {
-			// This cell is short of a card that the first one has, and a layer of its was left out.
+			// This cell lacks a card that the first one has, so a layer was left out.
 			bestLayout(spec, cell).place(spec, cell, placed)
 		}
 	}
 }
 
-// cellsOf deals a group, whose fast cards come first, into cells of like cards that each
-// hold the model; if they could not, the group is one cell.
+// cellsOf deals a group, sorted with the fast cards first, into similar cells that can
+// each hold the model. If some cell could not, the whole group is one cell.
 func cellsOf(spec *Spec, group []Replica) [][]Replica {
 	n := (len(group) + maxCellCards - 1) / maxCellCards
 	cells := make([][]Replica, max(1, n))
@@ -73,20 +77,21 @@
 	return cells
 }
 
+// bestLayout returns the layout with the highest throughput for the group.
 func bestLayout(spec *Spec, group []Replica) layout {
 	var best layout
 	most := math.Inf(-1)
 	for _, l := range layouts(spec, group) {
 		tried := map[string]config.LayerRange{}
 		l.place(spec, group, tried)
-		if merit := throughput(spec, group, tried); merit > most {
-			best, most = l, merit
+		if throughput := throughput(spec, group, tried); throughput > most {
+			best, most = l, throughput
 		}
 	}
 	return best
 }
 
-// layouts lists the layouts to compare.
+// layouts returns the candidate layouts.
 func layouts(spec *Spec, group []Replica) []layout {
 	var all []layout
 	for sets := 1; sets <= max(1, maxSets(spec, group)); sets++ {
@@ -99,7 +104,7 @@
 	return all
 }
 
-// place splits the group into sets of like memory.
+// place splits the group into sets of cards with equal memory.
 func (l layout) place(spec *Spec, group []Replica, placed map[string]config.LayerRange) {
 	memory := 0.0
 	for _, r := range group {
@@ -116,14 +121,14 @@
 	}
 }
 
-// placeSet gives a set of cards one set of layers, the fast cards first and as many as
-// leave room for enough requests. The cards that are left double those layers that have
-// the least room.
+// placeSet assigns one set of layers to a set of cards, to the fast cards first and to each
+// as many as leave memory for enough requests. The remaining cards become second holders
+// of the layers with the least capacity.
 //
-// Each token passes every stage, so a layer costs a request its card's pace: with the
-// layers where they are fastest a request is done sooner, holds its memory for less
-// time and is less likely to be under way when a card dies. What is doubled is there
-// at once when one does, without crossing to another data centre.
+// Each token passes every stage, so a layer on a slow card delays every request. With the
+// layers on the fastest cards a request ends sooner, uses its memory for less time and is
+// less likely to be in progress when a card fails. A second holder in the data centre
+// takes over at once, without a path that crosses to another data centre.
 func (l layout) placeSet(spec *Spec, set []Replica, placed map[string]config.LayerRange) {
 	c := newCoverage(spec)
 	room := c.roomFor(set, l)
@@ -149,33 +154,33 @@
 	}
 }
 
-// throughput estimates how many requests a second the group carries: the room at the layer
-// that has the least, over the time that a request holds it.
+// throughput estimates how many requests a second the group serves: the capacity of the
+// layer that has the least, divided by the time for which a request uses it.
 func throughput(spec *Spec, group []Replica, placed map[string]config.LayerRange) float64 {
 	c := newCoverage(spec)
-	pace := make([]float64, spec.Layers)
+	stepTimes := make([]float64, spec.Layers)
 	stages := make([]float64, spec.Layers)
 	for _, r := range group {
 		k, held := spec.kind(r.Kind), placed[r.ID]
 		c.add(k, held, 1)
 		for layer := held.From; layer < held.To; layer++ {
 			room := c.requestsAt(k, held.Len(), layer)
-			pace[layer] += room * spec.stepTime(k, assumedFill*room, spec.meanTokens())
+			stepTimes[layer] += room * spec.stepTime(k, assumedFill*room, spec.meanTokens())
 			stages[layer] += room / float64(held.Len())
 		}
 	}
 	if slices.Min(c.room) <= 0 {
 		return 0
 	}
-	token := 0.0 // seconds
+	tokenTime := 0.0 // seconds
 	for layer, room := range c.room {
-		token += (1+stageOverhead)*pace[layer]/room/float64(spec.Layers) + hopCost.Seconds()*stages[layer]/room
+		tokenTime += (1+stageOverhead)*stepTimes[layer]/room/float64(spec.Layers) + hopCost.Seconds()*stages[layer]/room
 	}
-	return ((1-lossWeight)*slices.Min(c.room) + lossWeight*roomAfterLoss(c, group, placed)) / token
+	return ((1-lossWeight)*slices.Min(c.room) + lossWeight*roomAfterLoss(c, group, placed)) / tokenTime
 }
 
-// roomAfterLoss is the room at the layer that has the least after the loss of one card,
-// on average over all cards.
+// roomAfterLoss returns the capacity of the layer that has the least after the loss of one
+// card, as the mean over all cards.
 func roomAfterLoss(c *coverage, group []Replica, placed map[string]config.LayerRange) float64 {
 	sum := 0.0
 	for _, r := range group {
--- a/internal/layers/link_budget_test.go
+++ b/internal/layers/link_budget_test.go
@@ -11,8 +11,8 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// halves is an installation in which every path crosses once between two data centres.
-func halves() []Replica {
+// splitReplicas returns replicas with which every path crosses once between two data centres.
+func splitReplicas() []Replica {
 	var all []Replica
 	for i := range 2 {
 		first, second := cards("a", "large", 2)[i], cards("b", "large", 2)[i]
@@ -23,7 +23,7 @@
 	return all
 }
 
-// reportAll reports the same part of their room as used for all replicas.
+// reportAll reports the same fraction of used memory for all replicas.
 func reportAll(table *Table, used float64) {
 	spec := table.spec
 	loads := map[incarnation.Key]Load{}
@@ -34,8 +34,8 @@
 	table.SetLoads(loads)
 }
 
-// countRoom counts the requests that find room.
-func countRoom(table *Table) int {
+// countReservations returns how many reservations succeed, at most 1000.
+func countReservations(table *Table) int {
 	n := 0
 	for ; n < 1000; n++ {
 		if _, err := table.Reserve(meanQuery); err != nil {
@@ -45,17 +45,17 @@
 	return n
 }
 
-// Callers see streams that begin late and stand still. Where the own data centre is
-// short of room many VMs turn to paths that cross; the link passes prompts one after
-// another, so the crossing requests take longer, hold their room for longer, and more
-// requests cross. Each VM therefore keeps to its part of the link.
+// If a data centre is short of capacity, many VMs choose paths that cross to another one.
+// The link sends prompts one after another, so requests that cross take longer and keep
+// their memory for longer, which makes even more requests cross. Streams then begin late
+// and stall. Each VM must therefore limit itself to its part of the link.
 func TestCrossingKeepsToThePartOfTheLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := testSpec()
 		const vms = 100
 		table := NewTable()
 		table.SetVMCounts(VMCounts{DataCentre: "a", Fleet: vms, Local: vms / 2})
-		table.Update(spec, halves())
+		table.Update(spec, splitReplicas())
 		begin := time.Now()
 		crossed := 0
 		for time.Since(begin) < 20*time.Second {
@@ -79,8 +79,8 @@
 	})
 }
 
-// A path that stays in another data centre crosses no link with activations, so the
-// part of the link does not hold it up.
+// A path that stays in another data centre sends no activations over a link, so the link's
+// budget must not delay it.
 func TestPathInAnotherDataCentreNeedsNoLink(t *testing.T) {
 	spec := testSpec()
 	table := NewTable()
@@ -100,9 +100,9 @@
 	}
 }
 
-// Callers of one VM are refused while the replicas are half empty: its requests come at
-// random, and at times it needs more than its even share. It may use a few shares unless
-// the replicas are reported as nearly full.
+// Requests arrive at VMs at random, so a VM needs more than its even share at times. It may
+// use a few shares unless the replicas are reported as nearly full; otherwise it would
+// refuse requests while the replicas are half empty.
 func TestShareIsExceededWhileThereIsRoom(t *testing.T) {
 	spec := testSpec()
 	const home = 28
@@ -110,7 +110,7 @@
 		table := placedTable(spec, cards("a", "large", 3))
 		table.SetVMCounts(VMCounts{DataCentre: "a", Fleet: 3 * home, Local: home})
 		reportAll(table, used)
-		return countRoom(table)
+		return countReservations(table)
 	}
 	half, full := count(0.5), count(0.85)
 	if half < 2*full {
--- a/internal/layers/load.go
+++ b/internal/layers/load.go
@@ -7,16 +7,16 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// reportLag is by how much a report may be older than the board that it stands on: the
-// round in which the replicas were asked, and the few hundred ms by which replicas say
-// that their reports lag.
+// reportLag is the largest age of a report relative to the snapshot of loads that contains
+// it: the time to poll all replicas, and the few hundred milliseconds by which replicas
+// state that their reports lag.
 const reportLag = time.Second
 
-// downMaxAge is for how long after a board shows a replica as down it is avoided. The next
-// boards come each second and renew it.
+// downMaxAge is how long a replica is avoided after a snapshot shows it as down. Later
+// snapshots, one a second, renew it.
 const downMaxAge = 3 * time.Second
 
-// loadMaxAge is how long a reported load is believed. Boards come each second and take
+// loadMaxAge is how long a reported load is used. Snapshots are made each second and take
 // one or two more to reach every VM.
 const loadMaxAge = 4 * time.Second
 
@@ -25,25 +25,26 @@
 	// Used and Total are its memory for requests, in tokens times layers.
 	Used  float64 `json:"u"`
 	Total float64 `json:"t"`
-	// Pace above 1 means that the replica is slower than its kind.
+	// Pace is the replica's step time relative to its kind of card; above 1 it is slower.
 	Pace float64 `json:"p"`
-	// EntryRequests is how many requests run or wait here as the first replica of their paths.
+	// EntryRequests is how many requests run or wait at the replica as the first one of their
+	// paths.
 	EntryRequests int `json:"n,omitempty"`
 	// Sequence is how many orders the incarnation has begun.
 	Sequence uint64 `json:"s,omitempty"`
-	// Held are the layers that the replica has loaded.
+	// Held is the range of layers that the replica has loaded.
 	Held config.LayerRange `json:"h"`
-	// Born is the start of the incarnation that reported; see incarnation.BornMissing. A
-	// board has it in its keys.
+	// Born is the start of the incarnation that reported; see incarnation.BornMissing. It is
+	// not encoded because the keys of a snapshot contain it.
 	Born int64 `json:"-"`
-	// Down says that the replica did not answer.
+	// Down means that the replica did not answer.
 	Down bool `json:"d,omitempty"`
-	// At is when this VM could first know it.
+	// At is the earliest time at which this VM could know the report.
 	At time.Time `json:"-"`
 }
 
-// SetLoads takes over what the replicas reported. What an incarnation reported that is not
-// listed any more, or not yet, says nothing of the one that is.
+// SetLoads applies the load reports of replicas. A report of an incarnation that is not
+// listed, no longer or not yet, says nothing of the one that is listed and is dropped.
 func (t *Table) SetLoads(loads map[incarnation.Key]Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/layers/path.go
+++ b/internal/layers/path.go
@@ -14,14 +14,14 @@
 	Layers  config.LayerRange
 }
 
-// Path is what a request passes through, in order. It covers every layer once.
+// Path lists the stages of a request in order. They cover every layer once.
 type Path []Stage
 
-// First is the replica that the request is sent to.
+// First returns the replica to which the request is sent. The path must not be empty.
 func (p Path) First() Replica { return p[0].Replica }
 
-// Covers reports whether the path runs each of n layers once and in order, and
-// names no replica twice.
+// Covers reports whether the path runs each of n layers once and in order and names no
+// address twice.
 func (p Path) Covers(n int) bool {
 	next := 0
 	seen := make(map[string]bool, len(p))
@@ -35,8 +35,8 @@
 	return next == n
 }
 
-// betweenRepeats returns the replica of a stage that lies between two stages of one
-// replica, if there is one.
+// betweenRepeats returns the replica of a stage that lies between two stages of the same
+// replica. The second result is false if there is none.
 func (p Path) betweenRepeats() (Replica, bool) {
 	seen := make(map[string]int, len(p))
 	for i, stage := range p {
@@ -48,7 +48,7 @@
 	return Replica{}, false
 }
 
-// ReplicaAt returns the replica of the stage at an address. Ok is false if the path has none.
+// ReplicaAt returns the replica of the stage at an address. Ok is false if there is none.
 func (p Path) ReplicaAt(address string) (r Replica, ok bool) {
 	for _, stage := range p {
 		if stage.Replica.Address == address {
@@ -58,7 +58,7 @@
 	return Replica{}, false
 }
 
-// keys are the incarnations of the path's replicas.
+// keys returns the incarnations of the path's replicas.
 func (p Path) keys() []incarnation.Key {
 	keys := make([]incarnation.Key, 0, len(p))
 	for _, stage := range p {
@@ -70,7 +70,8 @@
 // span is a run of stages [from, to) of a path.
 type span struct{ from, to int }
 
-// spans returns the runs of stages at the given addresses, in the path's order.
+// spans returns the runs of consecutive stages at the given addresses, in the order of the
+// path.
 func (p Path) spans(addresses []string) []span {
 	var spans []span
 	for i, stage := range p {
@@ -85,7 +86,7 @@
 	return spans
 }
 
-// String lists the stages, for logs.
+// String lists the stages as address=from-to, for logs.
 func (p Path) String() string {
 	var b strings.Builder
 	for i, stage := range p {
--- a/internal/layers/path_test.go
+++ b/internal/layers/path_test.go
@@ -15,8 +15,8 @@
 
 var meanQuery = Query{Prompt: 770, Answer: 174, DataCentre: "a"}
 
-// Whatever ranges replicas report, a path runs every layer once and in order and names
-// no replica twice; engines check neither gaps nor overlaps.
+// Whatever ranges replicas report, a path runs every layer once and in order and names no
+// replica twice. Engines do not check for gaps or overlaps.
 func TestPathRunsEveryLayerOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := testSpec()
@@ -46,8 +46,8 @@
 	})
 }
 
-// Activations between two stages are far larger than a request's answer, so a path does
-// not change the data centre where one holds all layers.
+// The activations between two stages are far larger than the answer of a request, so a path
+// stays in one data centre if that holds all layers.
 func TestPathStaysInOneDataCentre(t *testing.T) {
 	table := placedTable(testSpec(), threeDataCentres())
 	for range 60 {
@@ -58,14 +58,14 @@
 		path := reservation.Path()
 		for _, stage := range path {
 			if stage.Replica.DataCentre != path.First().DataCentre {
-				t.Fatalf("the path changes the data centre: %s", path)
+				t.Fatalf("the path crosses to another data centre: %s", path)
 			}
 		}
 	}
 }
 
-// A request reserves the memory of its whole answer on each stage. When the replicas
-// are full the next one has to wait, and a request that ends makes room again.
+// A request reserves memory for its whole answer on each stage. If the replicas are full
+// the next request has to wait, and the end of a request frees its memory.
 func TestRoomIsReservedAndGivenBack(t *testing.T) {
 	table := placedTable(testSpec(), threeDataCentres())
 	var taken []*Reservation
@@ -80,11 +80,11 @@
 		taken = append(taken, reservation)
 	}
 	if len(taken) < 100 {
-		t.Errorf("only %d requests found room", len(taken))
+		t.Errorf("only %d reservations succeeded", len(taken))
 	}
 	taken[0].Release(true)
 	if _, err := table.Reserve(meanQuery); err != nil {
-		t.Errorf("no room after a request ended: %v", err)
+		t.Errorf("reservation after a request ended: %v", err)
 	}
 	for _, reservation := range taken {
 		reservation.Release(true)
@@ -92,13 +92,13 @@
 	}
 	for _, replica := range table.Dump() {
 		if replica.ID != "" && replica.Reserved > 0.1 {
-			t.Errorf("%s still holds %.2f of its room", replica.ID, replica.Reserved)
+			t.Errorf("%s still has %.2f of its memory reserved", replica.ID, replica.Reserved)
 		}
 	}
 }
 
-// A stage dies. The stream goes on over other holders of the same layers in its data
-// centre, if there are any, with the same first replica.
+// When a stage fails, the stream continues on other holders of its layers, in its data
+// centre if there are any, and keeps its first replica.
 func TestDetourKeepsTheOtherStages(t *testing.T) {
 	spec := testSpec()
 	table := NewTable()
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	if _, err := reservation.Detour([]string{"2"}, 50, true); !errors.Is(err, ErrNoPath) {
-		t.Errorf("a detour nearby: %v", err)
+		t.Errorf("detour in the same data centre: %v", err)
 	}
 	path, err := reservation.Detour([]string{"2"}, 50, false)
 	if err != nil || path.String() != "1=0-30,3=30-60,4=60-80" {
@@ -124,9 +124,9 @@
 	}
 }
 
-// A replica that is about to leave turns new requests away and finishes what it has.
-// The suspicion that the first of these refusals raises must not end because an older
-// stream went well: every new request would be turned away once more.
+// A replica that is about to leave refuses new requests and finishes those it has. The
+// success of an older stream must not end the suspicion after a refusal: otherwise every
+// new request would be refused once more.
 func TestOldSuccessDoesNotEndSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := placedTable(testSpec(), threeDataCentres())
@@ -145,7 +145,7 @@
 			}
 			for _, stage := range next.Path() {
 				if stage.Replica == leaving {
-					t.Fatal("a new request goes over the suspected replica")
+					t.Fatal("a new path includes the suspected replica")
 				}
 			}
 		}
@@ -161,9 +161,9 @@
 	})
 }
 
-// A card is about to leave, and the store that would tell of it is away. It turns new
-// requests away though its report shows room, and will for as long as it runs: a VM that
-// tried it again after a second would be turned away each time.
+// A card that is about to leave refuses new requests although its report shows free memory,
+// and goes on doing so. Discovery cannot show that while the store is unavailable. A VM that
+// tried the card again after a second would be refused each time.
 func TestCardThatTurnsAwayWithRoomIsLeftForLonger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := testSpec()
@@ -191,13 +191,13 @@
 			time.Sleep(time.Second / 2)
 		}
 		if turns != 2 {
-			t.Errorf("the card was tried %d times in eight seconds, 2 are its first and one after 4 s", turns)
+			t.Errorf("the card was tried %d times in 8 s, want 2: at the start and after 4 s", turns)
 		}
 	})
 }
 
-// All holders of some layers are suspected. A doubtful answer is better than a certain
-// refusal, so they are used all the same.
+// If all holders of some layers are suspected they are used nevertheless: a request that
+// may fail is better than a certain refusal.
 func TestLastHolderIsUsedThoughSuspected(t *testing.T) {
 	table := placedTable(testSpec(), cards("a", "large", 3))
 	for _, r := range cards("a", "large", 3) {
@@ -208,8 +208,8 @@
 	}
 }
 
-// The replicas report that others fill them. A VM within its own share waits only when
-// they are full indeed; where they have room it goes beyond its share.
+// A VM within its own share of memory has to wait only if the replicas report that they are
+// full. If they report free memory, the VM may go beyond its share.
 func TestReportedLoadDecidesBeyondTheShare(t *testing.T) {
 	spec := testSpec()
 	replicas := cards("a", "large", 3)
@@ -217,17 +217,17 @@
 		table := placedTable(spec, replicas)
 		table.SetVMCounts(VMCounts{DataCentre: "a", Fleet: 10, Local: 10})
 		reportAll(table, used)
-		return countRoom(table)
+		return countReservations(table)
 	}
 	idle, full := count(0), count(0.95)
 	if idle < 3*full || full == 0 && idle < 10 {
-		t.Errorf("%d requests found room on idle replicas, %d on full ones", idle, full)
+		t.Errorf("%d reservations on idle replicas, %d on full ones", idle, full)
 	}
 }
 
-// A dead card's layers were loaded elsewhere, and drafts wait for them. The new holder
-// tells discovery at its next heartbeat only; its report is seconds earlier and counts,
-// until discovery shows another range.
+// Requests wait for layers that were lost with a card and have been loaded elsewhere. The new
+// holder writes them to discovery at its next heartbeat only. Its load report arrives
+// seconds earlier and counts until discovery shows another range.
 func TestReportedRangeCountsBeforeDiscovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spec := testSpec()
@@ -238,28 +238,28 @@
 		table.Update(spec, replicas)
 		time.Sleep(2 * reportLag)
 		if _, err := table.Reserve(meanQuery); !errors.Is(err, ErrNoPath) {
-			t.Fatalf("a path without the last layers: %v", err)
+			t.Fatalf("reservation without the last layers: %v", err)
 		}
 		loaded := config.LayerRange{From: 60, To: 80}
 		table.SetLoads(map[incarnation.Key]Load{replicas[2].Key(): {Held: loaded, At: time.Now()}})
 		if _, err := table.Reserve(meanQuery); err != nil {
-			t.Errorf("no path though the last layers were reported: %v", err)
+			t.Errorf("reservation after the last layers were reported: %v", err)
 		}
 		table.Update(spec, replicas)
 		if _, err := table.Reserve(meanQuery); err != nil {
-			t.Errorf("an older entry of discovery took the layers away: %v", err)
+			t.Errorf("reservation after an older discovery entry: %v", err)
 		}
 		replicas[2].Held = config.LayerRange{From: 70, To: 80}
 		table.Update(spec, replicas)
 		table.SetLoads(map[incarnation.Key]Load{replicas[2].Key(): {Held: loaded, At: time.Now()}})
 		if _, err := table.Reserve(meanQuery); !errors.Is(err, ErrNoPath) {
-			t.Errorf("a report of before the newest entry counts: %v", err)
+			t.Errorf("reservation after a report older than the discovery entry: %v", err)
 		}
 	})
 }
 
-// Drafts begin late though all cards have room: those that enter at one card are more
-// than it takes at once, and wait there. A card that reports this gets no more.
+// Requests beyond the slots of their first card wait there although all cards have free
+// memory. A card that reports that its slots are taken gets no more first stages.
 func TestCardWithoutSlotsIsNotEntered(t *testing.T) {
 	spec := testSpec()
 	table := NewTable()
@@ -278,7 +278,7 @@
 			t.Fatal(err)
 		}
 		if reservation.Path().First().ID != other[0].ID {
-			t.Fatal("a draft enters at the card whose slots are taken")
+			t.Fatal("a path begins at the card whose slots are taken")
 		}
 	}
 }
@@ -294,8 +294,8 @@
 	}
 }
 
-// Guards against a request that may crash replicas being sent to one of the last at which paths
-// can begin.
+// A request that may crash replicas must not be sent to one of the last replicas at which
+// paths can begin.
 func TestSpareEntriesAreLeft(t *testing.T) {
 	table := NewTable()
 	table.Update(testSpec(), []Replica{
@@ -304,25 +304,26 @@
 		{ID: "3", Address: "3", DataCentre: "a", Kind: "large", Held: config.LayerRange{From: 40, To: 80}},
 	})
 	for spare, want := range []error{nil, nil, ErrNoSpareEntry} {
-		need := meanQuery
-		need.SpareEntries = spare
-		reservation, err := table.Reserve(need)
+		query := meanQuery
+		query.SpareEntries = spare
+		reservation, err := table.Reserve(query)
 		if !errors.Is(err, want) {
-			t.Errorf("%d to be left: %v", spare, err)
+			t.Errorf("%d spare entries: %v", spare, err)
 		}
 		if err == nil {
 			reservation.Release(true)
 		}
 	}
 	table.Suspect(Replica{ID: "1"})
-	need := meanQuery
-	need.SpareEntries = 1
-	if _, err := table.Reserve(need); !errors.Is(err, ErrNoSpareEntry) {
-		t.Errorf("a suspected replica counts as one that is left: %v", err)
+	query := meanQuery
+	query.SpareEntries = 1
+	if _, err := table.Reserve(query); !errors.Is(err, ErrNoSpareEntry) {
+		t.Errorf("spare entry that is suspected: %v", err)
 	}
 }
 
-// Guards against a stream that is moved to one dead stage after the other, with an order for each.
+// A stream must not be moved from one stopped stage to the next with an order for each: one
+// detour replaces all of them.
 func TestDetourReplacesAllStoppedStages(t *testing.T) {
 	table := NewTable()
 	held := func(id string, from, to int) Replica {
@@ -347,6 +348,6 @@
 		t.Errorf("the first stage was replaced: %v", err)
 	}
 	if path, err := reservation.Detour([]string{"34", "3"}, 5, true); err == nil {
-		t.Errorf("the detour %s goes back to a stage that stopped", path)
+		t.Errorf("the detour %s includes a stopped stage", path)
 	}
 }
--- a/internal/layers/place.go
+++ b/internal/layers/place.go
@@ -8,18 +8,19 @@
 	"geraniumcroft/internal/config"
 )
 
-// minRoom is for how many usual requests a card has to have room at least where memory
+// minRoom is the least number of mean requests for which a card needs memory where memory
 // is short.
 const minRoom = 4.0
 
-// Place returns the ranges that replicas are to hold. Replicas whose range stays as
-// it is are in the result too; one that is to hold nothing is not. It is a pure
-// function of its arguments, so that two VMs with the same view order the same.
+// Place returns the ranges that replicas should hold, by replica ID. The result includes
+// replicas whose range does not change; a replica that should hold nothing is missing. It
+// is a pure function of its arguments, so two VMs with the same view send the same orders.
 //
-// Data centres that can hold a set of layers get sets of their own; the cards of
-// the others together form sets that span data centres. A group without any layer is
-// laid out whole. After that replicas keep what they hold unless a move is clearly
-// worth its load: layers that are given up serve nobody meanwhile.
+// A data centre whose cards can hold a set of layers gets its own sets. The cards of the
+// other data centres together form sets that span data centres. A group of cards without
+// any layer is laid out as a whole. Otherwise replicas keep what they hold unless a move
+// is clearly worth the time to load: until then the layers that the card releases serve no
+// request.
 func Place(spec *Spec, replicas []Replica) map[string]config.LayerRange {
 	placed := map[string]config.LayerRange{}
 	for _, group := range groups(spec, replicas) {
@@ -28,7 +29,8 @@
 	return placed
 }
 
-// groups splits the replicas into those that share sets of layers.
+// groups returns the groups of replicas that share sets of layers. Draining replicas and
+// cards on which no layer fits are in none.
 func groups(spec *Spec, replicas []Replica) [][]Replica {
 	byDataCentre := map[string][]Replica{}
 	for _, r := range replicas {
@@ -53,14 +55,14 @@
 	return whole
 }
 
-// compareReplicas puts fast cards first, so that a set is made of cards of like pace.
+// compareReplicas sorts fast cards first, so that the cards of a set have similar speeds.
 func compareReplicas(spec *Spec, a, b Replica) int {
-	byPace := cmp.Compare(spec.kind(a.Kind).StepTimeFactor, spec.kind(b.Kind).StepTimeFactor)
-	return cmp.Or(byPace, cmp.Compare(a.Address, b.Address), cmp.Compare(a.ID, b.ID))
+	byStepTime := cmp.Compare(spec.kind(a.Kind).StepTimeFactor, spec.kind(b.Kind).StepTimeFactor)
+	return cmp.Or(byStepTime, cmp.Compare(a.Address, b.Address), cmp.Compare(a.ID, b.ID))
 }
 
-// maxSets is how many sets of layers the replicas can hold beside some requests, 0 if
-// not even one.
+// maxSets returns how many sets of layers the replicas can hold beside some requests. It is
+// 0 if they cannot hold a single one.
 func maxSets(spec *Spec, group []Replica) int {
 	const memoryPerSet = 1.1 // memory for a set and a few requests, in multiples of its weights
 	memory, most := 0.0, 0
@@ -75,6 +77,7 @@
 	return max(1, int(memory/(memoryPerSet*float64(spec.Layers)*spec.LayerMB)))
 }
 
+// placeGroup places the layers of one group of cards.
 func placeGroup(spec *Spec, group []Replica, placed map[string]config.LayerRange) {
 	for _, r := range group {
 		if r.Held.Len() > 0 {
--- a/internal/layers/place_test.go
+++ b/internal/layers/place_test.go
@@ -10,7 +10,8 @@
 	"geraniumcroft/internal/config"
 )
 
-// holders counts the cards that hold each layer.
+// holders counts the cards that hold each layer, in one data centre or, if that is empty, in
+// all.
 func holders(spec *Spec, replicas []Replica, dataCentre string) []int {
 	counts := make([]int, spec.Layers)
 	for _, r := range replicas {
@@ -23,7 +24,7 @@
 
 func TestEveryDataCentreGetsAllLayers(t *testing.T) {
 	spec := testSpec()
-	held := carriedOut(threeDataCentres(), Place(spec, threeDataCentres()))
+	held := withRanges(threeDataCentres(), Place(spec, threeDataCentres()))
 	for _, dataCentre := range []string{"a", "b", "c"} {
 		if low := slices.Min(holders(spec, held, dataCentre)); low < 1 {
 			t.Errorf("data centre %s does not hold every layer", dataCentre)
@@ -31,14 +32,13 @@
 	}
 }
 
-// A card is given more layers than it holds, or so many that no request fits beside
-// them: the engine crashes on the order, or turns every request away. Neither may come
-// out of any installation.
-func TestPlacementKeepsToMemory(t *testing.T) {
+// No installation of cards may lead to a range that does not fit into a card's memory, which
+// crashes the engine, or that leaves no memory for a request, so that it refuses all.
+func TestPlacementFitsIntoMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := testSpec()
 		replicas := drawInstallation(t)
-		for _, r := range carriedOut(replicas, Place(spec, replicas)) {
+		for _, r := range withRanges(replicas, Place(spec, replicas)) {
 			if r.Held.Len() == 0 {
 				continue
 			}
@@ -47,14 +47,14 @@
 				t.Fatalf("%s holds %s", r.ID, r.Held)
 			}
 			if room := spec.room(k, r.Held.Len()); room < spec.meanTokens() {
-				t.Fatalf("%s holds %s and has room for %.0f tokens", r.ID, r.Held, room)
+				t.Fatalf("%s holds %s and has memory for %.0f tokens", r.ID, r.Held, room)
 			}
 		}
 	})
 }
 
-// Cards with memory to spare for the whole model leave no layer out.
-func TestPlacementCoversWhereItCan(t *testing.T) {
+// If the cards have enough memory for the whole model, the placement leaves no layer out.
+func TestPlacementCoversAllLayersThatFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := testSpec()
 		replicas := drawInstallation(t)
@@ -65,13 +65,14 @@
 		if most < spec.Layers {
 			return
 		}
-		held := carriedOut(replicas, Place(spec, replicas))
+		held := withRanges(replicas, Place(spec, replicas))
 		if low := slices.Min(holders(spec, held, "")); low < 1 {
-			t.Fatalf("a layer is held by nobody, of %d that fit: %v", most, held)
+			t.Fatalf("a layer has no holder though %d layers fit: %v", most, held)
 		}
 	})
 }
 
+// drawInstallation draws the cards of one to four data centres.
 func drawInstallation(t *rapid.T) []Replica {
 	var all []Replica
 	for dc := range rapid.IntRange(1, 4).Draw(t, "data centres") {
@@ -83,28 +84,28 @@
 	return all
 }
 
-// One card after another dies for good. Each time the placement, carried out until it
-// asks for nothing more, has to come to rest, and all layers have to be held again.
+// Cards fail for good, one after another. Each time, repeated placement must stop moving
+// cards, and in the end every layer must be held again.
 func TestPlacementRecoversFromLostCards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := testSpec()
-		held := carriedOut(threeDataCentres(), Place(spec, threeDataCentres()))
+		held := withRanges(threeDataCentres(), Place(spec, threeDataCentres()))
 		for range rapid.IntRange(1, 5).Draw(t, "deaths") {
 			dead := rapid.IntRange(0, len(held)-1).Draw(t, "dead")
 			held = slices.Delete(slices.Clone(held), dead, dead+1)
 			held = settle(t, spec, held)
 		}
 		if low := slices.Min(holders(spec, held, "")); low < 1 {
-			t.Fatal("a layer is held by nobody")
+			t.Fatal("a layer has no holder")
 		}
 	})
 }
 
-// settle carries placements out until one changes nothing.
+// settle applies placements until one changes nothing.
 func settle(t *rapid.T, spec *Spec, replicas []Replica) []Replica {
 	const most = 40
 	for range most {
-		next := carriedOut(replicas, Place(spec, replicas))
+		next := withRanges(replicas, Place(spec, replicas))
 		if slices.Equal(next, replicas) {
 			return next
 		}
@@ -114,13 +115,13 @@
 	return nil
 }
 
-// In a data centre with many small cards drafts wait for room at one layer while others
-// have twice as much. What is laid out leaves the layer that has the least room at
-// least two thirds of the mean, and every layer another holder when one card dies.
+// In a data centre with many small cards, requests wait for memory at one layer while others
+// have twice as much, unless the layout is even. The layer with the least capacity must have
+// at least two thirds of the mean, and every layer two holders in case one card fails.
 func TestLayoutIsEven(t *testing.T) {
 	spec := testSpec()
 	group := slices.Concat(cards("a", "large", 1), cards("a", "fast", 2), cards("a", "slow", 13), cards("a", "small", 18))
-	held := carriedOut(group, Place(spec, group))
+	held := withRanges(group, Place(spec, group))
 	c := newCoverage(spec)
 	for _, r := range held {
 		c.add(spec.kind(r.Kind), r.Held, 1)
@@ -130,20 +131,19 @@
 		mean += room / float64(spec.Layers)
 	}
 	if least := slices.Min(c.room); least < mean*2/3 {
-		t.Errorf("the least room is %.0f requests, the mean %.0f", least, mean)
+		t.Errorf("the least capacity is %.0f requests, the mean %.0f", least, mean)
 	}
 	if low := slices.Min(holders(spec, held, "a")); low < 2 {
 		t.Errorf("a layer has %d holders", low)
 	}
 }
 
-// A data centre has hundreds of cards. They are laid out in cells, so that it takes no
-// longer than a moment; every layer is held many times over, by about as many requests'
-// room as the others.
+// A data centre with hundreds of cards is laid out in cells, which keeps the computation
+// short. Every layer then has many holders with similar capacity.
 func TestLargeDataCentreIsLaidOut(t *testing.T) {
 	spec := testSpec()
 	group := slices.Concat(cards("a", "large", 7), cards("a", "fast", 25), cards("a", "slow", 140), cards("a", "small", 145))
-	held := carriedOut(group, Place(spec, group))
+	held := withRanges(group, Place(spec, group))
 	if low := slices.Min(holders(spec, held, "a")); low < 10 {
 		t.Errorf("a layer has %d holders of 317 cards", low)
 	}
@@ -156,7 +156,7 @@
 		sum += room
 	}
 	if mean, least := sum/float64(spec.Layers), slices.Min(c.room); least < 0.5*mean {
-		t.Errorf("the least room is %.0f requests, the mean %.0f", least, mean)
+		t.Errorf("the least capacity is %.0f requests, the mean %.0f", least, mean)
 	}
 }
 
@@ -176,28 +176,27 @@
 	}
 }
 
-// A fast card dies, and the card next to it widens over its layers at once, which leaves
-// it room for a sixth of the requests. When another card of the dead one's kind joins,
-// drafts must not go on waiting for room: it takes those layers, and the neighbour gives
-// them up again.
+// When a fast card fails, the card next to it widens over its layers at once and has memory
+// for a sixth of the requests left. When a card of the same kind joins, it must take these
+// layers and the neighbour must release them, or requests go on waiting for memory.
 func TestRoomComesBackWithACard(t *testing.T) {
 	spec := testSpec()
 	group := slices.Concat(cards("a", "large", 1), cards("a", "fast", 1), cards("a", "slow", 5), cards("a", "small", 7))
-	held := carriedOut(group, Place(spec, group))
-	before := leastRoomOf(spec, held)
+	held := withRanges(group, Place(spec, group))
+	before := minRoomOf(spec, held)
 	rapid.Check(t, func(t *rapid.T) {
 		dead := rapid.IntRange(0, len(held)-1).Draw(t, "dead")
 		left := settle(t, spec, slices.Delete(slices.Clone(held), dead, dead+1))
 		joined := Replica{ID: "new", Address: "new", DataCentre: "a", Kind: held[dead].Kind}
-		after := leastRoomOf(spec, settle(t, spec, append(left, joined)))
+		after := minRoomOf(spec, settle(t, spec, append(left, joined)))
 		if after < 0.45*before {
-			t.Errorf("the least room was %.0f requests, and is %.0f after %s died and came back", before, after, held[dead].ID)
+			t.Errorf("the least capacity was %.0f requests, and is %.0f after %s failed and was replaced", before, after, held[dead].ID)
 		}
 	})
 }
 
-// leastRoomOf is the room at the layer that has the least.
-func leastRoomOf(spec *Spec, held []Replica) float64 {
+// minRoomOf returns the capacity of the layer that has the least.
+func minRoomOf(spec *Spec, held []Replica) float64 {
 	c := newCoverage(spec)
 	for _, r := range held {
 		c.add(spec.kind(r.Kind), r.Held, 1)
@@ -205,33 +204,33 @@
 	return slices.Min(c.room)
 }
 
-// A card that joins beside a hole takes the hole, and nobody else has to move.
+// A card that joins next to a gap takes the missing layers, and no other card moves.
 func TestJoiningCardClosesHole(t *testing.T) {
 	spec := testSpec()
-	held := carriedOut(cards("a", "slow", 14), Place(spec, cards("a", "slow", 14)))
-	hole := held[5].Held
+	held := withRanges(cards("a", "slow", 14), Place(spec, cards("a", "slow", 14)))
+	gap := held[5].Held
 	held[5] = Replica{ID: "new", Address: "new", DataCentre: "a", Kind: "slow"}
 	placed := Place(spec, held)
-	if got := placed["new"]; !got.Contains(uncoveredPart(spec, held, hole)) {
-		t.Errorf("the new card holds %s, the hole is %s", got, hole)
+	if got := placed["new"]; !got.Contains(uncoveredPart(spec, held, gap)) {
+		t.Errorf("the new card holds %s, the gap is %s", got, gap)
 	}
 }
 
-// uncoveredPart narrows a hole to the layers that really nobody holds.
-func uncoveredPart(spec *Spec, replicas []Replica, hole config.LayerRange) config.LayerRange {
+// uncoveredPart narrows a range at both ends to the layers that have no holder.
+func uncoveredPart(spec *Spec, replicas []Replica, gap config.LayerRange) config.LayerRange {
 	counts := holders(spec, replicas, "")
-	for hole.From < hole.To && counts[hole.From] > 0 {
-		hole.From++
+	for gap.From < gap.To && counts[gap.From] > 0 {
+		gap.From++
 	}
-	for hole.To > hole.From && counts[hole.To-1] > 0 {
-		hole.To--
+	for gap.To > gap.From && counts[gap.To-1] > 0 {
+		gap.To--
 	}
-	return hole
+	return gap
 }
 
 func TestDrainingCardIsNotCounted(t *testing.T) {
 	spec := testSpec()
-	held := carriedOut(threeDataCentres(), Place(spec, threeDataCentres()))
+	held := withRanges(threeDataCentres(), Place(spec, threeDataCentres()))
 	for i := range held {
 		if held[i].ID == "b-slow-3" {
 			held[i].Draining = true
@@ -242,12 +241,12 @@
 		t.Error("a draining card was given layers")
 	}
 	var staying []Replica
-	for _, r := range carriedOut(held, placed) {
+	for _, r := range withRanges(held, placed) {
 		if !r.Draining {
 			staying = append(staying, r)
 		}
 	}
 	if low := slices.Min(holders(spec, staying, "b")); low < 1 {
-		t.Error("its layers found no other holder in the data centre")
+		t.Error("the layers of the draining card have no other holder in the data centre")
 	}
 }
--- a/internal/layers/query.go
+++ b/internal/layers/query.go
@@ -6,33 +6,35 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// Query is what a request needs of a path.
+// Query describes what a request requires of a path.
 type Query struct {
-	// Prompt is how many tokens are read, Answer how many are expected to be written.
+	// Prompt is the number of tokens to read, Answer the expected number of tokens to write.
 	Prompt int
 	Answer int
-	// DataCentre is where the request entered; paths that begin there are preferred.
+	// DataCentre is where the request arrived. Paths that begin there are preferred.
 	DataCentre string
-	// Exclude are the replicas that the request has failed on.
+	// Exclude are the replicas on which the request has failed.
 	Exclude map[incarnation.Key]bool
-	// MaxUsage is how full a replica's memory may be before the request, as a part of it, 0 for any:
-	// work that could stay where it is leaves the room of full replicas to others.
+	// MaxUsage is the largest fraction of a replica's memory that may be in use before this
+	// request; 0 means no limit. A request that could stay where it is leaves the memory
+	// of fuller replicas to others.
 	MaxUsage float64
-	// SpareEntries is how many other replicas must be left that a path can begin at, if the one
-	// that this path begins at should end. 0 asks for nothing.
+	// SpareEntries is how many replicas at which a path can begin must remain if the one at
+	// which this path begins fails. 0 asks for none.
 	SpareEntries int
 }
 
-// excluding returns the need with some more replicas to avoid; the map is its own.
-func (n Query) excluding(keys ...incarnation.Key) Query {
-	avoid := make(map[incarnation.Key]bool, len(n.Exclude)+len(keys))
-	maps.Copy(avoid, n.Exclude)
+// excluding returns a copy of the query that excludes more replicas. The copy has its own
+// map.
+func (q Query) excluding(keys ...incarnation.Key) Query {
+	exclude := make(map[incarnation.Key]bool, len(q.Exclude)+len(keys))
+	maps.Copy(exclude, q.Exclude)
 	for _, k := range keys {
-		avoid[k] = true
+		exclude[k] = true
 	}
-	n.Exclude = avoid
-	return n
+	q.Exclude = exclude
+	return q
 }
 
-// tokens is the context of the request at its end.
-func (n Query) tokens() float64 { return float64(max(1, n.Prompt+n.Answer)) }
+// tokens returns the context of the request at its end, in tokens.
+func (q Query) tokens() float64 { return float64(max(1, q.Prompt+q.Answer)) }
--- a/internal/layers/rebalance.go
+++ b/internal/layers/rebalance.go
@@ -7,56 +7,58 @@
 )
 
 const (
-	// minMoveGain is by how much a move must lessen the shortage for a card that holds
-	// layers already. Its present layers serve nobody new once it is ordered, and the
-	// load takes from the source that all loads share.
+	// minMoveGain is the fraction of the shortage that a move must remove for a card that
+	// already holds layers. Once the move is ordered its present layers take no new
+	// requests, and all loads share one source of weights.
 	minMoveGain = 0.15
-	// minNarrowGain is the same for a card that gives layers up which others hold. It
-	// loads nothing and serves its other layers on, so a small gain is enough; at 0.15 a
-	// data centre of 14 cards whose h100 came back kept room for 59 requests in place of 192.
+	// minNarrowGain is the same for a card that only releases layers which others hold. It
+	// loads nothing and goes on serving its other layers, so a small gain is enough. At
+	// 0.15 a data centre of 14 cards whose h100 came back kept a capacity of 59 requests
+	// in place of 192.
 	minNarrowGain = 0.01
-	// narrowBelowRoom is the room, in usual requests, below which a card may give layers up to
-	// others, as after it widened over a dead neighbour's. Above it a layer stays where it
-	// is: others may be slower by ten times, and more room there would serve nobody. 120
-	// is the room that was best for the fast cards of 13.
+	// narrowBelowRoom is the capacity, in mean requests, below which a card may release
+	// layers to others, for instance after it widened over those of a failed neighbour.
+	// Above it the layers stay: the other cards may be ten times slower, and more capacity
+	// there would serve nobody. 120 is the room that was best for the fast cards of a data
+	// centre of 13.
 	narrowBelowRoom = 120
-	// nearBestGain is the part of the best move's gain from which a cheaper card is moved
-	// instead.
+	// nearBestGain is the fraction of the best move's gain from which a cheaper card is
+	// moved instead.
 	nearBestGain = 0.8
-	// relocationCostFactor multiplies the cost of a move that gives layers up. The card takes
-	// nothing new for them and loads the others only when all streams that pass through
-	// it have ended, which takes seconds; a card that only widens goes on as before.
+	// relocationCostFactor multiplies the cost of a move that releases layers. The card
+	// takes no new requests for them and loads the others only after all streams through it
+	// have ended, which takes seconds. A card that only widens continues as before.
 	relocationCostFactor = 1000
-	// maxMovesPerPass bounds the moves of one look at a group; the next look sees what they
-	// have brought.
+	// maxMovesPerPass limits the moves of cards that hold layers in one call for a group.
+	// The next call sees their effect.
 	maxMovesPerPass = 3
 )
 
-// move is a card's change of layers.
+// move is a change of the layers of a card.
 type move struct {
 	card int
 	to   config.LayerRange
-	// shortage is the shortage after it, gain by how much that is less.
-	shortage float64
-	gain     float64
-	// minGain is the part of the shortage that it has to lessen.
+	// remaining is the shortage after the move, gain is by how much it decreases.
+	remaining float64
+	gain      float64
+	// minGain is the fraction of the present shortage that the move must remove.
 	minGain float64
-	// cost is what is lost while the card moves, nothing for one that is empty.
+	// cost estimates what is lost while the card moves, 0 for one that holds nothing.
 	cost float64
 }
 
-// rebalance moves cards of a group that holds layers, one after another, each to where
-// it lessens the shortage most. A card that joined or doubles others goes into a hole;
-// where there is none, the neighbours of the hole widen.
+// rebalance moves cards of a group that holds layers, one after another, each to where it
+// reduces the shortage most. A card that has just joined, or whose layers have other
+// holders, closes a gap. If there is none, the neighbours of the gap widen.
 func rebalance(spec *Spec, group []Replica, placed map[string]config.LayerRange) {
 	c := newCoverage(spec)
 	for _, r := range group {
 		placed[r.ID] = r.Held
 		c.add(spec.kind(r.Kind), r.Held, 1)
 	}
-	settled := reportedHolders(spec, group)
+	reported := reportedHolders(spec, group)
 	for moves := 0; moves < maxMovesPerPass; {
-		m, ok := chooseMove(worthwhileMoves(spec, group, placed, c, settled))
+		m, ok := chooseMove(worthwhileMoves(spec, group, placed, c, reported))
 		if !ok {
 			return
 		}
@@ -67,29 +69,29 @@
 		c.add(k, m.to, 1)
 		placed[r.ID] = m.to
 		if before.Len() > 0 {
-			settled.add(before, -1)
+			reported.add(before, -1)
 			moves++
 		}
 	}
 }
 
-// worthwhileMoves lists the moves that are worth their load.
-func worthwhileMoves(spec *Spec, group []Replica, placed map[string]config.LayerRange, c *coverage, settled holderCounts) []move {
+// worthwhileMoves returns the moves whose gain is worth the load.
+func worthwhileMoves(spec *Spec, group []Replica, placed map[string]config.LayerRange, c *coverage, reported holderCounts) []move {
 	now := c.shortage()
 	var moves []move
 	for i, r := range group {
 		switch held := placed[r.ID]; {
 		case held.Len() == 0:
-			to, left := c.bestRange(spec.kind(r.Kind))
-			if part, leftPart := bestTakeover(spec, group, placed, c, r); part.Len() > 0 && leftPart < left {
-				to, left = part, leftPart
+			to, remaining := c.bestRange(spec.kind(r.Kind))
+			if part, remainingPart := bestTakeover(spec, group, placed, c, r); part.Len() > 0 && remainingPart < remaining {
+				to, remaining = part, remainingPart
 			}
-			if to.Len() > 0 && now > left && (!r.Joining || c.hasGap(to)) {
-				moves = append(moves, move{card: i, to: to, gain: now - left})
+			if to.Len() > 0 && now > remaining && (!r.Joining || c.hasGap(to)) {
+				moves = append(moves, move{card: i, to: to, gain: now - remaining})
 			}
 		case !r.Loading:
-			for _, m := range movesOfCard(spec, r, held, c, settled) {
-				m.card, m.gain = i, now-m.shortage
+			for _, m := range movesOfCard(spec, r, held, c, reported) {
+				m.card, m.gain = i, now-m.remaining
 				if m.gain >= m.minGain*now {
 					moves = append(moves, m)
 				}
@@ -99,29 +101,29 @@
 	return moves
 }
 
-// movesOfCard lists the changes of a card that holds layers.
-func movesOfCard(spec *Spec, r Replica, held config.LayerRange, c *coverage, settled holderCounts) []move {
+// movesOfCard returns the possible moves of a card that holds layers.
+func movesOfCard(spec *Spec, r Replica, held config.LayerRange, c *coverage, reported holderCounts) []move {
 	k := spec.kind(r.Kind)
 	c.add(k, held, -1)
 	defer c.add(k, held, 1)
 	cost := k.MemoryMB / max(1, k.StepTimeFactor)
 	var moves []move
-	if to, left := c.bestWider(k, held); to != held {
-		moves = append(moves, move{to: to, shortage: left, minGain: minMoveGain, cost: cost})
+	if to, remaining := c.bestWider(k, held); to != held {
+		moves = append(moves, move{to: to, remaining: remaining, minGain: minMoveGain, cost: cost})
 	}
-	if to, left := c.bestNarrower(k, held); to != held && c.requests(k, held.Len()) < narrowBelowRoom && settled.canSpare(held, to) {
-		moves = append(moves, move{to: to, shortage: left, minGain: minNarrowGain, cost: cost})
+	if to, remaining := c.bestNarrower(k, held); to != held && c.requests(k, held.Len()) < narrowBelowRoom && reported.canSpare(held, to) {
+		moves = append(moves, move{to: to, remaining: remaining, minGain: minNarrowGain, cost: cost})
 	}
-	if to, left := c.bestRange(k); to != held && c.hasGap(to) && settled.canSpare(held, to) {
-		moves = append(moves, move{to: to, shortage: left, minGain: minMoveGain, cost: cost * relocationCostFactor})
+	if to, remaining := c.bestRange(k); to != held && c.hasGap(to) && reported.canSpare(held, to) {
+		moves = append(moves, move{to: to, remaining: remaining, minGain: minMoveGain, cost: cost * relocationCostFactor})
 	}
 	return moves
 }
 
-// bestTakeover returns the part of another card's range that is best taken over by an empty
-// card, and the shortage once the other one has narrowed to the rest. A card that widened
-// over a dead neighbour's layers has little room; an empty card that only doubled what
-// has the least room would leave it so for good.
+// bestTakeover returns the part of another card's range that an empty card best takes over,
+// and the shortage once the other card has narrowed to the rest. A card that widened over
+// the layers of a failed neighbour has little capacity left. An empty card that merely
+// became a second holder of the layers with the least capacity would leave it so for good.
 func bestTakeover(spec *Spec, group []Replica, placed map[string]config.LayerRange, c *coverage, empty Replica) (config.LayerRange, float64) {
 	k := spec.kind(empty.Kind)
 	var best config.LayerRange
@@ -142,8 +144,8 @@
 				}
 				c.add(k, part, 1)
 				c.add(holder, rest, 1)
-				if left := c.shortage(); left < least {
-					best, least = part, left
+				if remaining := c.shortage(); remaining < least {
+					best, least = part, remaining
 				}
 				c.add(holder, rest, -1)
 				c.add(k, part, -1)
@@ -154,9 +156,9 @@
 	return best, least
 }
 
-// chooseMove returns the cheapest of the moves that gain nearly as much as the best
-// one. The card with the most memory and the fastest steps would often gain most, and
-// all that runs through it would have to go elsewhere.
+// chooseMove returns the cheapest of the moves whose gain is close to the best. The card
+// with the most memory and the fastest steps often has the highest gain, but all requests
+// on it would have to go elsewhere. The second result is false if there are no moves.
 func chooseMove(moves []move) (move, bool) {
 	best := 0.0
 	for _, m := range moves {
@@ -178,6 +180,7 @@
 // holderCounts counts, for each layer, the cards of a group that report it.
 type holderCounts []int
 
+// reportedHolders counts the holders of each layer, without cards that are still loading.
 func reportedHolders(spec *Spec, group []Replica) holderCounts {
 	counts := make(holderCounts, spec.Layers)
 	for _, r := range group {
@@ -194,8 +197,8 @@
 	}
 }
 
-// canSpare reports whether the group can do without the layers that a card gives up.
-// What is still being loaded does not count: the layers would be nobody's until then.
+// canSpare reports whether each layer that a card releases has another holder. Layers that
+// are still being loaded do not count: until they are loaded nobody would hold them.
 func (h holderCounts) canSpare(from, to config.LayerRange) bool {
 	for l := max(0, from.From); l < min(from.To, len(h)); l++ {
 		kept := l >= to.From && l < to.To
--- a/internal/layers/replica_state.go
+++ b/internal/layers/replica_state.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// paceMaxAge is how long a replica's reported pace is believed.
+	// paceMaxAge is how long a reported pace is used.
 	paceMaxAge = loadMaxAge
-	// usageGrowth is by how much the requests that a replica reports will still grow: they
-	// are on the average half way through their answers.
+	// usageGrowth is the factor by which the memory of the reported requests will still
+	// grow: on average they are half way through their answers.
 	usageGrowth = 1.12
-	// fullThreshold is the part of a replica's memory up to which a VM may go beyond its own
-	// share. The rest covers what others send before the next report.
+	// fullThreshold is the fraction of a replica's memory up to which a VM may go beyond its
+	// own share. The rest covers what other VMs send before the next report.
 	fullThreshold = 0.8
-	// minEntryShare is how many of this VM's requests may enter at a replica at the same
-	// time however many VMs share it. The even part of 192 slots far away is one for each
-	// of 83 VMs, and at most a third of them go beyond their data centre at once.
+	// minEntryShare is how many of this VM's requests may begin at a replica at the same time,
+	// however many VMs share it. The even share of 192 slots in another data centre is one
+	// for each of 83 VMs, and at most a third of these send requests out of their data
+	// centre at once.
 	minEntryShare = 2
 )
 
@@ -26,27 +27,29 @@
 	Replica
 	suspicion
 	kind Accelerator
-	// reserved is the memory that this VM's requests hold here, in tokens times layers.
+	// reserved is the memory that this VM's requests reserve here, in tokens times layers.
 	reserved float64
 	// capacity is the memory for requests, in tokens times layers.
 	capacity float64
-	// entryRequests is how many of this VM's requests enter here.
+	// entryRequests is how many of this VM's requests have their first stage here.
 	entryRequests int
 
-	// load is what the replica last reported, reservedThen what this VM had reserved.
+	// load is the last report. reservedAtReport and entryRequestsAtReport are this VM's
+	// reserved and entryRequests when it arrived.
 	load                  Load
 	reservedAtReport      float64
 	entryRequestsAtReport int
-	// listed is the range that discovery shows, listedAt when this VM first saw it.
+	// listed is the range that discovery shows, listedAt is when this VM first saw it.
 	listed   config.LayerRange
 	listedAt time.Time
 
-	// pace is what the replica's report says; above 1 it is slower than its kind.
+	// pace is the reported pace, received at paceAt; above 1 the replica is slower than
+	// its kind of card.
 	pace   float64
 	paceAt time.Time
 }
 
-// reset takes over what discovery lists now and keeps what this VM has learned.
+// reset applies what discovery lists now and keeps what this VM has observed.
 func (s *replicaState) reset(spec *Spec, r Replica) {
 	held := s.Held
 	if s.listedAt.IsZero() || s.listed != r.Held {
@@ -57,7 +60,7 @@
 	s.setHeld(spec, held)
 }
 
-// setHeld takes over the range that the replica holds.
+// setHeld sets the range that the replica holds.
 func (s *replicaState) setHeld(spec *Spec, held config.LayerRange) {
 	if s.Held != held {
 		s.load = Load{} // it was about another range
@@ -66,22 +69,23 @@
 	s.capacity = spec.room(s.kind, held.Len()) * float64(held.Len())
 }
 
-// applyReportedRange takes over the range that a report shows if it is newer than what discovery
-// shows: a replica tells discovery of its layers at its next heartbeat only, and a range
-// that was missing would be so for a second or two longer. A report without a range, as
-// an earlier version's boards have none, says nothing.
+// applyReportedRange applies the range in a report if it is newer than the one in
+// discovery. A replica writes its layers to discovery with its next heartbeat only, so a
+// missing range would otherwise be missing for a second or two longer. A report without a
+// range says nothing of it; reports from VMs of an earlier version have none.
 func (s *replicaState) applyReportedRange(spec *Spec, load Load) {
 	if load.Held.Len() > 0 && spec.ValidRange(load.Held) && load.Held != s.Held && load.At.Add(-reportLag).After(s.listedAt) {
 		s.setHeld(spec, load.Held)
 	}
 }
 
-// hasFreshLoad says whether there is a report of the replica that is believed yet.
+// hasFreshLoad reports whether there is a load report that is not too old.
 func (s *replicaState) hasFreshLoad(now time.Time) bool {
 	return s.load.Total > 0 && now.Sub(s.load.At) <= loadMaxAge
 }
 
-// usage estimates the memory that all VMs' requests hold here, and whether it is known.
+// usage estimates the memory that the requests of all VMs use here. The second result is
+// false without a fresh report.
 func (s *replicaState) usage(now time.Time) (float64, bool) {
 	if !s.hasFreshLoad(now) {
 		return 0, false
@@ -89,11 +93,11 @@
 	return max(s.reserved, usageGrowth*s.load.Used+s.reserved-s.reservedAtReport), true
 }
 
-// fits reports whether this VM may put the amount here. Its even share is its own as long
-// as the replica is not full. Up to a few shares it may use, and place one request in any
-// case, while the report leaves room for what others do before the next one; beyond
-// that it takes only its part of the room that was reported free, or all VMs would fill
-// the same room at once.
+// fits reports whether this VM may reserve the amount here. It may always use its even
+// share while the replica is not full. Up to a few shares, or for one request in any case,
+// it may go on while the report leaves room for what other VMs send before the next
+// report. Beyond that it takes only its part of the memory that was reported free:
+// otherwise all VMs would fill the same memory at once.
 func (s *replicaState) fits(amount float64, a allowance, now time.Time) bool {
 	wanted := s.reserved + amount
 	usage, known := s.usage(now)
@@ -111,32 +115,34 @@
 	return s.reserved-s.reservedAtReport+amount <= a.free*free
 }
 
-// usageAbove reports whether the requests of all VMs hold more than a part of the memory, as far
-// as that is known.
+// usageAbove reports whether the requests of all VMs use more than a fraction of the
+// memory. It is true if the usage is not known.
 func (s *replicaState) usageAbove(part float64, now time.Time) bool {
 	usage, known := s.usage(now)
 	return !known || usage > part*s.capacity
 }
 
-// admitsEntry reports whether one more of this VM's requests may enter here, as with fits.
+// admitsEntry reports whether one more of this VM's requests may have its first stage
+// here, by the same rules as fits.
 func (s *replicaState) admitsEntry(slots int, a allowance, now time.Time) bool {
-	own := s.entryRequests < max(minEntryShare, int(a.share*float64(slots)))
+	withinShare := s.entryRequests < max(minEntryShare, int(a.share*float64(slots)))
 	if !s.hasFreshLoad(now) {
-		return own
+		return withinShare
 	}
 	after := s.load.EntryRequests + s.entryRequests - s.entryRequestsAtReport + 1
-	if own {
+	if withinShare {
 		return after <= slots
 	}
 	return s.entryRequests < int(a.limit*float64(slots)) && float64(after) <= fullThreshold*float64(slots)
 }
 
-// shareUsed is how much of its share of the memory this VM uses. The reported load does
-// not count here: it is seconds old and the same for all VMs, which would all turn to
-// the replica that looked emptiest, and fill it before the next report.
+// shareUsed returns the fraction of its share of the memory that this VM uses. The
+// reported load does not count: it is seconds old and the same for all VMs, so all of them
+// would choose the replica that looked emptiest and fill it before the next report.
 func (s *replicaState) shareUsed(share float64) float64 { return s.reserved / max(1, s.capacity*share) }
 
-// recordRefusal avoids the replica after it, or one that knows, did not take a request.
+// recordRefusal makes new paths avoid the replica after a request was refused, by the
+// replica itself or by one that knew of it.
 func (s *replicaState) recordRefusal(now time.Time) {
 	if usage, known := s.usage(now); known && usage < fullThreshold*s.capacity {
 		s.avoid(now, leavingSuspicion, maxLeavingSuspicion)
@@ -145,7 +151,8 @@
 	s.suspect(now)
 }
 
-// slowdown is by how much the replica is slower than its kind, at least 1.
+// slowdown returns the factor by which the replica is slower than its kind of card, at
+// least 1.
 func (s *replicaState) slowdown(now time.Time) float64 {
 	if s.pace <= 1 || now.Sub(s.paceAt) > paceMaxAge {
 		return 1
--- a/internal/layers/reservation.go
+++ b/internal/layers/reservation.go
@@ -5,30 +5,36 @@
 	"time"
 )
 
-// Reservation is a path with the room that a request holds on it.
+// Reservation is a path with the memory that a request reserves on it. It is safe for
+// concurrent use.
 type Reservation struct {
 	table      *Table
 	query      Query
 	reservedAt time.Time
 
-	// The table's lock guards the fields below.
+	// table.mu guards the fields below.
 	path     Path
 	released bool
 }
 
-// Path returns the present path; it is not modified.
+// Path returns the present path. The caller must not modify it.
 func (r *Reservation) Path() Path {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	return r.path
 }
 
-// Detour returns the path with the stages at the given addresses replaced by other holders of
-// their layers, and holds room there. Stages that follow each other are replaced together. The
-// first stage cannot be replaced: the request is connected to it. Written is how many tokens the
-// answer has so far. With near the other holders are in the stage's data centre: they read all
-// tokens so far, whose activations take longer over the link between data centres than reading
-// the prompt anew on another path does.
+// Detour replaces the stages at the given addresses by other holders of their layers,
+// moves the reservation there and returns the new path. Consecutive stages are replaced
+// together. The first stage cannot be replaced, because the request is connected to it.
+// Written is the number of tokens that the answer has so far.
+//
+// If near is set, the other holders must be in the data centre of the stage. They have to
+// read all tokens so far, and sending these tokens' activations over the link between two
+// data centres takes longer than reading the prompt again on another path.
+//
+// It returns ErrNoPath or ErrNoRoom if there is no such path; the reservation is then
+// unchanged.
 func (r *Reservation) Detour(stopped []string, written int, near bool) (Path, error) {
 	t := r.table
 	t.mu.Lock()
@@ -46,7 +52,7 @@
 	}
 	path = append(path, r.path[next:]...)
 	if !path.Covers(t.spec.Layers) || len(path) > maxStages {
-		return nil, ErrNoPath // a stage that stays has started again and is on the detour as well
+		return nil, ErrNoPath // a stage that stays has restarted and is part of the detour too
 	}
 	for _, p := range parts {
 		t.chargeCrossings(r.path[p.replaced.from-1].Replica.DataCentre, p.stages, p.query.tokens(), now)
@@ -57,7 +63,7 @@
 	return r.path, nil
 }
 
-// detourPart is a run of stopped stages and what replaces them.
+// detourPart is a run of stopped stages with its replacement.
 type detourPart struct {
 	replaced span
 	stages   Path
@@ -65,43 +71,44 @@
 	query Query
 }
 
-// eachReplacement finds other holders for each run of stopped stages, in the path's order. No replica
-// of the path, none that stopped and none of an earlier part is among them. The table is locked.
+// eachReplacement calls do with other holders for each run of stopped stages, in the order
+// of the path. Replicas of the path, replicas that stopped and replicas chosen for an
+// earlier run are excluded. r.table.mu is held.
 func (r *Reservation) eachReplacement(stopped []string, written int, near bool, now time.Time, do func(detourPart)) error {
 	spans := r.path.spans(stopped)
 	if r.released || len(spans) == 0 || spans[0].from == 0 {
 		return ErrNoPath
 	}
-	need := r.detourQuery(stopped, written)
-	for _, at := range spans {
-		stages, err := r.table.replacement(r.path, at, need, near, now)
+	query := r.detourQuery(stopped, written)
+	for _, replaced := range spans {
+		stages, err := r.table.replacement(r.path, replaced, query, near, now)
 		if err != nil {
 			return err
 		}
-		do(detourPart{replaced: at, stages: stages, query: need})
-		need = need.excluding(stages.keys()...)
+		do(detourPart{replaced: replaced, stages: stages, query: query})
+		query = query.excluding(stages.keys()...)
 	}
 	return nil
 }
 
-// detourQuery is what a detour needs: neither the path's replicas nor those that stopped. The table
-// is locked.
+// detourQuery returns the query for a detour, which excludes the replicas of the path and
+// those that stopped. r.table.mu is held.
 func (r *Reservation) detourQuery(stopped []string, written int) Query {
-	avoid := r.path.keys()
+	exclude := r.path.keys()
 	for k, s := range r.table.replicas {
 		if slices.Contains(stopped, s.Address) {
-			avoid = append(avoid, k)
+			exclude = append(exclude, k)
 		}
 	}
-	need := r.query.excluding(avoid...)
-	need.Prompt += written
-	return need
+	query := r.query.excluding(exclude...)
+	query.Prompt += written
+	return query
 }
 
-// replacement finds other holders of a span's layers. The table is locked.
-func (t *Table) replacement(path Path, at span, need Query, near bool, now time.Time) (Path, error) {
+// replacement finds other holders of the layers of a span. t.mu is held.
+func (t *Table) replacement(path Path, at span, query Query, near bool, now time.Time) (Path, error) {
 	s := search{
-		table: t, query: need, now: now, from: path[at.from].Layers.From, to: path[at.to-1].Layers.To,
+		table: t, query: query, now: now, from: path[at.from].Layers.From, to: path[at.to-1].Layers.To,
 		fromDC: path[at.from-1].Replica.DataCentre,
 	}
 	if near {
@@ -113,8 +120,8 @@
 	return s.run()
 }
 
-// Release releases the room and says whether every stage did its work, which ends the
-// suspicion against them.
+// Release frees the reserved memory. Ok says whether every stage did its work, which ends
+// suspicions against them. Only the first call has an effect.
 func (r *Reservation) Release(ok bool) {
 	t := r.table
 	t.mu.Lock()
@@ -134,7 +141,8 @@
 	}
 }
 
-// adjustReserved adds or, with -1, takes back the room on each stage. The table is locked.
+// adjustReserved adds the reserved memory on each stage or, with sign -1, subtracts it.
+// r.table.mu is held.
 func (r *Reservation) adjustReserved(sign float64) {
 	for i, stage := range r.path {
 		s := r.table.replicas[stage.Replica.Key()]
--- a/internal/layers/restart_test.go
+++ b/internal/layers/restart_test.go
@@ -9,7 +9,8 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// restartedCards are three cards with all layers of which the first starts again under its id.
+// restartedCards returns three cards with all layers, before and after a restart of the
+// first one under the same ID.
 func restartedCards() (before, after []Replica) {
 	before = cards("a", "large", 3)
 	for i := range before {
@@ -21,10 +22,11 @@
 	return before, after
 }
 
-// A card fails, is avoided, and starts again under its id. What its earlier incarnation did,
-// held and had room for is not its own: it is used as soon as it is listed with its layers. A
-// stream that was cut off with the earlier one ends late and blames that one alone.
-func TestRestartedCardStartsWithACleanSheet(t *testing.T) {
+// A card that failed and was avoided restarts under the same ID. The failures, layers and
+// reserved memory of its earlier incarnation must not be attributed to the new one, which is
+// used as soon as it is listed with its layers. A stream that was cut off by the restart and
+// ends late affects the earlier incarnation only.
+func TestRestartedCardHasNoStateOfItsPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before, after := restartedCards()
 		table := NewTable()
@@ -37,13 +39,13 @@
 		table.SetLoads(map[incarnation.Key]Load{before[0].Key(): {Down: true, At: time.Now()}})
 		table.Suspect(before[0])
 		table.Update(testSpec(), after)
-		table.Suspect(first) // the stream that was cut off finds out only now
+		table.Suspect(first) // reported late by the stream that was cut off
 		table.RecordRefusal(first)
 		table.SetPace(first, 8)
 		cutOff.Release(false)
 		fresh := table.replicas[after[0].Key()]
 		if fresh.suspected(time.Now()) || fresh.reserved != 0 || fresh.entryRequests != 0 || fresh.pace != 0 {
-			t.Errorf("the new incarnation: %+v", fresh)
+			t.Errorf("state of the new incarnation: %+v", fresh)
 		}
 		if _, err := table.Reserve(meanQuery); err != nil {
 			t.Error(err)
@@ -51,8 +53,8 @@
 	})
 }
 
-// A board of loads was made before a card started again, and arrives after its new
-// incarnation is listed, empty. The layers and the room on the board are gone.
+// A load report made before a card restarted arrives after its new incarnation is listed
+// without layers. The layers and the memory in that report no longer exist.
 func TestReportOfTheEarlierIncarnationIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before, after := restartedCards()
@@ -63,17 +65,17 @@
 		time.Sleep(2 * reportLag)
 		table.SetLoads(map[incarnation.Key]Load{before[0].Key(): {Total: 1e6, Pace: 1, Held: before[0].Held, At: time.Now()}})
 		if _, err := table.Reserve(meanQuery); err == nil {
-			t.Error("a request goes over layers that were lost")
+			t.Error("a path uses layers that were lost")
 		}
 		table.SetLoads(map[incarnation.Key]Load{after[0].Key(): {Total: 1e6, Pace: 1, Held: before[0].Held, At: time.Now()}})
 		if _, err := table.Reserve(meanQuery); err != nil {
-			t.Errorf("once it reports them itself: %v", err)
+			t.Errorf("reservation after the new incarnation reported its layers: %v", err)
 		}
 	})
 }
 
-// A replica reports a range that the model does not have. It is not searched, whose cuts lie
-// within the model.
+// A replica reports a range beyond the model's layers. The report must be ignored, because the
+// cuts of a search must lie within the model.
 func TestReportedRangeBeyondTheModelIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before, _ := restartedCards()
@@ -88,9 +90,9 @@
 	})
 }
 
-// The first card of a path starts again, empty, and gets the layers of a later stage that has
-// stopped. A stream whose connection to it has not broken yet must not be moved there: its
-// path would name one address twice, which engines refuse.
+// The first card of a path restarts empty and loads the layers of a later stage that has
+// stopped. A stream whose connection to the card is not broken yet must not be moved there:
+// its path would name one address twice, which engines refuse.
 func TestDetourNamesNoAddressTwice(t *testing.T) {
 	before, after := restartedCards()
 	table := NewTable()
--- a/internal/layers/search.go
+++ b/internal/layers/search.go
@@ -7,23 +7,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// search finds the cheapest path over the layers [from, to). A path is a walk over
-// the cuts, the layers at which some range begins or ends; the walk's state is the
-// cut and the data centre of the last stage, as that decides the next crossing.
+// search finds the cheapest path over the layers [from, to). The cuts are the layers at
+// which a range of some replica begins or ends. The search is a shortest-path computation
+// over pairs of a cut and the data centre of the last stage: the data centre decides the
+// cost of the next crossing.
 type search struct {
 	table *Table
 	query Query
 	now   time.Time
 	from  int
 	to    int
-	// fromDC and toDC are the data centres before and after the path; empty is open.
+	// fromDC and toDC are the data centres before and after the path; empty means any.
 	fromDC string
 	toDC   string
-	// fromCaller says that the path begins at its caller and not behind another stage.
+	// fromCaller means that the path begins at the caller and not after another stage.
 	fromCaller bool
-	// onlyDC, if not empty, leaves out the replicas of other data centres.
+	// onlyDC, if not empty, excludes replicas in other data centres.
 	onlyDC string
-	// allowSuspected lets suspected replicas in.
+	// allowSuspected admits suspected replicas.
 	allowSuspected bool
 
 	holders []*replicaState
@@ -32,8 +33,8 @@
 	steps   [][]step
 }
 
-// run finds the path. Suspected replicas are used only where nobody else holds their
-// layers: waiting for room elsewhere is better than being turned away again.
+// run finds the path. Suspected replicas are used only if nobody else holds their layers:
+// waiting for capacity elsewhere is better than another refusal.
 func (s *search) run() (Path, error) {
 	path, err := s.withoutRepeats()
 	if errors.Is(err, ErrNoPath) {
@@ -43,9 +44,9 @@
 	return path, err
 }
 
-// withoutRepeats finds a path that names no replica twice. The walk may leave a replica for a
-// faster one within its range and come back, which engines refuse; the faster one is then left
-// out.
+// withoutRepeats finds a path that names no replica twice, which engines refuse. The
+// cheapest path may leave a replica for a faster one within its range and return to it;
+// the faster one is then excluded.
 func (s *search) withoutRepeats() (Path, error) {
 	for {
 		path, err := s.cheapest()
@@ -75,7 +76,7 @@
 	return path, nil
 }
 
-// collect lists the replicas that may serve and the cuts between their ranges.
+// collect sets the replicas that may serve some layers, their data centres and the cuts.
 func (s *search) collect() {
 	s.cuts = []int{s.from, s.to}
 	for _, r := range s.table.replicas {
@@ -103,7 +104,7 @@
 	return r.Held.Len() > 0 && r.Held.To > s.from && r.Held.From < s.to
 }
 
-// covered reports whether the holders hold every layer, with room or without.
+// covered reports whether the holders hold every layer, whether or not they are full.
 func (s *search) covered() bool {
 	for i := 0; i+1 < len(s.cuts); i++ {
 		held := slices.ContainsFunc(s.holders, func(r *replicaState) bool {
@@ -116,7 +117,7 @@
 	return len(s.holders) > 0
 }
 
-// entries counts the holders that a path can begin at.
+// entries returns how many of the holders a path can begin at.
 func (s *search) entries() int {
 	n := 0
 	for _, r := range s.holders {
--- a/internal/layers/spec.go
+++ b/internal/layers/spec.go
@@ -8,47 +8,48 @@
 
 // Spec describes a model and the engines that serve it.
 type Spec struct {
-	// Layers is how many layers the model has.
+	// Layers is the number of layers of the model.
 	Layers int
-	// LayerMB is the memory of one layer's weights.
+	// LayerMB is the memory of one layer's weights, in MB.
 	LayerMB float64
-	// KVBytes is the memory of one token of context over all layers.
+	// KVBytes is the KV cache of one token over all layers, in bytes.
 	KVBytes float64
-	// ActivationBytes is what one token sends from a stage to the next.
+	// ActivationBytes is what one token sends from a stage to the next, in bytes.
 	ActivationBytes float64
-	// Slots is how many requests a replica takes in as the first of their paths.
+	// Slots is how many requests a replica admits as the first replica of their paths.
 	Slots int
-	// StepBase, PerSequence and PerContext are the times of a token step over all layers
-	// on a card of pace 1: its base, for each request that is writing, and for each
-	// thousand tokens of context of such a request.
+	// StepBase, StepPerSequence and StepPerContext are the parts of the time of a decoding
+	// step over all layers on a card with a StepTimeFactor of 1: the base, the part for
+	// each request that is being decoded, and the part for each thousand tokens of context
+	// of such a request.
 	StepBase        time.Duration
 	StepPerSequence time.Duration
 	StepPerContext  time.Duration
-	// PrefillTokensPerSecond is how many prompt tokens a card of pace 1 reads in a second.
+	// PrefillTokensPerSecond is the prefill rate of a card with a PrefillTimeFactor of 1.
 	PrefillTokensPerSecond float64
-	// LinkMbps is the rate of the link between two data centres; 0 is unbounded.
+	// LinkMbps is the bandwidth between two data centres; 0 means unlimited.
 	LinkMbps float64
 	// LinkDelay is the one-way delay between two data centres.
 	LinkDelay time.Duration
-	// LoadTime is how long loading all layers takes.
+	// LoadTime is the time to load all layers.
 	LoadTime time.Duration
-	// MeanPrompt and UsualAnswer are the mean tokens of a request.
+	// MeanPrompt and MeanAnswer are the mean numbers of tokens of a request.
 	MeanPrompt int
 	MeanAnswer int
-	// Accelerators are the accelerators by name.
+	// Accelerators are the kinds of cards, by the name that Replica.Kind gives.
 	Accelerators map[string]Accelerator
 }
 
-// kind returns the card of a replica. An unknown kind has no memory, so it gets
-// no layers and no request.
+// kind returns the accelerator of a replica. An unknown kind has no memory, so the replica
+// gets neither layers nor requests.
 func (s *Spec) kind(name string) Accelerator { return s.Accelerators[name] }
 
-// ValidRange reports whether a range lies within the model's layers; none at all does.
+// ValidRange reports whether a range lies within the model's layers. An empty range does.
 func (s *Spec) ValidRange(held config.LayerRange) bool {
 	return held.Len() <= 0 || held.From >= 0 && held.To <= s.Layers
 }
 
-// maxLayers is how many layers fit on a card with nothing else on it.
+// maxLayers returns how many layers fit on a card that holds nothing else.
 func (s *Spec) maxLayers(k Accelerator) int {
 	if s.LayerMB <= 0 {
 		return 0
@@ -56,7 +57,7 @@
 	return min(s.Layers, int(k.MemoryMB/s.LayerMB))
 }
 
-// room is how many tokens of context fit beside n layers of a card.
+// room returns how many tokens of context fit on a card beside n layers.
 func (s *Spec) room(k Accelerator, n int) float64 {
 	if n <= 0 || s.KVBytes <= 0 {
 		return 0
@@ -65,17 +66,18 @@
 	return max(0, free/(s.KVBytes*float64(n)/float64(s.Layers)))
 }
 
-// meanTokens is the context of a usual request at its end.
+// meanTokens returns the context of a mean request at its end, in tokens.
 func (s *Spec) meanTokens() float64 { return float64(max(1, s.MeanPrompt+s.MeanAnswer)) }
 
-// stepTime is the time of a token step over all layers on a card, in seconds, beside so
-// many requests of that many tokens.
+// stepTime returns the time of a decoding step over all layers on a card, in seconds, for
+// a batch of requests with the given number of tokens each.
 func (s *Spec) stepTime(k Accelerator, batch, tokens float64) float64 {
 	context := tokens / 1000
 	return (s.StepBase.Seconds() + batch*(s.StepPerSequence.Seconds()+context*s.StepPerContext.Seconds())) * k.StepTimeFactor
 }
 
-// prefillTime is the time in which a card reads so many tokens through n layers, in seconds.
+// prefillTime returns the time in which a card reads a number of prompt tokens through n
+// layers, in seconds.
 func (s *Spec) prefillTime(k Accelerator, tokens float64, n int) float64 {
 	return tokens / max(1, s.PrefillTokensPerSecond) * k.PrefillTimeFactor * float64(n) / float64(max(1, s.Layers))
 }
--- a/internal/layers/table.go
+++ b/internal/layers/table.go
@@ -11,31 +11,31 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// Table is this VM's view of the replicas of one model, with the memory that its
-// own requests hold on them. It is safe for concurrent use.
+// Table is this VM's view of the replicas of one model, with the memory that its own
+// requests reserve on them. It is safe for concurrent use.
 type Table struct {
-	mu       sync.Mutex // guards the fields below
-	spec     *Spec
-	replicas map[incarnation.Key]*replicaState
-	vmCounts VMCounts
-	links    linkBudgets
-	gate     Gate
+	mu          sync.Mutex // guards the fields below
+	spec        *Spec
+	replicas    map[incarnation.Key]*replicaState
+	vmCounts    VMCounts
+	linkBudgets linkBudgets
+	gate        Gate
 }
 
 // NewTable returns a table without replicas.
 func NewTable() *Table {
-	return &Table{spec: &Spec{}, replicas: map[incarnation.Key]*replicaState{}, vmCounts: VMCounts{Fleet: 1, Local: 1}, links: linkBudgets{}, gate: openGate{}}
+	return &Table{spec: &Spec{}, replicas: map[incarnation.Key]*replicaState{}, vmCounts: VMCounts{Fleet: 1, Local: 1}, linkBudgets: linkBudgets{}, gate: openGate{}}
 }
 
-// SetVMCounts tells how many VMs share the replicas' memory.
-func (t *Table) SetVMCounts(s VMCounts) {
+// SetVMCounts sets how many VMs share the replicas.
+func (t *Table) SetVMCounts(counts VMCounts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.vmCounts = s
+	t.vmCounts = counts
 }
 
-// Update takes over the model's description and the replicas as discovery lists
-// them. Replicas that are missing get no new request from now on.
+// Update replaces the model's description and the list of replicas by what discovery
+// reports. Replicas that are no longer listed get no new requests.
 func (t *Table) Update(spec *Spec, replicas []Replica) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,7 +52,7 @@
 	t.replicas = next
 }
 
-// dataCentres names the data centres that have replicas, in order. The table is locked.
+// dataCentres returns the sorted names of the data centres that have replicas. t.mu is held.
 func (t *Table) dataCentres() []string {
 	var names []string
 	for _, s := range t.replicas {
@@ -62,14 +62,14 @@
 	return slices.Compact(names)
 }
 
-// Layers returns how many layers the model has.
+// Layers returns the number of layers of the model.
 func (t *Table) Layers() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.spec.Layers
 }
 
-// Covered reports whether the replicas hold every layer.
+// Covered reports whether every layer is held by a replica that is not draining.
 func (t *Table) Covered() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,14 +87,15 @@
 	return len(held) > 0
 }
 
-// Reserve chooses a path and holds room on each of its stages until the
-// reservation is released. It returns ErrNoRoom when waiting can help and ErrNoPath
-// when it cannot, and a *pushback.ThrottledError when all replicas that the path could begin at have asked not
-// to be sent requests now.
-func (t *Table) Reserve(need Query) (*Reservation, error) {
+// Reserve chooses a path and reserves memory on each of its stages until the reservation
+// is released. It returns ErrNoRoom if waiting can help, ErrNoPath if it cannot,
+// ErrNoSpareEntry if too few replicas would remain at which a path can begin, and a
+// *pushback.HeldError if all replicas at which the path could begin have asked not to be
+// sent requests now.
+func (t *Table) Reserve(query Query) (*Reservation, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := search{table: t, query: need, now: time.Now(), to: t.spec.Layers, fromDC: need.DataCentre, fromCaller: true}
+	s := search{table: t, query: query, now: time.Now(), to: t.spec.Layers, fromDC: query.DataCentre, fromCaller: true}
 	path, err := s.run()
 	if err != nil {
 		return nil, s.heldErrorOr(err)
@@ -102,31 +103,33 @@
 	if !t.gate.Take(path.First().Key(), s.now) {
 		return nil, s.heldErrorOr(ErrNoRoom)
 	}
-	r := &Reservation{table: t, query: need, reservedAt: s.now, path: path}
+	r := &Reservation{table: t, query: query, reservedAt: s.now, path: path}
 	r.adjustReserved(1)
-	t.chargeCrossings("", path, need.tokens(), s.now)
+	t.chargeCrossings("", path, query.tokens(), s.now)
 	return r, nil
 }
 
-// SetGate sets what holds replicas back that have asked for it.
+// SetGate sets the gate that holds back replicas that have asked for it.
 func (t *Table) SetGate(gate Gate) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.gate = gate
 }
 
-// Suspect avoids a replica for a while: a request found it dead, silent or without
-// the layers that it reported. A later incarnation of the replica is not meant.
+// Suspect makes new paths avoid a replica for a while: a request found it dead, silent or
+// without the layers that it had reported. A later incarnation of the replica is not
+// affected.
 func (t *Table) Suspect(r Replica) {
 	t.updateReplica(r, func(s *replicaState) { s.suspect(time.Now()) })
 }
 
-// RecordRefusal avoids a replica that did not take a request, for longer if it has room.
+// RecordRefusal makes new paths avoid a replica that refused a request, for longer if the
+// replica has memory free.
 func (t *Table) RecordRefusal(r Replica) {
 	t.updateReplica(r, func(s *replicaState) { s.recordRefusal(time.Now()) })
 }
 
-// SetPace takes what a replica's report says of its speed.
+// SetPace records the speed that a replica reported; see Load.Pace.
 func (t *Table) SetPace(r Replica, pace float64) {
 	t.updateReplica(r, func(s *replicaState) { s.pace, s.paceAt = pace, time.Now() })
 }
@@ -143,7 +146,7 @@
 	return Replica{}, false
 }
 
-// updateReplica changes what this VM knows updateReplica a replica, if it is still listed.
+// updateReplica applies change to the state of a replica if its incarnation is still listed.
 func (t *Table) updateReplica(r Replica, change func(*replicaState)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -152,7 +155,7 @@
 	}
 }
 
-// Dump is the state of one replica, for the dump.
+// Dump is the state of one replica in a dump.
 type Dump struct {
 	ID         string            `json:"id"`
 	Born       int64             `json:"born"`
@@ -162,12 +165,12 @@
 	Held       config.LayerRange `json:"held"`
 	Draining   bool              `json:"draining"`
 	Suspected  bool              `json:"suspected"`
-	// Reserved is the share of the memory for requests that this VM's requests hold.
+	// Reserved is the fraction of the memory for requests that this VM's requests reserve.
 	Reserved float64 `json:"reserved"`
 	Pace     float64 `json:"pace"`
 }
 
-// Dump returns the replicas' state, by ID.
+// Dump returns the states of the replicas, sorted by ID.
 func (t *Table) Dump() []Dump {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/layers/vm_counts.go
+++ b/internal/layers/vm_counts.go
@@ -1,52 +1,55 @@
 package layers
 
-// remotePart is how much of a replica's memory the VMs of other data centres may fill
-// together. Paths stay in their request's data centre unless something is missing
-// there; then two data centres carry what three did.
+// remotePart is the fraction of a replica's memory that the VMs of other data centres may
+// use together. Paths stay in their request's data centre unless something is missing
+// there; then two data centres carry the load of three.
 const remotePart = 0.5
 
-// maxFreeShares is how many even parts of the room that a report shows free one VM may take:
-// a third of the VMs at most go beyond their share at the same time.
+// maxFreeShares is how many even shares of the memory that a report shows as free one VM
+// may take. At most a third of the VMs go beyond their own share at the same time.
 const maxFreeShares = 3.0
 
-// maxShares is how many even shares of a replica's room one VM may use while the reports
-// show it as not full. Requests come to VMs at random: some VMs need more than their share
-// at any time, while all together hardly ever need more than the whole.
+// maxShares is how many even shares of a replica's memory one VM may use while the reports
+// show it as not full. Requests arrive at VMs at random: at any time some VMs need more
+// than their share, while all together hardly ever need more than the whole.
 const maxShares = 2.5
 
-// VMCounts says how many VMs send requests to the same replicas. Each sees its own
-// requests only and keeps to its share.
+// VMCounts says how many VMs send requests to the same replicas. Each VM sees only its own
+// requests and limits itself to its share.
 type VMCounts struct {
-	// DataCentre is that of this VM.
+	// DataCentre is the data centre of this VM.
 	DataCentre string
-	// Fleet counts all VMs, Home those in this VM's data centre, itself included.
+	// Fleet is the number of all VMs, Local of those in this VM's data centre. Both include
+	// this VM.
 	Fleet int
 	Local int
 }
 
-// share is the part of a replica's memory and slots that this VM may fill.
-func (s VMCounts) share(dataCentre string) float64 {
-	if s.DataCentre == "" || dataCentre == s.DataCentre {
-		return 1 / float64(max(1, s.Local))
+// share returns the fraction of the memory and slots of a replica in a data centre that
+// this VM may use.
+func (c VMCounts) share(dataCentre string) float64 {
+	if c.DataCentre == "" || dataCentre == c.DataCentre {
+		return 1 / float64(max(1, c.Local))
 	}
-	return remotePart / float64(max(1, s.Fleet-s.Local))
+	return remotePart / float64(max(1, c.Fleet-c.Local))
 }
 
-// allowance is what one VM may fill of a replica.
+// allowance is what one VM may use of a replica, in fractions.
 type allowance struct {
-	// share is the part that it may always fill, most the part while the replica is not
-	// reported as full.
+	// share is the fraction that it may always use, limit the fraction while the replica is
+	// not reported as full.
 	share float64
 	limit float64
-	// free is the part that it may fill of the room which a report shows free.
+	// free is its fraction of the memory that a report shows as free.
 	free float64
 }
 
-func (s VMCounts) allowance(dataCentre string) allowance {
-	share := s.share(dataCentre)
-	return allowance{share: share, limit: min(1, maxShares*share), free: s.freePart()}
+// allowance returns what this VM may use of a replica in a data centre.
+func (c VMCounts) allowance(dataCentre string) allowance {
+	share := c.share(dataCentre)
+	return allowance{share: share, limit: min(1, maxShares*share), free: c.freePart()}
 }
 
-// freePart is the part of the room that a report shows free which this VM may take
-// until the next one. Few VMs go beyond their share at the same time.
-func (s VMCounts) freePart() float64 { return min(1, maxFreeShares/float64(max(1, s.Fleet))) }
+// freePart returns the fraction of the memory reported as free that this VM may take until
+// the next report. Few VMs go beyond their share at the same time.
+func (c VMCounts) freePart() float64 { return min(1, maxFreeShares/float64(max(1, c.Fleet))) }
