--- a/internal/balance/balancer_test.go
+++ b/internal/balance/balancer_test.go
@@ -15,6 +15,7 @@
 	"geraniumcroft/internal/invariant"
 )
 
+// services returns a snapshot with n instances of one service.
 func services(n, slots int) *config.Snapshot {
 	s := config.NewSnapshot()
 	for i := range n {
@@ -24,13 +25,14 @@
 	return s
 }
 
+// newBalancer returns a balancer with the targets of a snapshot.
 func newBalancer(s Settings, snapshot *config.Snapshot) *Balancer {
 	b := New(s, invariant.Strict())
 	b.Update(snapshot)
 	return b
 }
 
-// pickAll takes slots until none is left.
+// pickAll picks slots until none is left.
 func pickAll(b *Balancer, u config.Urgency) (slots []*Slot) {
 	for {
 		s, err := b.Pick(Query{Pool: "svc", Urgency: u})
@@ -41,8 +43,8 @@
 	}
 }
 
-// Bulk comes without end. On each target it leaves slots that normal and urgent
-// requests find free, and normal ones leave some that only urgent ones may take.
+// An unlimited number of bulk requests leaves slots on each target that normal and urgent
+// requests can use, and normal requests leave some that only urgent ones can use.
 func TestHeadroomOnEachTarget(t *testing.T) {
 	for _, c := range []struct {
 		targets, slots       int
@@ -64,13 +66,13 @@
 	faulty := newBalancer(Settings{faults: faults{noHeadroom: true}}, services(2, 4))
 	pickAll(faulty, config.Bulk)
 	if got := len(pickAll(faulty, config.Urgent)); got != 0 {
-		t.Errorf("without headroom urgent still found %d slots", got)
+		t.Errorf("without headroom urgent requests still found %d slots", got)
 	}
 }
 
-// A target is drained, shown as leaving, says so itself, or is removed, each while
-// it works on a request. It takes nothing new from that moment, the request in
-// hand keeps its slot, and a request that only that target could serve is told so.
+// A target is drained, listed as leaving, reports that it leaves, or is removed while it
+// serves a request. From then on it gets nothing new, and the request in flight keeps its
+// slot. A request that only this target could serve gets ErrNoTarget.
 func TestClosedTargetTakesNothingNew(t *testing.T) {
 	drained := services(2, 4)
 	copied := *drained.Targets["t000"]
@@ -79,10 +81,10 @@
 	removed := services(2, 4)
 	delete(removed.Targets, "t000")
 	for name, closing := range map[string]func(b *Balancer){
-		"drained":        func(b *Balancer) { b.Update(drained) },
-		"removed":        func(b *Balancer) { b.Update(removed) },
-		"leaving":        func(b *Balancer) { b.SetLeaving(map[string]bool{"t000": true}) },
-		"says it leaves": func(b *Balancer) { b.Report("t000", engine.LoadReport{Leaving: true}) },
+		"drained":         func(b *Balancer) { b.Update(drained) },
+		"removed":         func(b *Balancer) { b.Update(removed) },
+		"leaving":         func(b *Balancer) { b.SetLeaving(map[string]bool{"t000": true}) },
+		"reports leaving": func(b *Balancer) { b.Report("t000", engine.LoadReport{Leaving: true}) },
 	} {
 		b := newBalancer(Settings{}, services(2, 4))
 		held, err := b.Reserve("t000", config.Normal)
@@ -92,11 +94,11 @@
 		closing(b)
 		for _, s := range pickAll(b, config.Urgent) {
 			if s.Target().Name == "t000" {
-				t.Errorf("%s: the target got new work", name)
+				t.Errorf("%s: the target got a request", name)
 			}
 		}
 		if _, err := b.Pick(Query{Pool: "svc", Urgency: config.Urgent, Exclude: []string{"t001"}}); !errors.Is(err, ErrNoTarget) {
-			t.Errorf("%s: %v, want no target", name, err)
+			t.Errorf("%s: %v, want ErrNoTarget", name, err)
 		}
 		if usable, _ := b.Usable("t000"); usable {
 			t.Errorf("%s: usable", name)
@@ -106,8 +108,8 @@
 	}
 }
 
-// The limits of a drained target are left open by mistake. The second look after
-// the taking of a slot still keeps work away, and past the bound it is reported.
+// If the limits of a drained target are left open by a fault, the check after a slot was taken
+// still prevents a dispatch, and reports a violation when DrainBound has passed.
 func TestDispatchAfterDrainIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inv := invariant.NewRegistry(nil)
@@ -116,7 +118,7 @@
 		b.SetLeaving(map[string]bool{"t000": true})
 		time.Sleep(DefaultDrainBound + time.Millisecond)
 		if _, err := b.Pick(Query{Pool: "svc"}); err == nil {
-			t.Error("the drained target got new work")
+			t.Error("the drained target got a request")
 		}
 		if inv.Total() == 0 {
 			t.Error("no violation was recorded")
@@ -124,8 +126,8 @@
 	})
 }
 
-// The last report was made before this VM sent three requests, which are in it
-// neither as active nor as queued; two of a peer's came after it, too. All count.
+// The last report was made before this VM sent three requests, so it contains them neither as
+// active nor as queued. A peer sent two requests after it, too. The estimate counts them all.
 func TestEstimateAddsWhatTheReportMisses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBalancer(Settings{}, services(1, 20))
@@ -150,21 +152,21 @@
 	})
 }
 
-// The engine has no slot although this VM thought so. Nothing more is sent there
-// for a while, and what waits is told when the while is over.
+// An engine answers busy although this VM assumed a free slot. It gets nothing more for a
+// while, and waiting requests are notified when the hold ends.
 func TestBusyTargetIsLeftAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBalancer(Settings{}, services(1, 20))
 		var freed atomic.Int64
 		b.OnFree(func(string) { freed.Add(1) })
-		b.Busy("t000")
+		b.ReportBusy("t000")
 		if _, err := b.Pick(Query{Pool: "svc", Urgency: config.Urgent}); !errors.Is(err, ErrNoCapacity) {
-			t.Fatalf("busy target: %v", err)
+			t.Fatalf("pick with a busy target: %v", err)
 		}
 		time.Sleep(DefaultBusyHold)
 		synctest.Wait()
 		if freed.Load() != 1 {
-			t.Errorf("told %d times", freed.Load())
+			t.Errorf("OnFree was called %d times", freed.Load())
 		}
 		if _, err := b.Pick(Query{Pool: "svc", Urgency: config.Urgent}); err != nil {
 			t.Error(err)
@@ -172,9 +174,9 @@
 	})
 }
 
-// 320 VMs share 600 targets. Each uses a small part, always the same one; each
-// target is used by the same number of VMs; a target that goes changes little.
-// With 6 VMs the subset is everything.
+// 320 VMs share 600 targets. Each VM uses a small subset that does not change by itself, each
+// target is used by the same number of VMs, and removing a target changes few subsets. With 6
+// VMs the subset contains all targets.
 func TestSubsetsCoverAllTargets(t *testing.T) {
 	s := Settings{}.withDefaults()
 	for _, n := range []int{600, 43} {
@@ -191,7 +193,7 @@
 			after := inSubset(members[1:], 320, vm, s)
 			maps.DeleteFunc(subset, func(name string, _ bool) bool { return after[name] })
 			if len(subset) > 2 {
-				t.Errorf("VM %d lost %d targets as one went", vm, len(subset))
+				t.Errorf("VM %d lost %d targets when one was removed", vm, len(subset))
 			}
 		}
 		counts := slices.Sorted(maps.Values(used))
--- a/internal/balance/candidate.go
+++ b/internal/balance/candidate.go
@@ -6,19 +6,20 @@
 	"geraniumcroft/internal/config"
 )
 
-// candidate keeps the best of the targets that were offered. It does not hold the
-// query, which would then have to live on the heap as the target does.
+// candidate is the best of the targets that were offered. It does not contain the query,
+// because the query would then escape to the heap as the target does.
 type candidate struct {
 	settings *Settings
 	now      time.Time
 	best     *target
 	score    float64
-	offered  int
+	// offered counts the targets that had a free slot.
+	offered int
 }
 
-// offerHolders considers the targets that are said to have a prefix of the prompt
-// cached. They must have room as any other: a hint saves work, but a queue behind
-// a full target costs more than it saves.
+// offerHolders offers the targets that have a prefix of the prompt cached. They need a free
+// slot as any other target does: a cached prefix saves less than a queue at a full target
+// costs.
 func (c *candidate) offerHolders(q *Query, p *pool, now time.Time) {
 	found, covered := p.prefixes.find(q.Prefixes)
 	for _, h := range found {
@@ -28,7 +29,7 @@
 	}
 }
 
-// offer considers t if it has room for the query.
+// offer takes t as the best target if it has a free slot for the query and a lower score.
 func (c *candidate) offer(q *Query, t *target, bonus float64) {
 	if !t.hasRoom(q.Urgency) || !q.accepts(t) {
 		return
@@ -43,20 +44,21 @@
 	}
 }
 
+// adjust returns what is added to the score of t for this query.
 func (c *candidate) adjust(q *Query, t *target) float64 {
 	adjust := 0.0
 	if q.DataCentre != "" && t.config.Load().DataCentre != q.DataCentre {
 		adjust += c.settings.RemotePenalty
 	}
 	if t.probing.Load() {
-		adjust += probe(q)
+		adjust += probeAdjustment(q)
 	}
 	return adjust
 }
 
-// probe makes less urgent requests go to a half-open target first, so that it is
-// known soon whether it is well, and urgent ones last.
-func probe(q *Query) float64 {
+// probeAdjustment makes less urgent requests prefer a half-open target, so that its health
+// is known soon, and urgent ones avoid it.
+func probeAdjustment(q *Query) float64 {
 	if q.Urgency == config.Urgent {
 		return probePenalty
 	}
--- a/internal/balance/decision_bench_test.go
+++ b/internal/balance/decision_bench_test.go
@@ -15,14 +15,14 @@
 	"geraniumcroft/internal/invariant"
 )
 
-// The size that a decision is measured at.
+// The number of targets, workspaces and slots for which decisions are measured.
 const (
 	benchTargets    = 600
 	benchWorkspaces = 2600
 	benchSlots      = 8
 )
 
-// decisions makes decisions: admission and choice of target, then the release.
+// decisions makes decisions: admission and choice of a target, followed by the release.
 type decisions struct {
 	admission  *admission.Controller
 	balancer   *Balancer
@@ -30,6 +30,7 @@
 	next       atomic.Uint64
 }
 
+// newDecisions returns decisions with all slots free.
 func newDecisions() *decisions {
 	d := &decisions{
 		admission: admission.New(admission.Settings{}, invariant.Strict()),
@@ -43,7 +44,7 @@
 	return d
 }
 
-// decide makes one decision and returns the slot.
+// decide makes one decision and returns the slot, nil if the request was refused.
 func (d *decisions) decide(u config.Urgency, prefixes []uint64) *Slot {
 	n := d.next.Add(1)
 	r := &admission.Request{Workspace: d.workspaces[n%benchWorkspaces], Pool: "svc", Urgency: u, Cost: 355}
@@ -58,14 +59,14 @@
 	return slot
 }
 
-// fill leaves that many slots open to urgent requests.
+// fill takes slots until the given number is open to urgent requests.
 func (d *decisions) fill(open int) {
 	for range benchTargets*benchSlots - open {
 		_, _ = d.balancer.Pick(Query{Pool: "svc", Urgency: config.Urgent})
 	}
 }
 
-// backlog queues bulk requests of all workspaces up to the queue's bound.
+// backlog queues bulk requests of all workspaces up to the limit of the queue.
 func (d *decisions) backlog(ctx context.Context) {
 	for i := range admission.DefaultMaxQueued {
 		r := &admission.Request{Workspace: d.workspaces[i*2], Pool: "svc", Cost: 355}
@@ -75,9 +76,9 @@
 	}
 }
 
-// BenchmarkDecision measures one decision with its release at 600 targets and
-// 2,600 workspaces: with room, with a prefix to look up, with one free slot among
-// all targets, and with a full queue of bulk behind it.
+// BenchmarkDecision measures one decision with its release for 600 targets and 2,600
+// workspaces: with free slots, with prefixes to look up, with one free slot among all targets,
+// and with a full queue of bulk requests.
 func BenchmarkDecision(b *testing.B) {
 	prefixes := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 	for _, c := range []struct {
@@ -107,8 +108,7 @@
 	}
 }
 
-// BenchmarkDecisionParallel measures decisions made by all processors at once, in
-// one pool.
+// BenchmarkDecisionParallel measures decisions that all processors make in one pool at once.
 func BenchmarkDecisionParallel(b *testing.B) {
 	b.Run("one-pool", func(b *testing.B) {
 		d := newDecisions()
@@ -123,8 +123,8 @@
 	})
 }
 
-// BenchmarkRefusal measures a refusal on arrival: the queue is full of requests
-// of the same urgency, none of a workspace that holds more than its share.
+// BenchmarkRefusal measures a refusal on arrival: the queue is full of requests of the same
+// urgency, and no workspace holds more than its share.
 func BenchmarkRefusal(b *testing.B) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -137,9 +137,9 @@
 	}
 }
 
-// BenchmarkControl measures what the view of 600 targets costs apart from
-// decisions: one report, one peer's counts of 60 targets that all changed, this
-// VM's own counts for the peers, and one change of the configuration.
+// BenchmarkControl measures the work for a view of 600 targets apart from decisions: one
+// report, the counts of one peer with 60 targets that all changed, this VM's own counts for
+// the peers, and one change of the configuration.
 func BenchmarkControl(b *testing.B) {
 	d := newDecisions()
 	d.balancer.SetSubset(6, 0)
--- a/internal/balance/dump.go
+++ b/internal/balance/dump.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Dump is the balancer's state.
+// Dump is the state of the balancer.
 type Dump struct {
 	Peers   int          `json:"peers"`
 	Targets []TargetDump `json:"targets"`
 }
 
-// Dump returns the state of all targets. It waits for no request.
+// Dump returns the state of all targets, sorted by name. It does not wait for requests.
 func (b *Balancer) Dump() any {
 	dump := Dump{Peers: b.peers()}
 	now := time.Now()
@@ -23,13 +23,14 @@
 	return dump
 }
 
+// dump returns the state of the target.
 func (t *target) dump(now time.Time) TargetDump {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	reason := t.closed(now)
 	dump := TargetDump{
 		Name:     t.name,
-		Pool:     PoolOf(t.config.Load()),
+		Pool:     PoolName(t.config.Load()),
 		InFlight: int(t.inFlight.Load()),
 		Eligible: reason == "",
 		Reason:   reason,
@@ -38,7 +39,7 @@
 		Trust:    t.load.trust(now, t.balancer.settings),
 		Failures: t.health.failures,
 		HalfOpen: t.health.halfOpen(now),
-		Busy:     t.busy.holds(now),
+		Busy:     t.busy.active(now),
 
 		PeersInFlight: t.load.peers,
 		CacheTrust:    t.hintTrust(now, &t.balancer.settings),
--- a/internal/balance/faults.go
+++ b/internal/balance/faults.go
@@ -1,6 +1,6 @@
 package balance
 
-// faults take safeguards away, so that tests can show that they notice.
+// faults disables safeguards, so that tests can prove that they detect their absence.
 type faults struct {
 	noHeadroom   bool
 	noDrain      bool
--- a/internal/balance/fleet_bench_test.go
+++ b/internal/balance/fleet_bench_test.go
@@ -12,9 +12,9 @@
 	"geraniumcroft/internal/invariant"
 )
 
-// BenchmarkMemory gives what the view of 600 targets holds, after reports and
-// counts of 16 peers, and what a full index of one pool's prefixes adds; and how
-// large the targets' part of a dump is.
+// BenchmarkMemory measures the memory of a view of 600 targets after reports and the counts of
+// 16 peers, the memory of a full prefix index of one pool, and the size of the targets in a
+// dump.
 func BenchmarkMemory(b *testing.B) {
 	snapshot := services(benchTargets, benchSlots)
 	for b.Loop() {
@@ -43,6 +43,7 @@
 	}
 }
 
+// heapInUse returns the size of the live heap after a collection.
 func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -51,8 +52,8 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkSubset gives how many of 600 targets one of 320 VMs uses, and which part
-// of them a VM keeps when a VM before it in order of name goes.
+// BenchmarkSubset measures how many of 600 targets one of 320 VMs uses, and which fraction of
+// them a VM keeps when a VM that precedes it by name is removed.
 func BenchmarkSubset(b *testing.B) {
 	const fleet, models, layers = 320, 14, 24
 	for _, c := range []struct{ slots, ranges int }{{8, 1}, {128, 1}, {365, 1}, {128, 2}} {
@@ -84,6 +85,7 @@
 	}
 }
 
+// usedTargets returns the targets in the subset of the VM with an index.
 func usedTargets(s *config.Snapshot, fleet, index int) map[string]bool {
 	balancer := New(Settings{}, invariant.Strict())
 	balancer.Update(s)
--- a/internal/balance/group.go
+++ b/internal/balance/group.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// usualInterval is how many answers there are between two computations of
-	// what is usual, at least.
-	usualInterval = 32
-	// usualWeight is the weight of the newest answer in a target's average time.
-	usualWeight = 1.0 / 8
-	// slowFloor is the time below which no answer counts as slow.
-	slowFloor = 20 * time.Millisecond
+	// medianInterval is the least number of answers between two computations of the median.
+	medianInterval = 32
+	// averageWeight is the weight of the newest answer in a target's average service time.
+	averageWeight = 1.0 / 8
+	// minSlowTime is the service time up to which no answer counts as slow.
+	minSlowTime = 20 * time.Millisecond
 )
 
-// group holds the targets of a pool that can stand in for each other: the
-// instances of a service, or the engines of a model version with the same layers.
+// group holds the targets of a pool that can replace each other: the instances of a
+// service, or the engines of a model version with the same layers.
 type group struct {
-	// usual holds the bits of the group's usual time of service in seconds.
-	usual   atomic.Uint64
-	answers atomic.Uint64
+	// serviceTime holds the bits of the lower median of the targets' average service times,
+	// in seconds.
+	serviceTime atomic.Uint64
+	answers     atomic.Uint64
 
-	mu      sync.Mutex // guards the field below and the changes of its targets' out
+	mu      sync.Mutex // guards the field below and the changes of its targets' unhealthy
 	targets []*target
 }
 
@@ -35,57 +35,57 @@
 	g.targets = targets
 }
 
-// tryEject marks t as ejected unless that would pass the bound. At least one
-// target always stays, even where all look bad: a bad target may answer, none
-// never does, and what looks like the fault of all is likely not theirs.
+// tryEject marks t as unhealthy unless too many targets are already. At least one target
+// always stays, even if all seem to fail: a failing target may still answer while an empty
+// group cannot, and a failure of all targets probably has another cause.
 func (g *group) tryEject(t *target, share float64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := 0
+	unhealthy := 0
 	for _, other := range g.targets {
-		if other != t && other.out.Load() {
-			out++
+		if other != t && other.unhealthy.Load() {
+			unhealthy++
 		}
 	}
 	bound := min(max(int(share*float64(len(g.targets))), 1), len(g.targets)-1)
-	if out >= bound && !t.balancer.settings.faults.noEjectBound {
+	if unhealthy >= bound && !t.balancer.settings.faults.noEjectBound {
 		return false
 	}
-	t.out.Store(true)
+	t.unhealthy.Store(true)
 	return true
 }
 
-// slow reports whether an answer of t is an outlier among the group's. The usual
-// time is the lower median of the targets' averages, so that even one slow target
-// of two does not pass for usual.
-func (g *group) slow(t *target, took time.Duration, factor float64) bool {
+// recordAndCompare adds an answer of t to its average service time and reports whether the
+// answer is an outlier: longer than factor times the group's median. The lower median is
+// used so that one slow target of two does not set the standard.
+func (g *group) recordAndCompare(t *target, took time.Duration, factor float64) bool {
 	seconds := took.Seconds()
-	average := math.Float64frombits(t.usual.Load())
+	average := math.Float64frombits(t.serviceTime.Load())
 	if average == 0 {
 		average = seconds
 	}
-	t.usual.Store(math.Float64bits(average + (seconds-average)*usualWeight))
-	g.noteAnswer()
-	usual := math.Float64frombits(g.usual.Load())
-	return usual > 0 && took > slowFloor && seconds > factor*usual
+	t.serviceTime.Store(math.Float64bits(average + (seconds-average)*averageWeight))
+	g.countAnswer()
+	serviceTime := math.Float64frombits(g.serviceTime.Load())
+	return serviceTime > 0 && took > minSlowTime && seconds > factor*serviceTime
 }
 
-// noteAnswer computes anew what is usual, once for each usualInterval answers or
-// as many as there are targets.
-func (g *group) noteAnswer() {
+// countAnswer recomputes the median once for each medianInterval answers, or for as many
+// answers as there are targets if that is more.
+func (g *group) countAnswer() {
 	answers := g.answers.Add(1)
-	if answers%usualInterval != 0 {
+	if answers%medianInterval != 0 {
 		return
 	}
 	g.mu.Lock()
 	targets := g.targets
 	g.mu.Unlock()
-	if answers%uint64(max(len(targets)/usualInterval, 1)*usualInterval) != 0 {
+	if answers%uint64(max(len(targets)/medianInterval, 1)*medianInterval) != 0 {
 		return
 	}
 	averages := make([]float64, 0, len(targets))
 	for _, t := range targets {
-		if average := math.Float64frombits(t.usual.Load()); average > 0 {
+		if average := math.Float64frombits(t.serviceTime.Load()); average > 0 {
 			averages = append(averages, average)
 		}
 	}
@@ -93,5 +93,5 @@
 		return
 	}
 	slices.Sort(averages)
-	g.usual.Store(math.Float64bits(averages[(len(averages)-1)/2]))
+	g.serviceTime.Store(math.Float64bits(averages[(len(averages)-1)/2]))
 }
--- a/internal/balance/group_key.go
+++ b/internal/balance/group_key.go
@@ -2,7 +2,7 @@
 
 import "geraniumcroft/internal/config"
 
-// groupKey names a group.
+// groupKey identifies a group. Layers is empty for services.
 type groupKey struct {
 	pool   string
 	layers config.LayerRange
--- a/internal/balance/has_room.go
+++ b/internal/balance/has_room.go
@@ -2,8 +2,8 @@
 
 import "geraniumcroft/internal/config"
 
-// HasRoom reports whether a request of the urgency would get a slot on the
-// target now. It takes nothing; Reserve decides.
+// HasRoom reports whether a request of the urgency would get a slot on the target now. It
+// reserves nothing.
 func (b *Balancer) HasRoom(name string, u config.Urgency) bool {
 	t := b.view.Load().targets[name]
 	return t != nil && t.hasRoom(u)
--- a/internal/balance/headroom.go
+++ b/internal/balance/headrooms.go
@@ -5,14 +5,13 @@
 	"math"
 )
 
-// headrooms returns, for each target of a group, how many of its slots each
-// urgency must leave free. Urgent leaves none.
+// headrooms returns, for each target of a group, how many of its slots requests of each
+// urgency must leave free. It is 0 for urgent requests.
 //
-// A target with one slot cannot keep one free and still serve anything else, so
-// there the headroom is whole targets: a share of them, at least one where the
-// group has several and none of them is larger, is for urgent requests only. A
-// group that is a single slot keeps none; there urgent work relies on
-// preemption.
+// A target with one slot cannot keep a slot free and serve anything else. For such targets
+// the headroom consists of whole targets: UrgentShare of them, rounded down, serve only
+// urgent requests, and at least one if the group has several targets and all have one slot.
+// A group with a single slot has no headroom; urgent requests depend on preemption there.
 func headrooms(members []*config.Target, s Settings) [][config.UrgencyCount]int {
 	rooms := make([][config.UrgencyCount]int, len(members))
 	var single []int
@@ -34,6 +33,8 @@
 	return rooms
 }
 
+// headroom returns how many slots requests of each urgency must leave free on a target with
+// more than one slot.
 func headroom(slots int, s Settings) [config.UrgencyCount]int {
 	urgent := max(1, int(math.Round(s.UrgentShare*float64(slots))))
 	normal := int(s.NormalShare * float64(slots))
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -2,31 +2,36 @@
 
 import "time"
 
-// health is the failure state of one target: healthy, ejected until a time, or
-// half-open, when one more request at a time probes it.
+// health is the failure state of one target. It is healthy, ejected until some time, or
+// half-open, when one additional request at a time probes it.
 type health struct {
-	// failures counts failures in a row, ejections those since the last good answer.
+	// failures counts failures in a row, ejections those since the last success.
 	failures  int
 	ejections int
-	out       bool
+	unhealthy bool
 	since     time.Time
 	until     time.Time
-	// probeCap bounds the requests in flight while half-open: those from before
-	// the ejection and one probe. It is 0 until the target is found half-open.
+	// probeCap limits the requests in flight while the target is half-open: those sent
+	// before the ejection and one probe. It is 0 until the target is found to be half-open.
 	probeCap int
 }
 
-func (h *health) ejected(now time.Time) bool { return h.out && now.Before(h.until) }
+// ejected reports whether the target is ejected and not yet half-open.
+func (h *health) ejected(now time.Time) bool { return h.unhealthy && now.Before(h.until) }
 
-func (h *health) halfOpen(now time.Time) bool { return h.out && !now.Before(h.until) }
+// halfOpen reports whether the ejection is over but no probe has succeeded yet.
+func (h *health) halfOpen(now time.Time) bool { return h.unhealthy && !now.Before(h.until) }
 
-// stale reports whether a request that started then says nothing new: it was
-// sent before the ejection, and how it ends was decided then.
-func (h *health) stale(started time.Time) bool { return h.out && started.Before(h.since) }
+// predatesEjection reports whether a request was sent before the ejection. Its result then
+// says nothing about the target's present state.
+func (h *health) predatesEjection(started time.Time) bool {
+	return h.unhealthy && started.Before(h.since)
+}
 
+// eject ejects the target. The time doubles with each ejection in a row, up to MaxEjectFor.
 func (h *health) eject(now time.Time, s Settings) {
 	hold := s.EjectFor << min(h.ejections, maxEjectionDoublings)
-	h.out = true
+	h.unhealthy = true
 	h.since = now
 	h.until = now.Add(min(hold, s.MaxEjectFor))
 	h.probeCap = 0
@@ -36,12 +41,13 @@
 // maxEjectionDoublings keeps the shift of the ejection time from overflowing.
 const maxEjectionDoublings = 10
 
-// paroled reports whether a half-open target is to be let in without a probe: it
-// has sent load reports all through, but no request came that could probe it.
-func (h *health) paroled(now time.Time, s Settings) bool {
-	return h.halfOpen(now) && now.Sub(h.until) >= s.MaxEjectFor/paroleShare
+// readmitsUnprobed reports whether a half-open target is to be readmitted without a probe
+// because no request could probe it for a while. The caller has just received a load report
+// from it.
+func (h *health) readmitsUnprobed(now time.Time, s Settings) bool {
+	return h.halfOpen(now) && now.Sub(h.until) >= s.MaxEjectFor/unprobedDivisor
 }
 
-// paroleShare divides MaxEjectFor into the time without a probe after which a
-// target that reports its load is let in.
-const paroleShare = 3
+// unprobedDivisor divides MaxEjectFor into the time without a probe after which a target
+// that reports its load is readmitted.
+const unprobedDivisor = 3
--- a/internal/balance/health_test.go
+++ b/internal/balance/health_test.go
@@ -12,8 +12,8 @@
 	"geraniumcroft/internal/config"
 )
 
-// failOften makes the target fail until it is ejected.
-func failOften(b *Balancer, name string) {
+// failUntilEjected makes a target fail until it is ejected.
+func failUntilEjected(b *Balancer, name string) {
 	for range DefaultEjectAfter {
 		if s, err := b.Reserve(name, config.Urgent); err == nil {
 			s.Release(ResultFailed)
@@ -21,6 +21,7 @@
 	}
 }
 
+// ejected returns the number of ejected targets.
 func ejected(b *Balancer) (n int) {
 	for _, target := range b.Dump().(Dump).Targets {
 		if target.Reason == "ejected" {
@@ -30,49 +31,49 @@
 	return n
 }
 
-// All targets fail at once, for instance as this VM's own link is bad. Only a part
-// of them is ejected, so requests still find targets.
+// If all targets fail at once, for instance because this VM's own link is broken, only some of
+// them are ejected, so requests still find targets.
 func TestEjectionIsBounded(t *testing.T) {
 	for faulty, want := range map[bool]int{false: 3, true: 10} {
 		b := newBalancer(Settings{faults: faults{noEjectBound: faulty}}, services(10, 4))
 		for name := range b.snapshot.Targets {
-			failOften(b, name)
+			failUntilEjected(b, name)
 		}
 		if got := ejected(b); got != want {
 			t.Errorf("unbounded %t: %d of 10 targets ejected, want %d", faulty, got, want)
 		}
 	}
 	b := newBalancer(Settings{}, services(1, 4))
-	failOften(b, "t000")
+	failUntilEjected(b, "t000")
 	if got := ejected(b); got != 0 {
 		t.Errorf("the only target was ejected")
 	}
 }
 
-// A target fails three times and gets no request. When its time is over one
-// request probes it: a failure ejects it for longer, a good answer lets it in, and
-// those that wait for a slot are told.
-func TestEjectedTargetComesBackByAProbe(t *testing.T) {
+// A target that fails three times gets no requests. When its time is over one request probes
+// it: a failure ejects it for longer, a success readmits it, and waiting requests are
+// notified.
+func TestEjectedTargetIsReadmittedByProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBalancer(Settings{}, services(2, 4))
 		var freed atomic.Int64
 		b.OnFree(func(string) { freed.Add(1) })
-		failOften(b, "t000")
+		failUntilEjected(b, "t000")
 		if _, err := b.Reserve("t000", config.Bulk); !errors.Is(err, ErrNoCapacity) {
-			t.Fatalf("ejected target: %v", err)
+			t.Fatalf("reserve on the ejected target: %v", err)
 		}
 		before := freed.Load()
 		time.Sleep(DefaultEjectFor)
 		synctest.Wait()
 		if freed.Load() == before {
-			t.Error("nobody was told that the target can be probed")
+			t.Error("OnFree was not called when the target became half-open")
 		}
 		probe, err := b.Pick(Query{Pool: "svc"})
 		if err != nil || probe.Target().Name != "t000" {
-			t.Fatalf("bulk did not probe: %v", err)
+			t.Fatalf("the bulk request did not probe: %v", err)
 		}
 		if _, err := b.Reserve("t000", config.Urgent); !errors.Is(err, ErrNoCapacity) {
-			t.Errorf("second probe: %v", err)
+			t.Errorf("reserve for a second probe: %v", err)
 		}
 		probe.Release(ResultSlow)
 		time.Sleep(DefaultEjectFor)
@@ -85,15 +86,15 @@
 			s.Release(ResultOK)
 		}
 		if got := len(pickAll(b, config.Urgent)); got != 8 {
-			t.Errorf("%d slots after the target came back, want 8", got)
+			t.Errorf("%d slots after the target was readmitted, want 8", got)
 		}
 	})
 }
 
-// The operator's counters of a target follow from what was told of each slot, once.
+// OnResult is called exactly once for each slot. The operators' counters depend on it.
 func TestResultsAreToldOnce(t *testing.T) {
-	var told []string
-	settings := Settings{OnResult: func(target string, r Result) { told = append(told, fmt.Sprint(target, " ", r)) }}
+	var results []string
+	settings := Settings{OnResult: func(target string, r Result) { results = append(results, fmt.Sprint(target, " ", r)) }}
 	b := newBalancer(settings, services(1, 4))
 	for _, r := range []Result{ResultOK, ResultFailed, ResultNeutral} {
 		s, err := b.Reserve("t000", config.Urgent)
@@ -103,13 +104,13 @@
 		s.Release(r)
 		s.Release(ResultFailed)
 	}
-	if want := []string{"t000 1", "t000 2", "t000 0"}; !slices.Equal(told, want) {
-		t.Errorf("told %v, want %v", told, want)
+	if want := []string{"t000 1", "t000 2", "t000 0"}; !slices.Equal(results, want) {
+		t.Errorf("results %v, want %v", results, want)
 	}
 }
 
-// One instance of a service answers everything, but ten times as late as the
-// others. It is ejected as one that fails is.
+// An instance of a service that answers ten times as slowly as the others is ejected like one
+// that fails.
 func TestSlowTargetIsEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBalancer(Settings{}, services(3, 4))
@@ -132,9 +133,9 @@
 	})
 }
 
-// All instances answer within a few milliseconds, one of them in ten times the others'
-// time. That is noise and no fault: ejecting it would cost slots and save nothing.
-func TestQuickTargetIsNeverSlow(t *testing.T) {
+// All instances answer within a few milliseconds, one of them in ten times the time of the
+// others. This is noise and no fault: ejecting it would cost slots and save nothing.
+func TestFastTargetIsNotEjectedAsSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBalancer(Settings{}, services(3, 4))
 		for range 300 {
@@ -155,15 +156,15 @@
 	})
 }
 
-// A target that was ejected waits for its probe beside one that is well and nearer.
-// Urgent requests leave it alone; the first bulk one probes it, so that it is known
-// soon whether the target is well.
+// A half-open target competes with a healthy one in the local data centre. Urgent requests
+// avoid the half-open target, and the first bulk request probes it, so that its health is
+// known soon.
 func TestBulkProbesAndUrgentDoesNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		snapshot := services(2, 4)
 		snapshot.Targets["t001"].DataCentre = "here"
 		b := newBalancer(Settings{}, snapshot)
-		failOften(b, "t000")
+		failUntilEjected(b, "t000")
 		time.Sleep(DefaultEjectFor)
 		synctest.Wait()
 		for _, c := range []struct {
--- a/internal/balance/herd_choosers_test.go
+++ b/internal/balance/herd_choosers_test.go
@@ -11,7 +11,7 @@
 	"geraniumcroft/internal/invariant"
 )
 
-// balancerChooser chooses with the product's balancer.
+// balancerChooser chooses with a Balancer.
 type balancerChooser struct {
 	b        *Balancer
 	usePeers bool
@@ -35,14 +35,14 @@
 
 func (c *balancerChooser) inFlight() map[string]int { return c.b.InFlight() }
 
-func (c *balancerChooser) hear(peer int, inFlight map[string]int) {
+func (c *balancerChooser) receive(peer int, inFlight map[string]int) {
 	if c.usePeers {
 		c.b.PeerLoad(fmt.Sprint(peer), inFlight)
 	}
 }
 
-// reportChooser looks at nothing but the last reports: at those of a few random
-// targets, of all, or, with 0 choices, goes round.
+// reportChooser uses only the last reports: of a few random targets, of all, or, with 0
+// choices, of none, by round robin.
 type reportChooser struct {
 	random  *rand.Rand
 	choices int
@@ -65,6 +65,6 @@
 
 func (c *reportChooser) report(target int, r engine.LoadReport) { c.loads[target] = r.Active }
 
-func (c *reportChooser) hear(int, map[string]int) {}
+func (c *reportChooser) receive(int, map[string]int) {}
 
 func (c *reportChooser) inFlight() map[string]int { return nil }
--- a/internal/balance/herd_test.go
+++ b/internal/balance/herd_simulation_test.go
@@ -10,7 +10,7 @@
 	"geraniumcroft/internal/engine"
 )
 
-// herdEvent is something that happens at a time of the simulation.
+// herdEvent is an event at a time of the simulation.
 type herdEvent struct {
 	at time.Duration
 	do func()
@@ -33,7 +33,7 @@
 	return event
 }
 
-// herd is one simulation; chooser makes the way in which one VM chooses.
+// herd is one simulation with a chooser for each VM.
 type herd struct {
 	random   *rand.Rand
 	uneven   bool
@@ -45,11 +45,11 @@
 	worst    []float64
 }
 
-// herdChooser is one VM's way of choosing.
+// herdChooser is how one VM chooses targets.
 type herdChooser interface {
 	choose() (target int, done func())
 	report(target int, r engine.LoadReport)
-	hear(peer int, inFlight map[string]int)
+	receive(peer int, inFlight map[string]int)
 	inFlight() map[string]int
 }
 
@@ -95,10 +95,10 @@
 
 func (h *herd) gossip() {
 	for from, c := range h.choosers {
-		said := c.inFlight()
+		counts := c.inFlight()
 		for to, other := range h.choosers {
 			if from != to {
-				other.hear(from, said)
+				other.receive(from, counts)
 			}
 		}
 	}
@@ -116,7 +116,8 @@
 	h.after(20*time.Millisecond, h.sample)
 }
 
-// run returns the mean and the 99th percentile of the greatest load over the mean.
+// run returns the mean and the 99th percentile of the ratio of the largest load to the mean
+// load.
 func (h *herd) run() (mean, p99 float64) {
 	h.load = make([]int, herdTargets)
 	h.addOutside()
--- a/internal/balance/herding_test.go
+++ b/internal/balance/herding_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The herd: several VMs send to targets whose reports are made each second and
-// reach every VM half a second later; peers' counts come each 200 ms.
+// Parameters of the simulation: several VMs send to targets whose reports are made each second
+// and reach every VM half a second later. The counts of peers arrive each 200 ms.
 const (
 	herdTargets     = 40
 	herdMeanLoad    = 10.0
@@ -20,26 +20,27 @@
 	herdLength      = 5 * time.Second
 	herdTableLength = 12 * time.Second
 	herdWarmUp      = 3 * time.Second
-	// In an uneven herd each fourth target takes twice as long, and has work from
-	// elsewhere that no VM knows of but by the target's reports.
+	// In an uneven simulation each fourth target takes twice as long and has other load that
+	// the VMs know only from its reports.
 	herdSlowStep    = 4
 	herdOutsideLoad = 10
-	// herdTolerance is how much worse than going round the product's way may be
-	// where all targets are alike, which suits going round best.
+	// herdTolerance is how much worse than round robin the balancer may be with equal
+	// targets, which is the best case for round robin.
 	herdTolerance = 1.1
 )
 
-// herdTable runs all ways at all sizes, which takes too long for each test run.
+// herdTable enables all strategies for all numbers of VMs, which takes too long for a usual
+// test run.
 var herdTable = flag.Bool("herding.table", false, "compare all ways of choosing by 6 and 64 VMs")
 
-// herdWay is one way of choosing, to be compared.
-type herdWay struct {
+// herdStrategy is one strategy in the comparison.
+type herdStrategy struct {
 	name     string
 	compared bool
 	make     func(random *rand.Rand) herdChooser
 }
 
-func herdWays() []herdWay {
+func herdStrategies() []herdStrategy {
 	report := func(choices int) func(*rand.Rand) herdChooser {
 		return func(random *rand.Rand) herdChooser {
 			return &reportChooser{random: random, choices: choices, next: random.IntN(herdTargets)}
@@ -48,7 +49,7 @@
 	balanced := func(choices int, peers bool) func(*rand.Rand) herdChooser {
 		return func(random *rand.Rand) herdChooser { return newBalancerChooser(random, choices, peers) }
 	}
-	return []herdWay{
+	return []herdStrategy{
 		{"round robin", true, report(0)},
 		{"least reported", true, report(herdTargets)},
 		{"two by report", false, report(2)},
@@ -61,7 +62,7 @@
 	}
 }
 
-func runHerd(t *testing.T, way herdWay, vms int, uneven bool, length time.Duration) (mean, p99 float64) {
+func runHerd(t *testing.T, way herdStrategy, vms int, uneven bool, length time.Duration) (mean, p99 float64) {
 	synctest.Test(t, func(t *testing.T) {
 		h := &herd{random: rand.New(rand.NewPCG(1, 2)), uneven: uneven, length: length}
 		for range vms {
@@ -73,13 +74,13 @@
 	return mean, p99
 }
 
-// Many VMs act on the same stale reports. With the least reported target they all
-// choose the same one and flood it until the next report. The product's way must
-// stay clear of that, and where targets differ spread better than going round does.
+// Many VMs use the same outdated reports. If they choose the least loaded target, they all
+// choose the same one and overload it until the next report. The balancer must avoid this, and
+// must balance uneven targets better than round robin does.
 func TestStaleReportsDoNotHerd(t *testing.T) {
 	for _, uneven := range []bool{false, true} {
 		means := map[string]float64{}
-		for _, way := range herdWays() {
+		for _, way := range herdStrategies() {
 			if *herdTable {
 				_, _ = runHerd(t, way, 64, uneven, herdTableLength)
 				_, _ = runHerd(t, way, 6, uneven, herdTableLength)
--- a/internal/balance/history.go
+++ b/internal/balance/history.go
@@ -10,11 +10,11 @@
 	historyWidth   = 50 * time.Millisecond
 )
 
-// history records the net change of a counter over the last few seconds, so that
-// the counter's value at a past moment can be told. A moment before the recorded
-// ones is answered with the oldest value that is known.
+// history records the net change of a counter over the last few seconds, so that the
+// counter's value at an earlier time can be computed. For a time before the recorded ones
+// the result is the oldest known value. It is safe for concurrent use.
 type history struct {
-	// buckets hold the bucket's number in the upper and the net change in the
+	// buckets hold the number of the bucket in the upper half and the net change in the
 	// lower half.
 	buckets [historyBuckets]atomic.Uint64
 }
@@ -27,6 +27,7 @@
 	return uint32(packed >> 32), int32(uint32(packed))
 }
 
+// add records a change of the counter at the given time.
 func (h *history) add(now time.Time, delta int) {
 	number := bucketOf(now)
 	bucket := &h.buckets[number%historyBuckets]
--- a/internal/balance/overload_test.go
+++ b/internal/balance/overload_test.go
@@ -15,8 +15,8 @@
 	"geraniumcroft/internal/invariant"
 )
 
-// The overload: 40 targets of 8 slots with drafts of 10 s on average at twice what
-// they can do, and urgent requests of 100 ms at 4% of it.
+// Parameters of the overload: 40 targets of 8 slots, bulk requests of 10 s on average at twice
+// the capacity, and urgent requests of 100 ms at 4% of it.
 const (
 	overloadTargets = 40
 	overloadSlots   = 8
@@ -27,7 +27,7 @@
 	overloadLength  = 10 * time.Second
 )
 
-// overload is one VM's admission and balancer under load, in virtual time.
+// overload is the admission and the balancer of one VM under load, in virtual time.
 type overload struct {
 	admission *admission.Controller
 	balancer  *Balancer
@@ -56,7 +56,7 @@
 	return time.Duration(o.random.ExpFloat64() * float64(mean))
 }
 
-// send lets requests arrive at random at that share of the capacity.
+// send makes requests arrive at random, at the given share of the capacity.
 func (o *overload) send(u config.Urgency, share float64, service, length time.Duration) {
 	interval := time.Duration(float64(service) / (share * overloadTargets * overloadSlots))
 	end := time.Now().Add(length)
@@ -103,7 +103,7 @@
 	}
 }
 
-// urgentP99 returns the 99th percentile of the time of urgent requests.
+// urgentP99 returns the 99th percentile of the latency of urgent requests.
 func urgentP99(t *testing.T, s Settings, bulkShare float64) (p99 time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOverload(s)
@@ -124,10 +124,10 @@
 	return p99
 }
 
-// Drafting asks for twice what the targets can do, and a crew waits for permits.
-// The crew's answers come as fast as on an idle system, as the slots that are kept
-// free take them at once. Without these slots each waits for a draft to end.
-func TestUrgentDoesNotFeelBulkOverload(t *testing.T) {
+// Bulk requests need twice the capacity of the targets while urgent requests arrive. The
+// latter are answered as fast as on an idle system because of the slots that are kept free.
+// Without these slots each would wait for a bulk request to end.
+func TestBulkOverloadDoesNotDelayUrgent(t *testing.T) {
 	idle := urgentP99(t, Settings{}, 0)
 	loaded := urgentP99(t, Settings{}, overloadBulk)
 	t.Logf("ratio %.3f", float64(loaded)/float64(idle))
--- a/internal/balance/peer_load.go
+++ b/internal/balance/peer_load.go
@@ -5,18 +5,17 @@
 	"time"
 )
 
-// PeerLoad takes what a peer has in flight at each target. It holds until the next
-// call for that peer, however long that takes: a peer with nothing but long streams
-// has no change to tell. Whoever notices that the peer is gone says so with nil; a
-// peer that died holds no slots, and without that its last counts would close them
-// here for good.
+// PeerLoad sets what a peer has in flight at each target. It stays in effect until the next
+// call for that peer: a peer with only long streams has no changes to send. When a peer is
+// gone the caller must pass nil. A dead peer has no requests, and its last counts would
+// otherwise close slots here forever.
 func (b *Balancer) PeerLoad(vm string, inFlight map[string]int) {
 	for pool := range b.takePeerLoad(vm, inFlight) {
-		b.freedPool(pool)
+		b.notifyFreedPool(pool)
 	}
 }
 
-// takePeerLoad returns the pools in which it made room.
+// takePeerLoad applies the counts and returns the pools in which a limit rose.
 func (b *Balancer) takePeerLoad(vm string, inFlight map[string]int) (opened map[string]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -38,12 +37,14 @@
 	return opened
 }
 
+// addPeers adds delta to the peers' requests at a target. It adds the target's pool to
+// opened if a limit rose. b.mu is held.
 func (b *Balancer) addPeers(name string, delta int, opened map[string]bool) {
-	t := b.states[name]
+	t := b.targetStates[name]
 	if t == nil || delta == 0 {
 		return
 	}
-	if t.changeQuietly(func(now time.Time) { t.load.setPeers(now, delta) }) {
-		opened[PoolOf(t.config.Load())] = true
+	if t.apply(func(now time.Time) { t.load.addPeerRequests(now, delta) }) {
+		opened[PoolName(t.config.Load())] = true
 	}
 }
--- a/internal/balance/peer_load_test.go
+++ b/internal/balance/peer_load_test.go
@@ -9,9 +9,9 @@
 	"geraniumcroft/internal/config"
 )
 
-// A peer fills a target with long streams and has no change to tell for a minute:
-// its slots stay taken here all the while. When it is found dead they come free,
-// and what waits for a slot is told.
+// A peer fills a target with long streams and sends no change for a minute. Its slots must
+// remain taken here for all that time. When the peer is found dead they become free, and
+// waiting requests are notified.
 func TestPeersWordHoldsUntilItIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBalancer(Settings{}, services(1, 4))
@@ -25,7 +25,7 @@
 		}
 		b.PeerLoad("peer", nil)
 		if freed.Load() != 1 {
-			t.Errorf("told %d times", freed.Load())
+			t.Errorf("OnFree was called %d times", freed.Load())
 		}
 		if got := len(pickAll(b, config.Urgent)); got != 2 {
 			t.Errorf("%d more slots after the peer was gone, want 2", got)
@@ -33,8 +33,8 @@
 	})
 }
 
-// A peer learns of a new target before this VM does, and says what it has there.
-// Its word counts from the start, and its end leaves nothing behind.
+// A peer learns of a new target before this VM does and reports its requests there. They count
+// as soon as this VM knows the target, and nothing remains when the peer is gone.
 func TestPeersWordOfATargetNotYetKnown(t *testing.T) {
 	b := newBalancer(Settings{}, services(1, 4))
 	b.SetSubset(4, 0)
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// pickAttempts bounds how often Pick chooses anew after losing a race for the
-	// last slot of a target.
+	// pickAttempts limits how often Pick chooses again after another request took the last
+	// slot of the chosen target.
 	pickAttempts = 3
-	// scanCandidates is how many targets with room a scan compares.
+	// scanCandidates is how many targets with a free slot a scan compares.
 	scanCandidates = 2
-	// probePenalty keeps urgent requests from probing while another target has room.
+	// probePenalty keeps urgent requests from probing while another target has a free slot.
 	probePenalty = 100.0
 )
 
-// Pick chooses a target of the pool and reserves a slot on it. It returns
-// ErrNoCapacity when waiting can help and ErrNoTarget when it cannot, and a *pushback.ThrottledError when
-// all targets have asked not to be sent requests now.
+// Pick chooses a target of the pool and reserves a slot on it. It returns ErrNoCapacity if
+// waiting can help, ErrNoTarget if it cannot, and a *pushback.ThrottledError if all targets have
+// asked not to be sent requests now.
 func (b *Balancer) Pick(q Query) (*Slot, error) {
 	p := b.view.Load().pools[q.Pool]
 	if p == nil || len(p.members) == 0 {
@@ -35,13 +35,14 @@
 			return s, nil
 		}
 	}
-	if held := p.held(&q, b.settings.Gate, now); held != nil {
-		return nil, held
+	if throttledError := p.throttledError(&q, b.settings.Gate, now); throttledError != nil {
+		return nil, throttledError
 	}
-	return nil, p.noRoom(&q, now)
+	return nil, p.noRoomError(&q, now)
 }
 
-// Reserve takes a slot on a given target.
+// Reserve reserves a slot on the given target. It returns ErrNoCapacity if waiting can help
+// and ErrNoTarget if it cannot.
 func (b *Balancer) Reserve(name string, u config.Urgency) (*Slot, error) {
 	t := b.view.Load().targets[name]
 	if t == nil {
@@ -54,11 +55,11 @@
 	if t.isClosed() {
 		return nil, ErrNoTarget
 	}
-	b.noteDenied(t, now)
+	b.recordDenied(t, now)
 	return nil, ErrNoCapacity
 }
 
-// choose returns the best of a few targets that have room, nil if none has.
+// choose returns the best of a few targets that have a free slot, nil if none has one.
 func (b *Balancer) choose(p *pool, q *Query, now time.Time) *target {
 	c := candidate{settings: &b.settings, now: now}
 	if len(q.Prefixes) > 0 {
@@ -77,9 +78,9 @@
 	return c.best
 }
 
-// scan looks through the whole pool from a random place until enough targets were
-// found to have room, so that a request does not wait while a target that was not
-// sampled has some.
+// scan offers the targets of the pool in order, from a random one on, until enough of them
+// have a free slot. A request then does not wait while a target that was not sampled has a
+// free slot.
 func (p *pool) scan(q *Query, c *candidate, enough int) {
 	offset := c.settings.random(len(p.members))
 	for i := range p.members {
@@ -94,14 +95,14 @@
 	}
 }
 
-// reserve takes a slot on t, nil when t has none left.
+// reserve takes a slot on t. It returns nil if t has none or its gate is closed.
 func (b *Balancer) reserve(t *target, u config.Urgency, now time.Time) *Slot {
 	if !t.take(u) {
 		return nil
 	}
-	// The target may have been closed between the look at its limit and the taking
-	// of the slot. The request would then reach a target that is about to stop and
-	// be cut off; a second look after the taking sees every closing before it.
+	// The target may have been closed after its limit was read and before the slot was
+	// taken. The request would then be sent to a target that is about to stop, and be cut
+	// off. Checking blockedAt after taking the slot detects every earlier closing.
 	if at := t.blockedAt.Load(); at != 0 {
 		t.inFlight.Add(-1)
 		closed := now.Sub(time.Unix(0, at))
@@ -117,23 +118,27 @@
 	return &Slot{balancer: b, target: t, config: t.config.Load(), started: now}
 }
 
-// noRoom tells whether a slot may come free at a target that q accepts.
-func (p *pool) noRoom(q *Query, now time.Time) error {
+// noRoomError returns ErrNoCapacity if a slot may become free at a target that q accepts, else
+// ErrNoTarget.
+func (p *pool) noRoomError(q *Query, now time.Time) error {
 	for _, t := range p.members {
 		if t.blockedAt.Load() == 0 && q.accepts(t) {
-			p.noteDenied(now)
+			p.recordDenied(now)
 			return ErrNoCapacity
 		}
 	}
 	return ErrNoTarget
 }
 
+// isClosed reports whether the target takes no requests from this VM for another reason than
+// an ejection.
 func (t *target) isClosed() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.blocked() != "" || t.part.outside
+	return t.blocked() != "" || t.allotted.outsideSubset
 }
 
+// release gives back a slot and records the result of its request.
 func (b *Balancer) release(t *target, r Result, started time.Time) {
 	now := time.Now()
 	left := t.inFlight.Add(-1)
@@ -141,9 +146,9 @@
 		b.invariants.Check(false, invariant.SlotsNotNegative, "target %s has %d in flight", t.name, left)
 	}
 	t.sent.add(now, -1)
-	t.settle(r, started, now)
+	t.recordResult(r, started, now)
 	if b.settings.OnResult != nil {
 		b.settings.OnResult(t.name, r)
 	}
-	b.freed(t)
+	b.notifyFreed(t)
 }
--- a/internal/balance/prefix_holders.go
+++ b/internal/balance/prefix_holders.go
@@ -2,12 +2,11 @@
 
 import "time"
 
-// minHolderTrust is the trust below which a hint about a cached prefix is not
-// passed on.
+// minHolderTrust is the trust below which a hint about a cached prefix is not returned.
 const minHolderTrust = 0.25
 
-// PrefixHolders names the pool's targets that are said to hold the longest cached
-// prefix of a prompt, nil if none is believed to. Prefixes are as in Query.
+// PrefixHolders returns the names of the pool's targets that have the longest cached prefix of
+// a prompt, as far as is known and trusted, nil if there are none. Prefixes are as in Query.
 func (b *Balancer) PrefixHolders(pool string, prefixes []uint64) map[string]bool {
 	p := b.view.Load().pools[pool]
 	if p == nil || len(prefixes) == 0 {
--- a/internal/balance/prefix_index.go
+++ b/internal/balance/prefix_index.go
@@ -6,13 +6,14 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// holdersPerPrefix bounds how many targets are remembered for a prefix; a prefix
-// that more targets hold needs no hint.
+// holdersPerPrefix limits how many targets are stored for a prefix. A prefix that more
+// targets hold needs no hint.
 const holdersPerPrefix = 4
 
-// prefixIndex remembers which targets of a pool have which prefixes cached. It is
-// one bounded index by prefix rather than one by target: a choice asks for the
-// holders of a prefix, and the memory does not grow with the number of targets.
+// prefixIndex records which targets of a pool have which prefixes cached. One bounded index
+// by prefix is used instead of one for each target, because a choice looks up the holders of
+// a prefix, and the memory then does not grow with the number of targets. It is safe for
+// concurrent use.
 type prefixIndex struct {
 	mu  sync.Mutex // guards lru
 	lru *simplelru.LRU[uint64, holders]
@@ -26,8 +27,8 @@
 	return &prefixIndex{lru: lru}
 }
 
-// find returns the holders of the longest prefix that any target holds, and the
-// part of the prompt that it covers.
+// find returns the holders of the longest of the prefixes that is held by any target, and
+// the fraction of the prefixes up to it.
 func (x *prefixIndex) find(prefixes []uint64) (found holders, covered float64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -39,6 +40,7 @@
 	return holders{}, 0
 }
 
+// add records that a holder has the prefix cached.
 func (x *prefixIndex) add(prefix uint64, h holder) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -47,6 +49,7 @@
 	x.lru.Add(prefix, have)
 }
 
+// remove records that a target no longer has the prefix cached.
 func (x *prefixIndex) remove(prefix uint64, t *target) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/balance/property_test.go
+++ b/internal/balance/property_test.go
@@ -20,18 +20,18 @@
 	randomSteps   = 200
 )
 
-// step is one drawn event of a run; what the numbers mean depends on the kind.
+// step is one random event of a run. The meaning of n depends on the kind.
 type step struct {
 	kind, target, n int
 }
 
-// model follows a run and keeps what must be true of the balancer.
+// model tracks the slots of a run and checks the invariants of the balancer.
 type model struct {
-	b        *Balancer
-	held     []*Slot
-	inFlight map[string]int
-	draining map[string]bool
-	wrong    string
+	b         *Balancer
+	held      []*Slot
+	inFlight  map[string]int
+	draining  map[string]bool
+	violation string
 }
 
 func drawSteps(rt *rapid.T) []step {
@@ -44,8 +44,9 @@
 	}), randomSteps, randomSteps).Draw(rt, "steps")
 }
 
-// play runs the steps in virtual time and returns what went wrong, empty if nothing.
-func play(t *testing.T, f faults, steps []step) (wrong string) {
+// runSteps runs the steps in virtual time and returns the first violation, empty if there is
+// none.
+func runSteps(t *testing.T, f faults, steps []step) (violation string) {
 	synctest.Test(t, func(*testing.T) {
 		m := &model{
 			b:        New(Settings{faults: f}, invariant.NewRegistry(nil)),
@@ -53,13 +54,13 @@
 			draining: map[string]bool{},
 		}
 		m.update()
-		for i := 0; i < len(steps) && m.wrong == ""; i++ {
+		for i := 0; i < len(steps) && m.violation == ""; i++ {
 			m.step(steps[i])
 			m.check()
 		}
-		wrong = m.wrong
+		violation = m.violation
 	})
-	return wrong
+	return violation
 }
 
 func (m *model) update() {
@@ -77,10 +78,10 @@
 	switch s.kind {
 	case 0, 1, 2, 3:
 		slot, err := m.b.Pick(Query{Pool: "svc", Urgency: config.Urgency(s.n % config.UrgencyCount)})
-		m.taken(slot, err)
+		m.recordSlot(slot, err)
 	case 4:
 		slot, err := m.b.Reserve(name, config.Urgent)
-		m.taken(slot, err)
+		m.recordSlot(slot, err)
 	case 5, 6:
 		m.release(s.n)
 	case 7:
@@ -90,11 +91,11 @@
 		m.draining[name] = !m.draining[name]
 		m.update()
 	case 9:
-		m.hear(name, s.n)
+		m.receive(name, s.n)
 	}
 }
 
-func (m *model) hear(name string, n int) {
+func (m *model) receive(name string, n int) {
 	if n%2 == 0 {
 		m.b.PeerLoad("peer", map[string]int{name: n / 2})
 		return
@@ -102,10 +103,10 @@
 	m.b.Report(name, engine.LoadReport{At: time.Now(), Active: n})
 }
 
-func (m *model) taken(slot *Slot, err error) {
+func (m *model) recordSlot(slot *Slot, err error) {
 	if err != nil {
 		if !errors.Is(err, ErrNoCapacity) && !errors.Is(err, ErrNoTarget) {
-			m.wrong = err.Error()
+			m.violation = err.Error()
 		}
 		return
 	}
@@ -113,7 +114,7 @@
 	m.held = append(m.held, slot)
 	m.inFlight[name]++
 	if m.draining[name] {
-		m.wrong = "a draining target got work"
+		m.violation = "a draining target got a request"
 	}
 }
 
@@ -135,43 +136,43 @@
 			out++
 		}
 		if target.InFlight != m.inFlight[target.Name] || target.InFlight > randomSlots {
-			m.wrong = fmt.Sprintf("%s has %d in flight, %d are held", target.Name, target.InFlight, m.inFlight[target.Name])
+			m.violation = fmt.Sprintf("%s has %d in flight, %d are held", target.Name, target.InFlight, m.inFlight[target.Name])
 		}
 		bulk, normal, urgent := target.Limits[config.Bulk], target.Limits[config.Normal], target.Limits[config.Urgent]
 		open := target.Eligible && !target.HalfOpen && urgent == randomSlots
 		if bulk > normal || normal > urgent || open && normal == urgent {
-			m.wrong = fmt.Sprintf("%s has limits %v", target.Name, target.Limits)
+			m.violation = fmt.Sprintf("%s has limits %v", target.Name, target.Limits)
 		}
 	}
 	if out > randomTargets/2 {
-		m.wrong = fmt.Sprintf("%d of %d targets are ejected", out, randomTargets)
+		m.violation = fmt.Sprintf("%d of %d targets are ejected", out, randomTargets)
 	}
 }
 
-// Requests of all urgencies, failures, slow and busy answers, drains, reports and
-// peers' counts come in any order. No target ever has more than its slots or more
-// than what is held, none that drains gets work, urgent always has more room than
-// the others, and most targets stay in use however many fail.
-func TestRandomRunsKeepSlotsAndTargets(t *testing.T) {
+// Requests of all urgencies, failures, slow and busy answers, drains, reports and counts of
+// peers occur in random order. The number of requests in flight never exceeds a target's
+// slots and always matches the held slots, a draining target gets no requests, urgent requests
+// have more slots than others, and most targets stay in use however many fail.
+func TestRandomRunsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		if wrong := play(t, faults{}, drawSteps(rt)); wrong != "" {
-			rt.Fatal(wrong)
+		if violation := runSteps(t, faults{}, drawSteps(rt)); violation != "" {
+			rt.Fatal(violation)
 		}
 	})
 }
 
-// The same runs with one safeguard less: the check must object to some of them.
-func TestRandomRunsShowMissingSafeguards(t *testing.T) {
+// The same runs with one safeguard disabled must violate the invariants in some case.
+func TestRandomRunsCatchMissingSafeguards(t *testing.T) {
 	for name, f := range map[string]faults{
 		"headroom": {noHeadroom: true}, "bound on ejection": {noEjectBound: true},
 	} {
 		found := ""
 		for seed := 0; seed < 100 && found == ""; seed++ {
-			found = play(t, f, rapid.Custom(drawSteps).Example(seed))
+			found = runSteps(t, f, rapid.Custom(drawSteps).Example(seed))
 		}
 		t.Logf("without %s: %s", name, found)
 		if found == "" {
-			t.Errorf("no run without %s was objected to", name)
+			t.Errorf("no run without %s violated an invariant", name)
 		}
 	}
 }
--- a/internal/balance/query.go
+++ b/internal/balance/query.go
@@ -6,21 +6,21 @@
 	"geraniumcroft/internal/config"
 )
 
-// Query says what a request needs of a target.
+// Query describes what a request requires of a target.
 type Query struct {
 	Pool    string
 	Urgency config.Urgency
-	// Layers must be within what the target holds; zero leaves it open.
+	// Layers must be within the range that the target holds; the zero value allows any.
 	Layers config.LayerRange
-	// Exclude names targets that the request has tried already.
+	// Exclude are the names of targets that the request has already tried.
 	Exclude []string
 	// Prefixes are hashes of the prompt's prefixes, the longest last.
 	Prefixes []uint64
-	// DataCentre is this VM's; targets in it are preferred slightly.
+	// DataCentre is this VM's data centre. Targets in it are preferred slightly.
 	DataCentre string
 }
 
-// accepts reports whether the query may go to t at all.
+// accepts reports whether the request may be sent to t.
 func (q *Query) accepts(t *target) bool {
 	if len(q.Exclude) > 0 && slices.Contains(q.Exclude, t.name) {
 		return false
--- a/internal/balance/reason.go
+++ b/internal/balance/reason.go
@@ -1,6 +1,6 @@
 package balance
 
-// The reasons why a target takes no new work from this VM.
+// The reasons why a target takes no new requests from this VM.
 const (
 	ReasonNotConfigured  = "not configured"
 	ReasonRemoved        = "removed"
--- a/internal/balance/rebuild.go
+++ b/internal/balance/rebuild.go
@@ -7,7 +7,7 @@
 	"geraniumcroft/internal/config"
 )
 
-// rebuild makes a new view from the snapshot. b.mu is held.
+// rebuild makes a new view of the snapshot. b.mu is held.
 func (b *Balancer) rebuild() {
 	next := &view{pools: map[string]*pool{}, targets: map[string]*target{}}
 	groups := groupConfigs(b.snapshot)
@@ -15,23 +15,24 @@
 		b.rebuildGroup(next, key, members)
 	}
 	b.view.Store(next)
-	b.closeOthers(next)
+	b.closeRemoved(next)
 	maps.DeleteFunc(b.groups, func(key groupKey, _ *group) bool { return groups[key] == nil })
 	maps.DeleteFunc(b.prefixes, func(name string, _ *prefixIndex) bool { return next.pools[name] == nil })
 }
 
+// rebuildGroup adds the targets of one group to a new view. b.mu is held.
 func (b *Balancer) rebuildGroup(next *view, key groupKey, members []*config.Target) {
-	p := b.poolIn(next, key.pool)
+	p := b.ensurePool(next, key.pool)
 	g := b.group(key)
 	var used []*target
 	for i, part := range b.allot(members) {
 		c := members[i]
-		t := b.state(c)
+		t := b.ensureTarget(c)
 		next.targets[c.Name] = t
 		t.group.Store(g)
 		t.prefixes.Store(p.prefixes)
 		b.configure(t, c, part)
-		if !part.outside {
+		if !part.outsideSubset {
 			used = append(used, t)
 		}
 	}
@@ -39,7 +40,7 @@
 	g.setTargets(used)
 }
 
-// allot works out this VM's part of each target of a group.
+// allot computes this VM's part of each target of a group.
 func (b *Balancer) allot(members []*config.Target) []allotment {
 	parts := subsetParts(members, b.peers(), b.settings)
 	chosen := inSubset(members, b.peers(), b.vmIndex(), b.settings)
@@ -47,18 +48,19 @@
 	allotted := make([]allotment, len(members))
 	for i, c := range members {
 		allotted[i] = allotment{
-			shared:   b.knowsPeers(),
-			headroom: rooms[i],
-			sharers:  (b.peers() + parts - 1) / parts,
-			turn:     b.vmIndex() / parts,
-			place:    i,
-			outside:  !chosen[c.Name],
+			sharersKnown:  b.peersKnown(),
+			headroom:      rooms[i],
+			sharers:       (b.peers() + parts - 1) / parts,
+			sharerIndex:   b.vmIndex() / parts,
+			targetIndex:   i,
+			outsideSubset: !chosen[c.Name],
 		}
 	}
 	return allotted
 }
 
-func (b *Balancer) poolIn(v *view, name string) *pool {
+// ensurePool returns the pool of that name in a new view and creates it if needed.
+func (b *Balancer) ensurePool(v *view, name string) *pool {
 	if p := v.pools[name]; p != nil {
 		return p
 	}
@@ -70,6 +72,7 @@
 	return p
 }
 
+// group returns the group with a key and creates it if needed.
 func (b *Balancer) group(key groupKey) *group {
 	if b.groups[key] == nil {
 		b.groups[key] = &group{}
@@ -77,46 +80,49 @@
 	return b.groups[key]
 }
 
-// state returns the target's state. A new one starts with what peers have said,
-// as a peer may know the target, and send to it, before this VM does.
-func (b *Balancer) state(c *config.Target) *target {
-	t := b.states[c.Name]
+// ensureTarget returns the target's state and creates it if needed. A new state includes the
+// counts of the peers, because a peer may know the target, and send to it, before this VM
+// does.
+func (b *Balancer) ensureTarget(c *config.Target) *target {
+	t := b.targetStates[c.Name]
 	if t == nil {
-		t = &target{balancer: b, name: c.Name, part: allotment{sharers: 1}}
+		t = &target{balancer: b, name: c.Name, allotted: allotment{sharers: 1}}
 		t.config.Store(c)
 		for _, inFlight := range b.peerLoad {
 			t.load.peers += inFlight[c.Name]
 		}
-		b.states[c.Name] = t
+		b.targetStates[c.Name] = t
 	}
 	return t
 }
 
-func (b *Balancer) configure(t *target, c *config.Target, part allotment) {
-	t.changeQuietly(func(time.Time) {
+// configure applies the configuration of a target and this VM's part of it.
+func (b *Balancer) configure(t *target, c *config.Target, allotted allotment) {
+	t.apply(func(time.Time) {
 		t.config.Store(c)
-		t.part = part
+		t.allotted = allotted
 		t.removed = false
 		t.leaving = b.leaving[c.Name]
 	})
 }
 
-// closeOthers closes the targets that the view does not have and forgets those
-// of them that have nothing in hand.
-func (b *Balancer) closeOthers(next *view) {
-	for name, t := range b.states {
+// closeRemoved closes the targets that are missing in the view and deletes those without
+// requests in flight.
+func (b *Balancer) closeRemoved(next *view) {
+	for name, t := range b.targetStates {
 		if next.targets[name] != nil {
 			continue
 		}
-		t.changeQuietly(func(time.Time) { t.removed = true })
+		t.apply(func(time.Time) { t.removed = true })
 		if t.inFlight.Load() == 0 {
-			t.stop()
-			delete(b.states, name)
+			t.stopTimer()
+			delete(b.targetStates, name)
 		}
 	}
 }
 
-func (t *target) stop() {
+// stopTimer stops the timer of a target that is deleted.
+func (t *target) stopTimer() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.timer != nil {
--- a/internal/balance/refresh.go
+++ b/internal/balance/refresh.go
@@ -7,13 +7,13 @@
 	"geraniumcroft/internal/config"
 )
 
-// refresh recomputes the atomics. It reports whether a limit rose.
+// refresh recomputes the atomics. It reports whether a limit rose. t.mu is held.
 func (t *target) refresh(now time.Time) (opened bool) {
-	t.noteBlocked(now)
+	t.updateBlockedAt(now)
 	slots := t.slots(now)
 	others := t.load.others(now, t.balancer.settings)
 	t.others.Store(math.Float64bits(others))
-	t.perSlot.Store(math.Float64bits(1 / float64(slots)))
+	t.inverseSlots.Store(math.Float64bits(1 / float64(slots)))
 	closed := t.closed(now) != "" && !t.balancer.settings.faults.noDrain
 	for u := range t.limits {
 		limit := 0
@@ -27,7 +27,9 @@
 	return opened
 }
 
-func (t *target) noteBlocked(now time.Time) {
+// updateBlockedAt sets blockedAt when the target becomes blocked and clears it when it no
+// longer is.
+func (t *target) updateBlockedAt(now time.Time) {
 	if t.blocked() == "" {
 		t.blockedAt.Store(0)
 		return
@@ -35,8 +37,8 @@
 	t.blockedAt.CompareAndSwap(0, now.UnixNano())
 }
 
-// slots is the target's size: the configured one, or the reported one while that
-// is smaller.
+// slots returns the target's number of slots: the configured one, or the reported one if
+// that is smaller and still trusted.
 func (t *target) slots(now time.Time) int {
 	slots := max(t.config.Load().Slots, 1)
 	if t.load.report.Slots > 0 && t.load.trust(now, t.balancer.settings) > 0 {
@@ -45,13 +47,13 @@
 	return slots
 }
 
-// limit is how many requests this VM may have in flight there for that urgency:
-// its share of the slots in any case, and what others leave free beyond it.
+// limit returns how many requests this VM may have in flight at the target for an urgency:
+// its share of the slots in any case, and beyond it what others leave free.
 func (t *target) limit(u config.Urgency, slots int, others float64, now time.Time) int {
-	open := t.open(u, slots)
-	borrowed := open - int(math.Round(others))
-	limit := max(borrowed, t.part.share(open))
-	if t.busy.holds(now) {
+	openSlots := t.openSlots(u, slots)
+	borrowed := openSlots - int(math.Round(others))
+	limit := max(borrowed, t.allotted.share(openSlots))
+	if t.busy.active(now) {
 		limit = min(limit, t.busy.cap)
 	}
 	if t.health.halfOpen(now) {
@@ -60,15 +62,15 @@
 	return limit
 }
 
-// open is how many of the slots are open to that urgency.
-func (t *target) open(u config.Urgency, slots int) int {
+// openSlots returns how many of the slots are open to an urgency.
+func (t *target) openSlots(u config.Urgency, slots int) int {
 	if t.balancer.settings.faults.noHeadroom {
 		return slots
 	}
-	return max(slots-t.part.headroom[u], 0)
+	return max(slots-t.allotted.headroom[u], 0)
 }
 
-// probeCap is what a half-open target may have in flight.
+// probeCap returns the limit of requests in flight while the target is half-open.
 func (t *target) probeCap() int {
 	if t.health.probeCap == 0 {
 		t.health.probeCap = int(t.inFlight.Load()) + 1
@@ -76,11 +78,11 @@
 	return t.health.probeCap
 }
 
-// schedule arms the timer for the next moment at which refresh has another result.
+// schedule sets the timer for the next time at which refresh has a different result.
 func (t *target) schedule(now time.Time) {
-	next := t.load.nextChange(now, t.balancer.settings)
-	next = sooner(next, t.health.until, now)
-	next = sooner(next, t.busy.until, now)
+	next := t.load.nextTrustChange(now, t.balancer.settings)
+	next = earlierFuture(next, t.health.until, now)
+	next = earlierFuture(next, t.busy.until, now)
 	if next.IsZero() {
 		if t.timer != nil {
 			t.timer.Stop()
@@ -88,14 +90,15 @@
 		return
 	}
 	if t.timer == nil {
-		t.timer = time.AfterFunc(next.Sub(now), t.elapsed)
+		t.timer = time.AfterFunc(next.Sub(now), t.onTimer)
 		return
 	}
 	t.timer.Reset(next.Sub(now))
 }
 
-// sooner returns the earlier of the two moments that lie ahead.
-func sooner(a, b, now time.Time) time.Time {
+// earlierFuture returns the earlier of two times, without b if it is not after now and
+// without a if it is zero.
+func earlierFuture(a, b, now time.Time) time.Time {
 	if !b.After(now) {
 		return a
 	}
--- a/internal/balance/saturation_test.go
+++ b/internal/balance/saturation_test.go
@@ -17,8 +17,8 @@
 	urgentInterval  = 10 * time.Millisecond
 )
 
-// saturation is a herd whose VMs always have more work: each takes every slot
-// that its balancer gives it. A target refuses what it has no slot for.
+// saturation is a herd simulation in which the VMs always have more requests: each VM takes
+// every slot that its balancer grants. A target refuses requests for which it has no slot.
 type saturation struct {
 	herd
 	balancers []*Balancer
@@ -46,7 +46,7 @@
 	return s
 }
 
-// draw lets one VM send until it finds no slot.
+// draw lets one VM send requests until it finds no slot.
 func (s *saturation) draw(vm int) {
 	for range herdTargets * saturationSlots {
 		slot, err := s.balancers[vm].Pick(Query{Pool: "svc", Urgency: s.drawn})
@@ -62,7 +62,7 @@
 	if s.load[target] >= saturationSlots {
 		s.count(&s.busy)
 		slot.Release(ResultNeutral)
-		s.balancers[vm].Busy(slot.Target().Name)
+		s.balancers[vm].ReportBusy(slot.Target().Name)
 		return
 	}
 	s.count(&s.accepted[vm])
@@ -74,8 +74,8 @@
 	})
 }
 
-// arriveUrgent sends an urgent request from a random VM and counts those that
-// find no slot at the first attempt.
+// arriveUrgent sends urgent requests from random VMs and counts those that find no slot at the
+// first attempt.
 func (s *saturation) arriveUrgent() {
 	s.after(s.exponential(urgentInterval), s.arriveUrgent)
 	vm := s.random.IntN(len(s.balancers))
@@ -113,15 +113,15 @@
 	s.load[target] += delta
 }
 
-// retry lets the VM look again, as admission's review does.
+// retry makes the VM look for slots regularly, as admission does.
 func (s *saturation) retry(vm int) {
 	s.draw(vm)
 	s.after(saturationRetry, func() { s.retry(vm) })
 }
 
-// saturate returns the used part of all slots, the part of the requests that a
-// target refused, and the least that a VM got, as a part of the average. The VMs
-// begin one after the other; the first one finds all slots free and takes them.
+// saturate returns the fraction of the slots in use, the fraction of requests that a target
+// refused, and the least number of requests that a VM got, relative to the mean. The VMs begin
+// one after another; the first one finds all slots free and takes them.
 func saturate(t *testing.T, vms int, f faults) (used, refused, least float64) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSaturation(vms, f)
@@ -143,9 +143,9 @@
 	return used, refused, least
 }
 
-// Several VMs have more work than the targets can do, and share their slots by
-// stale reports and counts. Nearly all slots stay in use, few requests reach a
-// target that has no slot left, and the VM that was first does not keep them all.
+// Several VMs have more requests than the targets can serve and share the slots with the help
+// of outdated reports and counts. Nearly all slots must be in use, few requests may reach a
+// target without a free slot, and the first VM must not keep all of them.
 func TestVMsShareSlotsUnderSaturation(t *testing.T) {
 	sizes := []int{6}
 	if *herdTable {
@@ -162,8 +162,8 @@
 	}
 }
 
-// urgentDelayed lets six VMs fill the targets with bulk and returns the part of
-// the urgent requests that found no slot at the first attempt.
+// urgentDelayed makes six VMs fill the targets with bulk requests and returns the fraction of
+// urgent requests that found no slot at the first attempt.
 func urgentDelayed(t *testing.T, f faults) (delayed float64) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSaturation(6, f)
@@ -181,8 +181,8 @@
 	return delayed
 }
 
-// Six VMs have more bulk than the targets can do and know of each other's only
-// late. Together they still leave the slots free that are for urgent requests.
+// Six VMs have more bulk requests than the targets can serve and learn of each other's requests
+// late. Together they must still leave the slots for urgent requests free.
 func TestBulkOfSeveralVMsLeavesHeadroom(t *testing.T) {
 	if delayed := urgentDelayed(t, faults{}); delayed > 0.05 {
 		t.Errorf("%.3f of the urgent requests found no slot", delayed)
--- a/internal/balance/settings.go
+++ b/internal/balance/settings.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The values that a zero field of Settings takes.
+// The defaults for zero fields of Settings.
 const (
 	DefaultChoices          = 2
 	DefaultUrgentShare      = 0.1
@@ -28,53 +28,55 @@
 	DefaultPrefixTrustDecay = time.Minute
 )
 
-// Settings tune the choice. A zero field takes its default.
+// Settings configure a Balancer. A zero field takes its default.
 type Settings struct {
-	// Gate holds targets back that have asked for it; nil holds back none.
+	// Gate holds back targets that have asked for it; nil holds back none.
 	Gate Gate
 	// Choices is how many random targets Pick compares.
 	Choices int
-	// UrgentShare of a target's slots, at least one, is for urgent requests only.
+	// UrgentShare is the share of a target's slots, at least one slot, that only urgent
+	// requests may use.
 	UrgentShare float64
-	// NormalShare of a target's slots is closed to bulk beyond UrgentShare.
+	// NormalShare is the share of a target's slots beyond UrgentShare that bulk requests may
+	// not use.
 	NormalShare float64
-	// MinSlotsPerVM is the floor of a VM's share of each target's slots; it sizes
-	// the subset of targets that a VM uses. MinSubset is the subset's least size.
+	// MinSlotsPerVM is the smallest share of a VM in each target's slots. It determines the
+	// size of the subset of targets that a VM uses, which is at least MinSubset.
 	MinSlotsPerVM int
 	MinSubset     int
-	// ReportFresh is the age up to which a report is trusted in full, and
-	// ReportExpiry the age from which it is not trusted at all.
+	// ReportFresh is the age up to which a report is fully trusted, ReportExpiry the age
+	// from which it is not trusted at all.
 	ReportFresh  time.Duration
 	ReportExpiry time.Duration
-	// BusyHold is how long a target that answered busy gets no more than it has.
+	// BusyHold is how long a target that answered busy gets no more requests than it has.
 	BusyHold time.Duration
-	// EjectAfter failures in a row eject a target for EjectFor, doubled with each
-	// ejection in a row up to MaxEjectFor.
+	// EjectAfter is the number of failures in a row after which a target is ejected for
+	// EjectFor, doubled with each ejection in a row up to MaxEjectFor.
 	EjectAfter  int
 	EjectFor    time.Duration
 	MaxEjectFor time.Duration
-	// MaxEjectedShare bounds the ejected share of the targets of a pool that can
-	// stand in for each other.
+	// MaxEjectedShare limits the ejected share of the targets of a pool that can replace each
+	// other.
 	MaxEjectedShare float64
-	// SlowFactor is how many times the usual time of a plain service's calls makes
-	// a call count as slow.
+	// SlowFactor is the multiple of the median service time of a plain service from which a
+	// call counts as slow.
 	SlowFactor float64
-	// DrainBound is how long after learning of a drain a dispatch is a violation.
+	// DrainBound is how long after learning of a drain a dispatch is an invariant violation.
 	DrainBound time.Duration
-	// PrefixesPerPool bounds the cached prefixes that are remembered for a pool.
+	// PrefixesPerPool limits the number of cached prefixes that are stored for a pool.
 	PrefixesPerPool int
-	// PrefixBonus is what a fully trusted hit on the longest prefix takes off a
-	// target's score, in units of its load.
+	// PrefixBonus is subtracted from a target's score, in units of its load, for a fully
+	// trusted hit on the longest prefix.
 	PrefixBonus float64
-	// PrefixTrustDecay is the time without events after which hints count nothing.
+	// PrefixTrustDecay is the time without events after which hints are no longer trusted.
 	PrefixTrustDecay time.Duration
 	// RemotePenalty is added to the score of a target in another data centre.
 	RemotePenalty float64
-	// OnResult, when not nil, is told how each slot's work went, outside of all
-	// locks; it must not block.
+	// OnResult, if not nil, is called with the result of each slot's request, without any
+	// lock held. It must not block.
 	OnResult func(target string, r Result)
 
-	// random is rand.IntN but in tests.
+	// random is rand.IntN except in tests.
 	random func(n int) int
 	faults faults
 }
--- a/internal/balance/slot.go
+++ b/internal/balance/slot.go
@@ -7,7 +7,7 @@
 	"geraniumcroft/internal/config"
 )
 
-// Slot is one reserved place on a target.
+// Slot is a reserved slot on a target. It is safe for concurrent use.
 type Slot struct {
 	balancer *Balancer
 	target   *target
@@ -16,11 +16,11 @@
 	released atomic.Bool
 }
 
-// Target returns the target as it was configured when the slot was taken.
+// Target returns the target as it was configured when the slot was reserved.
 func (s *Slot) Target() *config.Target { return s.config }
 
-// Release gives the slot back and says how the work went. Only the first call
-// has an effect.
+// Release gives back the slot with the result of its request. Only the first call of Release
+// or Undo has an effect.
 func (s *Slot) Release(r Result) {
 	if s.released.Swap(true) {
 		return
--- a/internal/balance/subset.go
+++ b/internal/balance/subset.go
@@ -10,8 +10,8 @@
 	"geraniumcroft/internal/config"
 )
 
-// subsetSize is how many of a group's targets a VM uses: as many as leave it
-// MinSlotsPerVM slots on each when every VM takes its share, at least MinSubset.
+// subsetSize returns how many of a group's targets a VM uses: as many as leave it
+// MinSlotsPerVM slots on each target if every VM takes its share, but at least MinSubset.
 func subsetSize(members []*config.Target, peers int, s Settings) int {
 	slots := 0
 	for _, t := range members {
@@ -21,17 +21,17 @@
 	return min(max(size, s.MinSubset), len(members))
 }
 
-// subsetParts is the number of parts that a group is cut into.
+// subsetParts returns the number of parts into which a group is divided.
 func subsetParts(members []*config.Target, peers int, s Settings) int {
 	return max(len(members)/subsetSize(members, peers, s), 1)
 }
 
-// inSubset returns the names of the group's targets that the VM with that index
-// uses. The VMs are taken in rounds. Within a round the targets are ranked by
-// rendezvous hash with the round's number and cut into one part for each VM, so
-// each target is in just one part of each round: all are used by the same number
-// of VMs, give or take one. A target that comes or goes shifts the cuts by one
-// place, so it changes two targets of a VM at most.
+// inSubset returns the names of the group's targets that the VM with the given index uses.
+// The VMs are handled in rounds. In each round the targets are ranked by rendezvous hashing
+// with the number of the round and divided into one part for each VM of the round. Each
+// target is in exactly one part of each round, so all targets are used by the same number of
+// VMs, give or take one. A target that is added or removed moves each boundary by one place
+// and changes at most two targets of a VM.
 func inSubset(members []*config.Target, peers, index int, s Settings) map[string]bool {
 	parts := subsetParts(members, peers, s)
 	ranked := members
@@ -46,6 +46,7 @@
 	return chosen
 }
 
+// rank sorts the targets by their hash for a round.
 func rank(members []*config.Target, round int) []*config.Target {
 	prefix := strconv.Itoa(round) + "/"
 	ranked := slices.Clone(members)
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -9,8 +9,8 @@
 	"geraniumcroft/internal/config"
 )
 
-// target is this VM's view of one target. The atomics are what Pick reads; they
-// are computed from the guarded fields by refresh after each event.
+// target is this VM's view of one target. The atomics are read by Pick; refresh computes them
+// from the guarded fields after each event.
 type target struct {
 	balancer *Balancer
 	name     string
@@ -19,47 +19,49 @@
 	sent     history
 	// limits bound inFlight for each urgency; 0 closes the target.
 	limits [config.UrgencyCount]atomic.Int32
-	// others holds the bits of the estimated load from elsewhere, and perSlot
-	// those of 1/slots.
-	others  atomic.Uint64
-	perSlot atomic.Uint64
-	config  atomic.Pointer[config.Target]
-	// blockedAt is when the target was found to drain, leave or be removed, in
-	// nanoseconds; 0 while it is none of these.
+	// others holds the bits of the estimated load that does not come from this VM,
+	// inverseSlots those of 1/slots.
+	others       atomic.Uint64
+	inverseSlots atomic.Uint64
+	config       atomic.Pointer[config.Target]
+	// blockedAt is when the target was found to drain, leave or be removed, in Unix
+	// nanoseconds; 0 if it is none of these.
 	blockedAt atomic.Int64
-	// troubled is set while there are failures to forget or an ejection to end.
-	troubled atomic.Bool
-	probing  atomic.Bool
-	// out is set while the target is ejected or half-open; it changes under the
-	// group's lock when set.
-	out atomic.Bool
-	// usual holds the bits of the average time of service in seconds.
-	usual    atomic.Uint64
-	group    atomic.Pointer[group]
-	prefixes atomic.Pointer[prefixIndex]
-	// cacheGeneration rises each time the view of cached prefixes is read anew;
-	// cacheTrust holds the bits of the trust in it and cacheHeard the time of the
-	// last event in nanoseconds.
+	// hasFailures is set while there are failures to clear or an ejection to end.
+	hasFailures atomic.Bool
+	// probing is set while the target is half-open.
+	probing atomic.Bool
+	// unhealthy is set while the target is ejected or half-open. It is set under the group's
+	// lock.
+	unhealthy atomic.Bool
+	// serviceTime holds the bits of the average service time in seconds.
+	serviceTime atomic.Uint64
+	group       atomic.Pointer[group]
+	prefixes    atomic.Pointer[prefixIndex]
+	// cacheGeneration is incremented each time the view of cached prefixes is read again.
+	// cacheTrust holds the bits of the trust in it, cacheUpdatedAt the time of the last event
+	// in Unix nanoseconds.
 	cacheGeneration atomic.Uint32
 	cacheTrust      atomic.Uint64
-	cacheHeard      atomic.Int64
+	cacheUpdatedAt  atomic.Int64
 
-	mu      sync.Mutex // guards the fields below
-	part    allotment
-	removed bool
-	leaving bool
-	load    loadView
-	health  health
-	cache   cacheView
-	busy    busyHold
-	timer   *time.Timer
+	mu       sync.Mutex // guards the fields below
+	allotted allotment
+	removed  bool
+	leaving  bool
+	load     loadView
+	health   health
+	cache    cacheView
+	busy     busyHold
+	timer    *time.Timer
 }
 
+// hasRoom reports whether the target has a free slot for the urgency.
 func (t *target) hasRoom(u config.Urgency) bool {
 	return t.inFlight.Load() < t.limits[u].Load()
 }
 
-// take reserves a slot unless the limit is reached.
+// take increments inFlight unless the limit is reached.
 func (t *target) take(u config.Urgency) bool {
 	for {
 		held := t.inFlight.Load()
@@ -72,13 +74,14 @@
 	}
 }
 
-// score is the estimated load per slot if one more request is sent.
+// score returns the estimated load per slot with one more request.
 func (t *target) score() float64 {
 	load := math.Float64frombits(t.others.Load()) + float64(t.inFlight.Load()+1)
-	return load * math.Float64frombits(t.perSlot.Load())
+	return load * math.Float64frombits(t.inverseSlots.Load())
 }
 
-// blocked says why the target takes no new work by order, empty if it does.
+// blocked returns why the target takes no new requests from any VM, empty if it does.
+// t.mu is held.
 func (t *target) blocked() string {
 	switch {
 	case t.removed:
@@ -93,12 +96,13 @@
 	return ""
 }
 
-// closed says why the target takes no new work, empty if it does.
+// closed returns why the target takes no new requests from this VM, empty if it does.
+// t.mu is held.
 func (t *target) closed(now time.Time) string {
 	if reason := t.blocked(); reason != "" {
 		return reason
 	}
-	if t.part.outside {
+	if t.allotted.outsideSubset {
 		return ReasonOutsideSubset
 	}
 	if t.health.ejected(now) {
--- a/internal/balance/undo.go
+++ b/internal/balance/undo.go
@@ -6,13 +6,12 @@
 	"geraniumcroft/internal/invariant"
 )
 
-// Undo gives back a slot that was never used, without telling OnFree.
+// Undo gives back a slot that was never used, without calling the OnFree function.
 //
-// A request that needs several slots takes them under its queue's lock and gives
-// back the first ones when a later one is full. Telling OnFree there would wake
-// the queue from under its own lock: every request of the pool would wait for
-// good. Nobody needs to be told, because nobody else of the pool could have
-// looked in between.
+// A request that needs several slots takes them while it holds the lock of its queue, and
+// gives the first ones back if a later target is full. The OnFree function wakes the queue,
+// which would deadlock on that lock: every request of the pool would wait forever. The call
+// is not needed, because no other request of the pool could look for a slot in between.
 func (s *Slot) Undo() {
 	if s.released.Swap(true) {
 		return
--- a/internal/layers/gate.go
+++ b/internal/layers/gate.go
@@ -32,9 +32,9 @@
 	return open
 }
 
-// heldErrorOr returns a *pushback.HeldError if err is ErrNoRoom and all replicas at which
+// throttledErrorOr returns a *pushback.ThrottledError if err is ErrNoRoom and all replicas at which
 // the path could begin have asked not to be sent requests now, else err.
-func (s *search) heldErrorOr(err error) error {
+func (s *search) throttledErrorOr(err error) error {
 	if !errors.Is(err, ErrNoRoom) {
 		return err
 	}
--- a/internal/layers/table.go
+++ b/internal/layers/table.go
@@ -90,7 +90,7 @@
 // Reserve chooses a path and reserves memory on each of its stages until the reservation
 // is released. It returns ErrNoRoom if waiting can help, ErrNoPath if it cannot,
 // ErrNoSpareEntry if too few replicas would remain at which a path can begin, and a
-// *pushback.HeldError if all replicas at which the path could begin have asked not to be
+// *pushback.ThrottledError if all replicas at which the path could begin have asked not to be
 // sent requests now.
 func (t *Table) Reserve(query Query) (*Reservation, error) {
 	t.mu.Lock()
@@ -98,10 +98,10 @@
 	s := search{table: t, query: query, now: time.Now(), to: t.spec.Layers, fromDC: query.DataCentre, fromCaller: true}
 	path, err := s.run()
 	if err != nil {
-		return nil, s.heldErrorOr(err)
+		return nil, s.throttledErrorOr(err)
 	}
 	if !t.gate.Take(path.First().Key(), s.now) {
-		return nil, s.heldErrorOr(ErrNoRoom)
+		return nil, s.throttledErrorOr(ErrNoRoom)
 	}
 	r := &Reservation{table: t, query: query, reservedAt: s.now, path: path}
 	r.adjustReserved(1)
