--- a/internal/loads/doc.go
+++ b/internal/loads/doc.go
@@ -1,19 +1,20 @@
-// Package loads shares what replicas report of themselves among the VMs.
+// Package loads distributes the load reports of replicas among the VMs.
 //
-// A VM knows the requests that it has sent itself, and without more could fill only
-// its even share of each replica: where a zone loses replicas, its VMs would refuse
-// requests that the replicas of other zones have room for. Asking every replica from
-// every VM would cost more calls than requests. So the holder of the placement, which
-// has to know the replicas anyway, asks each one a second, and the others copy the
-// board of answers from peers, as they copy the operator's tables.
+// A VM knows only the requests that it has sent itself. Without the reports it could use only
+// its even share of each replica: where a data centre loses replicas, its VMs would refuse
+// requests for which replicas elsewhere have capacity. If every VM polled every replica,
+// there would be more polls than requests. Therefore the holder of the placement duty, which
+// needs to know the replicas anyway, polls each one every second (Collector), and the other
+// VMs copy its snapshot of the reports from peers (Cache), as they copy the operators'
+// tables.
 //
-// A large fleet asks a few VMs only. The holder need not be one of them, so it offers
-// each new board to some of those.
+// In a large fleet, VMs ask only a few of the others. The holder need not be one of these,
+// so it offers each new snapshot to some of them.
 //
-// A replica that does not answer twice in a row stands on the board as down: all VMs
-// avoid it and the placement gives its layers to others, seconds before discovery drops
-// it. While the store is away the last holder goes on.
+// A replica that does not answer twice in a row is marked as down in the snapshot. All VMs
+// then avoid it and the placement gives its layers to others, seconds before discovery
+// removes it. While the store is unavailable the last holder continues.
 //
-// The board is a hint and may be seconds old or missing: after its holder died there is
-// none for the time of a lease. The choice of paths then falls back on even shares.
+// A snapshot is a hint. It may be seconds old or missing: after the holder failed, none is
+// made until its lease has expired. The choice of paths then falls back to even shares.
 package loads
