--- a/internal/balance/busy_hold.go
+++ b/internal/balance/busy_hold.go
@@ -50,8 +50,8 @@
 func (h *busyHold) active(now time.Time) bool { return now.Before(h.until) }
 
 // endIfFree ends the hold if a report that is newer than the busy answer shows a free slot.
-func (h *busyHold) endIfFree(at time.Time, room bool) {
-	if room && at.After(h.at) {
+func (h *busyHold) endIfFree(at time.Time, free bool) {
+	if free && at.After(h.at) {
 		h.until = time.Time{}
 	}
 }
--- a/internal/balance/candidate.go
+++ b/internal/balance/candidate.go
@@ -31,7 +31,7 @@
 
 // offer takes t as the best target if it has a free slot for the query and a lower score.
 func (c *candidate) offer(q *Query, t *target, bonus float64) {
-	if !t.hasRoom(q.Urgency) || !q.accepts(t) {
+	if !t.hasFreeSlot(q.Urgency) || !q.accepts(t) {
 		return
 	}
 	if open, _ := c.settings.Gate.Open(t.name, c.now); !open {
--- a/internal/balance/has_room.go
+++ b/internal/balance/has_room.go
@@ -6,5 +6,5 @@
 // reserves nothing.
 func (b *Balancer) HasRoom(name string, u config.Urgency) bool {
 	t := b.view.Load().targets[name]
-	return t != nil && t.hasRoom(u)
+	return t != nil && t.hasFreeSlot(u)
 }
--- a/internal/balance/headrooms.go
+++ b/internal/balance/headrooms.go
@@ -38,8 +38,8 @@
 func headroom(slots int, s Settings) [config.UrgencyCount]int {
 	urgent := max(1, int(math.Round(s.UrgentShare*float64(slots))))
 	normal := int(s.NormalShare * float64(slots))
-	var room [config.UrgencyCount]int
-	room[config.Normal] = min(urgent, slots-1)
-	room[config.Bulk] = min(urgent+normal, slots-1)
-	return room
+	var reserved [config.UrgencyCount]int
+	reserved[config.Normal] = min(urgent, slots-1)
+	reserved[config.Bulk] = min(urgent+normal, slots-1)
+	return reserved
 }
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -38,7 +38,7 @@
 	if throttledError := p.throttledError(&q, b.settings.Gate, now); throttledError != nil {
 		return nil, throttledError
 	}
-	return nil, p.noRoomError(&q, now)
+	return nil, p.noSlotError(&q, now)
 }
 
 // Reserve reserves a slot on the given target. It returns ErrNoCapacity if waiting can help
@@ -118,9 +118,9 @@
 	return &Slot{balancer: b, target: t, config: t.config.Load(), started: now}
 }
 
-// noRoomError returns ErrNoCapacity if a slot may become free at a target that q accepts, else
+// noSlotError returns ErrNoCapacity if a slot may become free at a target that q accepts, else
 // ErrNoTarget.
-func (p *pool) noRoomError(q *Query, now time.Time) error {
+func (p *pool) noSlotError(q *Query, now time.Time) error {
 	for _, t := range p.members {
 		if t.blockedAt.Load() == 0 && q.accepts(t) {
 			p.recordDenied(now)
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -16,7 +16,8 @@
 	name     string
 
 	inFlight atomic.Int32
-	sent     history
+	// sent records the changes of inFlight.
+	sent history
 	// limits bound inFlight for each urgency; 0 closes the target.
 	limits [config.UrgencyCount]atomic.Int32
 	// others holds the bits of the estimated load that does not come from this VM,
@@ -56,8 +57,8 @@
 	timer    *time.Timer
 }
 
-// hasRoom reports whether the target has a free slot for the urgency.
-func (t *target) hasRoom(u config.Urgency) bool {
+// hasFreeSlot reports whether the target has a free slot for the urgency.
+func (t *target) hasFreeSlot(u config.Urgency) bool {
 	return t.inFlight.Load() < t.limits[u].Load()
 }
 
--- a/internal/layers/coverage.go
+++ b/internal/layers/coverage.go
@@ -2,65 +2,66 @@
 
 import "geraniumcroft/internal/config"
 
-// uncoveredRoom is the capacity, in requests, that is assumed for a layer without a holder.
+// uncoveredCapacity is the capacity, in requests, that is assumed for a layer without a holder.
 // It keeps the shortage finite, but far above that of a layer with capacity for one request.
-const uncoveredRoom = 0.05
+const uncoveredCapacity = 0.05
 
 // coverage is the capacity of a group of replicas for each layer, in mean requests.
 type coverage struct {
-	spec *Spec
-	room []float64
+	spec     *Spec
+	capacity []float64
 }
 
 func newCoverage(spec *Spec) *coverage {
-	return &coverage{spec: spec, room: make([]float64, spec.Layers)}
+	return &coverage{spec: spec, capacity: make([]float64, spec.Layers)}
 }
 
 // add adds the capacity of a card that holds a range or, with sign -1, subtracts it.
 func (c *coverage) add(k Accelerator, held config.LayerRange, sign float64) {
 	for l := max(0, held.From); l < min(held.To, c.spec.Layers); l++ {
-		c.room[l] += sign * c.requestsAt(k, held.Len(), l)
+		c.capacity[l] += sign * c.requestsAt(k, held.Len(), l)
 	}
 }
 
 // requests returns how many mean requests fit on a card beside n layers.
 func (c *coverage) requests(k Accelerator, n int) float64 {
-	return c.spec.room(k, n) / c.spec.meanTokens()
+	return c.spec.tokenCapacity(k, n) / c.spec.meanTokens()
 }
 
 // requestsAt returns requests for one of the layers. At the first layer the slots of the
 // card are a limit too: a request beyond them gets its first event only after another one
 // has ended.
 func (c *coverage) requestsAt(k Accelerator, n, layer int) float64 {
-	room := c.requests(k, n)
+	capacity := c.requests(k, n)
 	if layer == 0 && c.spec.Slots > 0 {
-		return min(room, float64(c.spec.Slots))
+		return min(capacity, float64(c.spec.Slots))
 	}
-	return room
+	return capacity
 }
 
 // layersFor returns how many layers a card can hold beside the given number of requests.
-func (c *coverage) layersFor(k Accelerator, room float64) int {
-	perLayer := c.spec.LayerMB + room*c.spec.meanTokens()*c.spec.KVBytes/float64(c.spec.Layers)/1e6
+func (c *coverage) layersFor(k Accelerator, capacity float64) int {
+	perLayer := c.spec.LayerMB + capacity*c.spec.meanTokens()*c.spec.KVBytes/float64(c.spec.Layers)/1e6
 	return min(c.spec.maxLayers(k), int(k.MemoryMB/perLayer))
 }
 
-// roomFor returns the largest capacity for requests that the cards can keep free and still
-// hold the model with the layout's redundancy, or else once. It is at least minRoom.
-func (c *coverage) roomFor(set []Replica, l layout) float64 {
+// capacityFor returns for how many mean requests each card keeps memory free: the layout's
+// capacity, reduced in steps until the cards can hold the model with the layout's
+// redundancy, or once if that is impossible. It is at least minCapacity.
+func (c *coverage) capacityFor(set []Replica, l layout) float64 {
 	const shrinkFactor = 1.1
 	for _, wanted := range []float64{l.redundancy, 1} {
-		for room := l.room; room >= minRoom; room /= shrinkFactor {
+		for capacity := l.capacity; capacity >= minCapacity; capacity /= shrinkFactor {
 			held := 0
 			for _, r := range set {
-				held += c.layersFor(c.spec.kind(r.Kind), room)
+				held += c.layersFor(c.spec.kind(r.Kind), capacity)
 			}
 			if float64(held) >= wanted*float64(c.spec.Layers) {
-				return room
+				return capacity
 			}
 		}
 	}
-	return minRoom
+	return minCapacity
 }
 
 // shortage measures how badly the layers are covered: the sum over the layers of the
@@ -68,14 +69,14 @@
 // passes through it, and a gap outweighs everything else.
 func (c *coverage) shortage() float64 {
 	sum := 0.0
-	for _, room := range c.room {
-		sum += layerShortage(room)
+	for _, capacity := range c.capacity {
+		sum += layerShortage(capacity)
 	}
 	return sum
 }
 
 // layerShortage returns the shortage of a layer with the given capacity.
-func layerShortage(room float64) float64 { return 1 / (max(0, room) + uncoveredRoom) }
+func layerShortage(capacity float64) float64 { return 1 / (max(0, capacity) + uncoveredCapacity) }
 
 // bestRange returns the range for a card that leaves the least shortage, and that shortage.
 // The card's present range must not be counted in c.
@@ -108,11 +109,11 @@
 		least = with(held, c.sums(c.requests(k, held.Len())))
 	}
 	for n := 1; n <= c.spec.maxLayers(k); n++ {
-		room := c.requests(k, n)
-		if room < 1 {
+		capacity := c.requests(k, n)
+		if capacity < 1 {
 			break
 		}
-		sums := c.sums(room)
+		sums := c.sums(capacity)
 		for from := 0; from+n <= c.spec.Layers; from++ {
 			r := config.LayerRange{From: from, To: from + n}
 			if !allowed(r) {
@@ -129,7 +130,7 @@
 // hasGap reports whether some layer of the range has no holder.
 func (c *coverage) hasGap(held config.LayerRange) bool {
 	for l := max(0, held.From); l < min(held.To, c.spec.Layers); l++ {
-		if c.room[l] < uncoveredRoom {
+		if c.capacity[l] < uncoveredCapacity {
 			return true
 		}
 	}
@@ -139,8 +140,8 @@
 // sums returns the prefix sums of the shortage if every layer had more capacity.
 func (c *coverage) sums(more float64) []float64 {
 	sums := make([]float64, c.spec.Layers+1)
-	for l, room := range c.room {
-		sums[l+1] = sums[l] + layerShortage(room+more)
+	for l, capacity := range c.capacity {
+		sums[l+1] = sums[l] + layerShortage(capacity+more)
 	}
 	return sums
 }
--- a/internal/layers/detour_capacity_test.go
+++ b/internal/layers/detour_capacity_test.go
@@ -32,7 +32,7 @@
 	spare := stopped
 	spare.ID, spare.Address = "2b", "2b"
 	table.Update(spec, append(others, stopped, spare))
-	capacity := spec.room(spec.kind("large"), stopped.Held.Len()) * float64(stopped.Held.Len())
+	capacity := spec.tokenCapacity(spec.kind("large"), stopped.Held.Len()) * float64(stopped.Held.Len())
 	table.SetLoads(map[incarnation.Key]Load{stopped.Key(): {
 		Used: float64(streams) * spec.meanTokens() * float64(stopped.Held.Len()), Total: capacity, Held: stopped.Held, At: time.Now(),
 	}})
@@ -87,7 +87,7 @@
 	table, _ := tableWithSpare(t, 5)
 	query := meanQuery
 	query.MaxUsage = 0.6
-	if _, err := table.Reserve(query); !errors.Is(err, ErrNoRoom) {
+	if _, err := table.Reserve(query); !errors.Is(err, ErrNoCapacity) {
 		t.Errorf("reservation without load reports: %v", err)
 	}
 	reportAll(table, 0.3)
@@ -95,7 +95,7 @@
 		t.Errorf("reservation at usage 0.3: %v", err)
 	}
 	reportAll(table, 0.7)
-	if _, err := table.Reserve(query); !errors.Is(err, ErrNoRoom) {
+	if _, err := table.Reserve(query); !errors.Is(err, ErrNoCapacity) {
 		t.Errorf("reservation at usage 0.7: %v", err)
 	}
 }
--- a/internal/layers/errors.go
+++ b/internal/layers/errors.go
@@ -5,8 +5,8 @@
 var (
 	// ErrNoPath means that no replica holds some layer. Waiting for capacity does not help.
 	ErrNoPath = errors.New("no path covers every layer")
-	// ErrNoRoom means that the replicas that hold the layers are full. A request may wait.
-	ErrNoRoom = errors.New("no path has room")
+	// ErrNoCapacity means that the replicas that hold the layers are full. A request may wait.
+	ErrNoCapacity = errors.New("no path has room")
 	// ErrNoSpareEntry means that fewer replicas at which a path can begin are left than
 	// Query.SpareEntries asks for. It may last until one of them is replaced.
 	ErrNoSpareEntry = errors.New("too few replicas are left that a path can begin at")
--- a/internal/layers/gate.go
+++ b/internal/layers/gate.go
@@ -32,10 +32,10 @@
 	return open
 }
 
-// throttledErrorOr returns a *pushback.ThrottledError if err is ErrNoRoom and all replicas at which
+// throttledErrorOr returns a *pushback.ThrottledError if err is ErrNoCapacity and all replicas at which
 // the path could begin have asked not to be sent requests now, else err.
 func (s *search) throttledErrorOr(err error) error {
-	if !errors.Is(err, ErrNoRoom) {
+	if !errors.Is(err, ErrNoCapacity) {
 		return err
 	}
 	held := pushback.AllThrottled(func(yield func(bool, time.Time) bool) {
--- a/internal/layers/layout.go
+++ b/internal/layers/layout.go
@@ -10,9 +10,8 @@
 const (
 	// lossWeight is the weight of the capacity that remains on average after the loss of one
 	// card, against the capacity of the whole group. Cards fail several times a day, and a
-	// layer with one holder then stops all streams of the data centre. At 0.5 a data centre
-	// of 12 cards had one holder for every layer; at 0.7 a quarter of the layers
-	// had two.
+	// layer with one holder then stops all streams of the data centre. With 12 cards in a
+	// data centre, 0.5 gives every layer one holder, and 0.7 gives a quarter of them two.
 	lossWeight = 0.7
 	// assumedFill is how full cards are assumed to be when the time of a step is computed.
 	// From empty to full a step takes about twice as long, on all kinds of cards alike.
@@ -21,10 +20,10 @@
 
 // Parameters of the candidate layouts. Fewer sets leave more memory for requests, and more
 // capacity for requests on a card leaves less memory for layers. The grid includes what
-// was best for 13 cards a data centre (room 120, redundancy 1.25) and for 34 (room 240,
-// redundancy 1).
+// was best for 13 cards a data centre (capacity 120, redundancy 1.25) and for 34 (capacity
+// 240, redundancy 1).
 var (
-	roomCandidates       = []float64{60, 90, 120, 150, 180, 240}
+	capacityCandidates   = []float64{60, 90, 120, 150, 180, 240}
 	redundancyCandidates = []float64{1, 1.12, 1.25, 1.5}
 )
 
@@ -32,9 +31,9 @@
 type layout struct {
 	// sets is the number of complete sets of layers.
 	sets int
-	// room is the number of mean requests beyond which a card needs no more memory for
+	// capacity is the number of mean requests beyond which a card needs no more memory for
 	// requests.
-	room float64
+	capacity float64
 	// redundancy is how many times the cards of a set should be able to hold the model
 	// beside the requests. What exceeds 1 gives layers a second holder.
 	redundancy float64
@@ -95,9 +94,9 @@
 func layouts(spec *Spec, group []Replica) []layout {
 	var all []layout
 	for sets := 1; sets <= max(1, maxSets(spec, group)); sets++ {
-		for _, room := range roomCandidates {
+		for _, capacity := range capacityCandidates {
 			for _, redundancy := range redundancyCandidates {
-				all = append(all, layout{sets: sets, room: room, redundancy: redundancy})
+				all = append(all, layout{sets: sets, capacity: capacity, redundancy: redundancy})
 			}
 		}
 	}
@@ -131,12 +130,12 @@
 // takes over at once, without a path that crosses to another data centre.
 func (l layout) placeSet(spec *Spec, set []Replica, placed map[string]config.LayerRange) {
 	c := newCoverage(spec)
-	room := c.roomFor(set, l)
+	capacity := c.capacityFor(set, l)
 	from := 0
 	var left []Replica
 	for _, r := range set {
 		k := spec.kind(r.Kind)
-		n := min(c.layersFor(k, room), spec.Layers-from)
+		n := min(c.layersFor(k, capacity), spec.Layers-from)
 		if n <= 0 {
 			left = append(left, r)
 			continue
@@ -164,29 +163,29 @@
 		k, held := spec.kind(r.Kind), placed[r.ID]
 		c.add(k, held, 1)
 		for layer := held.From; layer < held.To; layer++ {
-			room := c.requestsAt(k, held.Len(), layer)
-			stepTimes[layer] += room * spec.stepTime(k, assumedFill*room, spec.meanTokens())
-			stages[layer] += room / float64(held.Len())
+			capacity := c.requestsAt(k, held.Len(), layer)
+			stepTimes[layer] += capacity * spec.stepTime(k, assumedFill*capacity, spec.meanTokens())
+			stages[layer] += capacity / float64(held.Len())
 		}
 	}
-	if slices.Min(c.room) <= 0 {
+	if slices.Min(c.capacity) <= 0 {
 		return 0
 	}
 	tokenTime := 0.0 // seconds
-	for layer, room := range c.room {
-		tokenTime += (1+stageOverhead)*stepTimes[layer]/room/float64(spec.Layers) + hopCost.Seconds()*stages[layer]/room
+	for layer, capacity := range c.capacity {
+		tokenTime += (1+stageOverhead)*stepTimes[layer]/capacity/float64(spec.Layers) + hopCost.Seconds()*stages[layer]/capacity
 	}
-	return ((1-lossWeight)*slices.Min(c.room) + lossWeight*roomAfterLoss(c, group, placed)) / tokenTime
+	return ((1-lossWeight)*slices.Min(c.capacity) + lossWeight*capacityAfterLoss(c, group, placed)) / tokenTime
 }
 
-// roomAfterLoss returns the capacity of the layer that has the least after the loss of one
+// capacityAfterLoss returns the capacity of the layer that has the least after the loss of one
 // card, as the mean over all cards.
-func roomAfterLoss(c *coverage, group []Replica, placed map[string]config.LayerRange) float64 {
+func capacityAfterLoss(c *coverage, group []Replica, placed map[string]config.LayerRange) float64 {
 	sum := 0.0
 	for _, r := range group {
 		k, held := c.spec.kind(r.Kind), placed[r.ID]
 		c.add(k, held, -1)
-		sum += max(0, slices.Min(c.room))
+		sum += max(0, slices.Min(c.capacity))
 		c.add(k, held, 1)
 	}
 	return sum / float64(max(1, len(group)))
--- a/internal/layers/link_budget_test.go
+++ b/internal/layers/link_budget_test.go
@@ -28,7 +28,7 @@
 	spec := table.spec
 	loads := map[incarnation.Key]Load{}
 	for _, d := range table.Dump() {
-		total := spec.room(spec.kind(d.Kind), d.Held.Len()) * float64(d.Held.Len())
+		total := spec.tokenCapacity(spec.kind(d.Kind), d.Held.Len()) * float64(d.Held.Len())
 		loads[incarnation.Key{ID: d.ID, Born: d.Born}] = Load{Used: used * total, Total: total, Pace: 1, Held: d.Held, At: time.Now()}
 	}
 	table.SetLoads(loads)
@@ -65,7 +65,7 @@
 			case err == nil:
 				crossed++
 				reservation.Release(true)
-			case !errors.Is(err, ErrNoRoom):
+			case !errors.Is(err, ErrNoCapacity):
 				t.Fatal(err)
 			}
 			time.Sleep(10 * time.Millisecond)
--- a/internal/layers/path_test.go
+++ b/internal/layers/path_test.go
@@ -71,7 +71,7 @@
 	var taken []*Reservation
 	for {
 		reservation, err := table.Reserve(meanQuery)
-		if errors.Is(err, ErrNoRoom) {
+		if errors.Is(err, ErrNoCapacity) {
 			break
 		}
 		if err != nil {
--- a/internal/layers/place.go
+++ b/internal/layers/place.go
@@ -8,9 +8,9 @@
 	"geraniumcroft/internal/config"
 )
 
-// minRoom is the least number of mean requests for which a card needs memory where memory
+// minCapacity is the least number of mean requests for which a card needs memory where memory
 // is short.
-const minRoom = 4.0
+const minCapacity = 4.0
 
 // Place returns the ranges that replicas should hold, by replica ID. The result includes
 // replicas whose range does not change; a replica that should hold nothing is missing. It
--- a/internal/layers/place_test.go
+++ b/internal/layers/place_test.go
@@ -46,8 +46,8 @@
 			if r.Held.From < 0 || r.Held.To > spec.Layers || float64(r.Held.Len())*spec.LayerMB > k.MemoryMB {
 				t.Fatalf("%s holds %s", r.ID, r.Held)
 			}
-			if room := spec.room(k, r.Held.Len()); room < spec.meanTokens() {
-				t.Fatalf("%s holds %s and has memory for %.0f tokens", r.ID, r.Held, room)
+			if tokenCapacity := spec.tokenCapacity(k, r.Held.Len()); tokenCapacity < spec.meanTokens() {
+				t.Fatalf("%s holds %s and has memory for %.0f tokens", r.ID, r.Held, tokenCapacity)
 			}
 		}
 	})
@@ -60,7 +60,7 @@
 		replicas := drawInstallation(t)
 		most := 0
 		for _, r := range replicas {
-			most += newCoverage(spec).layersFor(spec.kind(r.Kind), minRoom)
+			most += newCoverage(spec).layersFor(spec.kind(r.Kind), minCapacity)
 		}
 		if most < spec.Layers {
 			return
@@ -127,10 +127,10 @@
 		c.add(spec.kind(r.Kind), r.Held, 1)
 	}
 	mean := 0.0
-	for _, room := range c.room {
-		mean += room / float64(spec.Layers)
+	for _, capacity := range c.capacity {
+		mean += capacity / float64(spec.Layers)
 	}
-	if least := slices.Min(c.room); least < mean*2/3 {
+	if least := slices.Min(c.capacity); least < mean*2/3 {
 		t.Errorf("the least capacity is %.0f requests, the mean %.0f", least, mean)
 	}
 	if low := slices.Min(holders(spec, held, "a")); low < 2 {
@@ -152,10 +152,10 @@
 	for _, r := range held {
 		c.add(spec.kind(r.Kind), r.Held, 1)
 	}
-	for _, room := range c.room {
-		sum += room
+	for _, capacity := range c.capacity {
+		sum += capacity
 	}
-	if mean, least := sum/float64(spec.Layers), slices.Min(c.room); least < 0.5*mean {
+	if mean, least := sum/float64(spec.Layers), slices.Min(c.capacity); least < 0.5*mean {
 		t.Errorf("the least capacity is %.0f requests, the mean %.0f", least, mean)
 	}
 }
@@ -183,25 +183,25 @@
 	spec := testSpec()
 	group := slices.Concat(cards("a", "large", 1), cards("a", "fast", 1), cards("a", "slow", 5), cards("a", "small", 7))
 	held := withRanges(group, Place(spec, group))
-	before := minRoomOf(spec, held)
+	before := minCapacityOf(spec, held)
 	rapid.Check(t, func(t *rapid.T) {
 		dead := rapid.IntRange(0, len(held)-1).Draw(t, "dead")
 		left := settle(t, spec, slices.Delete(slices.Clone(held), dead, dead+1))
 		joined := Replica{ID: "new", Address: "new", DataCentre: "a", Kind: held[dead].Kind}
-		after := minRoomOf(spec, settle(t, spec, append(left, joined)))
+		after := minCapacityOf(spec, settle(t, spec, append(left, joined)))
 		if after < 0.45*before {
 			t.Errorf("the least capacity was %.0f requests, and is %.0f after %s failed and was replaced", before, after, held[dead].ID)
 		}
 	})
 }
 
-// minRoomOf returns the capacity of the layer that has the least.
-func minRoomOf(spec *Spec, held []Replica) float64 {
+// minCapacityOf returns the capacity of the layer that has the least.
+func minCapacityOf(spec *Spec, held []Replica) float64 {
 	c := newCoverage(spec)
 	for _, r := range held {
 		c.add(spec.kind(r.Kind), r.Held, 1)
 	}
-	return slices.Min(c.room)
+	return slices.Min(c.capacity)
 }
 
 // A card that joins next to a gap takes the missing layers, and no other card moves.
--- a/internal/layers/rebalance.go
+++ b/internal/layers/rebalance.go
@@ -16,12 +16,12 @@
 	// 0.15 a data centre of 14 cards whose h100 came back kept a capacity of 59 requests
 	// in place of 192.
 	minNarrowGain = 0.01
-	// narrowBelowRoom is the capacity, in mean requests, below which a card may release
+	// narrowBelowCapacity is the capacity, in mean requests, below which a card may release
 	// layers to others, for instance after it widened over those of a failed neighbour.
 	// Above it the layers stay: the other cards may be ten times slower, and more capacity
-	// there would serve nobody. 120 is the room that was best for the fast cards of a data
+	// there would serve nobody. 120 is the capacity that was best for the fast cards of a data
 	// centre of 13.
-	narrowBelowRoom = 120
+	narrowBelowCapacity = 120
 	// nearBestGain is the fraction of the best move's gain from which a cheaper card is
 	// moved instead.
 	nearBestGain = 0.8
@@ -48,8 +48,8 @@
 }
 
 // rebalance moves cards of a group that holds layers, one after another, each to where it
-// reduces the shortage most. A card that has just joined, or whose layers have other
-// holders, closes a gap. If there is none, the neighbours of the gap widen.
+// reduces the shortage most. A gap is closed by a card that has just joined or whose layers
+// have other holders. Without such a card, the neighbours of the gap widen.
 func rebalance(spec *Spec, group []Replica, placed map[string]config.LayerRange) {
 	c := newCoverage(spec)
 	for _, r := range group {
@@ -111,7 +111,7 @@
 	if to, remaining := c.bestWider(k, held); to != held {
 		moves = append(moves, move{to: to, remaining: remaining, minGain: minMoveGain, cost: cost})
 	}
-	if to, remaining := c.bestNarrower(k, held); to != held && c.requests(k, held.Len()) < narrowBelowRoom && reported.canSpare(held, to) {
+	if to, remaining := c.bestNarrower(k, held); to != held && c.requests(k, held.Len()) < narrowBelowCapacity && reported.canSpare(held, to) {
 		moves = append(moves, move{to: to, remaining: remaining, minGain: minNarrowGain, cost: cost})
 	}
 	if to, remaining := c.bestRange(k); to != held && c.hasGap(to) && reported.canSpare(held, to) {
@@ -131,7 +131,7 @@
 	for _, other := range group {
 		held := placed[other.ID]
 		holder := spec.kind(other.Kind)
-		if other.Loading || held.Len() < 2 || c.requests(holder, held.Len()) >= narrowBelowRoom {
+		if other.Loading || held.Len() < 2 || c.requests(holder, held.Len()) >= narrowBelowCapacity {
 			continue
 		}
 		c.add(holder, held, -1)
--- a/internal/layers/replica_state.go
+++ b/internal/layers/replica_state.go
@@ -66,7 +66,7 @@
 		s.load = Load{} // it was about another range
 	}
 	s.Held = held
-	s.capacity = spec.room(s.kind, held.Len()) * float64(held.Len())
+	s.capacity = spec.tokenCapacity(s.kind, held.Len()) * float64(held.Len())
 }
 
 // applyReportedRange applies the range in a report if it is newer than the one in
--- a/internal/layers/reservation.go
+++ b/internal/layers/reservation.go
@@ -33,7 +33,7 @@
 // read all tokens so far, and sending these tokens' activations over the link between two
 // data centres takes longer than reading the prompt again on another path.
 //
-// It returns ErrNoPath or ErrNoRoom if there is no such path; the reservation is then
+// It returns ErrNoPath or ErrNoCapacity if there is no such path; the reservation is then
 // unchanged.
 func (r *Reservation) Detour(stopped []string, written int, near bool) (Path, error) {
 	t := r.table
--- a/internal/layers/search.go
+++ b/internal/layers/search.go
@@ -71,7 +71,7 @@
 	s.computeSteps()
 	path := s.backtrack()
 	if path == nil {
-		return nil, ErrNoRoom
+		return nil, ErrNoCapacity
 	}
 	return path, nil
 }
--- a/internal/layers/spec.go
+++ b/internal/layers/spec.go
@@ -57,8 +57,8 @@
 	return min(s.Layers, int(k.MemoryMB/s.LayerMB))
 }
 
-// room returns how many tokens of context fit on a card beside n layers.
-func (s *Spec) room(k Accelerator, n int) float64 {
+// tokenCapacity returns how many tokens of context fit on a card beside n layers.
+func (s *Spec) tokenCapacity(k Accelerator, n int) float64 {
 	if n <= 0 || s.KVBytes <= 0 {
 		return 0
 	}
--- a/internal/layers/table.go
+++ b/internal/layers/table.go
@@ -88,7 +88,7 @@
 }
 
 // Reserve chooses a path and reserves memory on each of its stages until the reservation
-// is released. It returns ErrNoRoom if waiting can help, ErrNoPath if it cannot,
+// is released. It returns ErrNoCapacity if waiting can help, ErrNoPath if it cannot,
 // ErrNoSpareEntry if too few replicas would remain at which a path can begin, and a
 // *pushback.ThrottledError if all replicas at which the path could begin have asked not to be
 // sent requests now.
@@ -101,7 +101,7 @@
 		return nil, s.throttledErrorOr(err)
 	}
 	if !t.gate.Take(path.First().Key(), s.now) {
-		return nil, s.throttledErrorOr(ErrNoRoom)
+		return nil, s.throttledErrorOr(ErrNoCapacity)
 	}
 	r := &Reservation{table: t, query: query, reservedAt: s.now, path: path}
 	r.adjustReserved(1)
