--- a/internal/layers/errors.go
+++ b/internal/layers/errors.go
@@ -7,7 +7,8 @@
 	ErrNoPath = errors.New("no path covers every layer")
 	// ErrNoCapacity means that the replicas that hold the layers are full. A request may wait.
 	ErrNoCapacity = errors.New("no path has room")
-	// ErrNoSpareEntry means that fewer replicas at which a path can begin are left than
-	// Query.SpareEntries asks for. It may last until one of them is replaced.
+	// ErrNoSpareEntry means that fewer replicas at which a path can begin would remain than
+	// Query.SpareEntries asks for, if the one at which this path begins failed. It may last
+	// until a lost replica is replaced.
 	ErrNoSpareEntry = errors.New("too few replicas are left that a path can begin at")
 )
--- a/internal/layers/query.go
+++ b/internal/layers/query.go
@@ -16,8 +16,8 @@
 	// Exclude are the replicas on which the request has failed.
 	Exclude map[incarnation.Key]bool
 	// MaxUsage is the largest fraction of a replica's memory that may be in use before this
-	// request; 0 means no limit. A request that could stay where it is leaves the memory
-	// of fuller replicas to others.
+	// request; 0 means no limit. Replicas whose usage is unknown exceed any limit. A request
+	// that could stay where it is leaves the memory of fuller replicas to others.
 	MaxUsage float64
 	// SpareEntries is how many replicas at which a path can begin must remain if the one at
 	// which this path begins fails. 0 asks for none.
--- a/internal/loads/cache.go
+++ b/internal/loads/cache.go
@@ -54,8 +54,8 @@
 	down     map[incarnation.Key]bool
 }
 
-// NewCache returns an empty cache. It calls onChange, under its lock, with the loads of each
-// newer snapshot.
+// NewCache returns an empty cache. The cache calls onChange with the loads of each newer
+// snapshot, while it holds its lock.
 func NewCache(onChange func(map[incarnation.Key]layers.Load), logger *zap.Logger) *Cache {
 	return &Cache{onChange: onChange, logger: logger}
 }
@@ -145,7 +145,8 @@
 	c.replace(revision, encoded, time.Now(), loads)
 }
 
-// Take stores a peer's snapshot of the given age if it is newer.
+// Take stores a peer's snapshot of the given age if it is newer, and passes on the attachment
+// that came with it.
 func (c *Cache) Take(change platform.TableChange, age time.Duration) {
 	if !change.Whole {
 		return
