--- a/internal/layers/walk.go
+++ b/internal/layers/cheapest_path.go
@@ -7,19 +7,20 @@
 	"geraniumcroft/internal/config"
 )
 
-// maxStages is the longest path that engines take.
+// maxStages is the largest number of stages that engines accept.
 const maxStages = 32
 
-// step is the cheapest way to one cut and data centre.
+// step is the last stage of the cheapest path to a cut that ends in a certain data centre.
+// The stage begins at cut and follows a stage in the data centre with index dc.
 type step struct {
 	cost   float64
-	holder *state
+	holder *replicaState
 	cut    int
 	dc     int
 }
 
-// walk finds the cheapest way to each cut and data centre.
-func (s *search) walk() {
+// computeSteps finds the cheapest path to each cut and data centre.
+func (s *search) computeSteps() {
 	s.steps = make([][]step, len(s.cuts))
 	for i := range s.steps {
 		s.steps[i] = make([]step, len(s.dcs))
@@ -30,23 +31,24 @@
 	for i := 0; i+1 < len(s.cuts); i++ {
 		for _, r := range s.holders {
 			if r.Held.From <= s.cuts[i] && r.Held.To > s.cuts[i] {
-				s.extend(i, r)
+				s.extendSteps(i, r)
 			}
 		}
 	}
 }
 
-// extend walks on from a cut over one replica, to each cut that it reaches.
-func (s *search) extend(i int, r *state) {
+// extendSteps continues the paths that end at a cut over one replica, to each cut within
+// the replica's range.
+func (s *search) extendSteps(i int, r *replicaState) {
 	d, _ := slices.BinarySearch(s.dcs, r.DataCentre)
-	arrival, from := s.arrival(i, r)
-	if math.IsInf(arrival, 1) {
+	arrivalCost, from := s.arrivalCost(i, r)
+	if math.IsInf(arrivalCost, 1) {
 		return
 	}
 	for j := i + 1; j < len(s.cuts) && s.cuts[j] <= r.Held.To; j++ {
-		cost := arrival + s.stageCost(r, s.cuts[j]-s.cuts[i])
+		cost := arrivalCost + s.stageCost(r, s.cuts[j]-s.cuts[i])
 		if j == len(s.cuts)-1 && s.toDC != "" && s.toDC != r.DataCentre {
-			cost += s.crossing(r.DataCentre, s.toDC)
+			cost += s.crossingCost(r.DataCentre, s.toDC)
 		}
 		if cost < s.steps[j][d].cost {
 			s.steps[j][d] = step{cost: cost, holder: r, cut: i, dc: from}
@@ -54,17 +56,17 @@
 	}
 }
 
-// arrival returns the cheapest cost of reaching the replica at a cut, and the data
-// centre that it comes from.
-func (s *search) arrival(i int, r *state) (float64, int) {
+// arrivalCost returns the least cost of a path that reaches the replica at a cut, and the
+// index of the data centre from which it comes, -1 if it begins there.
+func (s *search) arrivalCost(i int, r *replicaState) (float64, int) {
 	if i == 0 {
-		return s.enter(r), -1
+		return s.firstStageCost(r), -1
 	}
 	best, from := math.Inf(1), -1
 	for d, at := range s.steps[i] {
 		cost := at.cost
 		if s.dcs[d] != r.DataCentre {
-			cost += s.crossing(s.dcs[d], r.DataCentre)
+			cost += s.crossingCost(s.dcs[d], r.DataCentre)
 		}
 		if cost < best && at.holder != r {
 			best, from = cost, d
@@ -73,8 +75,9 @@
 	return best, from
 }
 
-// trace follows the steps back from the end.
-func (s *search) trace() Path {
+// backtrack follows the steps back from the last cut. It returns nil if no path reaches it
+// within maxStages.
+func (s *search) backtrack() Path {
 	cut, dc := len(s.cuts)-1, -1
 	best := math.Inf(1)
 	for d, at := range s.steps[cut] {
--- a/internal/layers/coverage.go
+++ b/internal/layers/coverage.go
@@ -2,101 +2,103 @@
 
 import "geraniumcroft/internal/config"
 
-// uncovered stands for the room of a layer that nobody holds, in requests. It keeps
-// the shortage finite, and far above that of any layer with room for one request.
-const uncovered = 0.05
+// uncoveredCapacity is the capacity, in requests, that is assumed for a layer without a holder.
+// It keeps the shortage finite, but far above that of a layer with capacity for one request.
+const uncoveredCapacity = 0.05
 
-// coverage is how many usual requests the replicas of a group have room for at each
-// layer.
+// coverage is the capacity of a group of replicas for each layer, in mean requests.
 type coverage struct {
-	spec *Spec
-	room []float64
+	spec     *Spec
+	capacity []float64
 }
 
 func newCoverage(spec *Spec) *coverage {
-	return &coverage{spec: spec, room: make([]float64, spec.Layers)}
+	return &coverage{spec: spec, capacity: make([]float64, spec.Layers)}
 }
 
-// add adds or, with sign -1, takes away what a card gives with a range.
+// add adds the capacity of a card that holds a range or, with sign -1, subtracts it.
 func (c *coverage) add(k Accelerator, held config.LayerRange, sign float64) {
 	for l := max(0, held.From); l < min(held.To, c.spec.Layers); l++ {
-		c.room[l] += sign * c.requestsAt(k, held.Len(), l)
+		c.capacity[l] += sign * c.requestsAt(k, held.Len(), l)
 	}
 }
 
-// requests is how many usual requests fit beside n layers of a card.
+// requests returns how many mean requests fit on a card beside n layers.
 func (c *coverage) requests(k Accelerator, n int) float64 {
-	return c.spec.room(k, n) / c.spec.usualTokens()
+	return c.spec.tokenCapacity(k, n) / c.spec.meanTokens()
 }
 
-// requestsAt is requests for one of the layers. Those that enter at a card are bounded by
-// its slots too: the first event of one more waits until another request has ended.
+// requestsAt returns requests for one of the layers. At the first layer the slots of the
+// card are a limit too: a request beyond them gets its first event only after another one
+// has ended.
 func (c *coverage) requestsAt(k Accelerator, n, layer int) float64 {
-	room := c.requests(k, n)
+	capacity := c.requests(k, n)
 	if layer == 0 && c.spec.Slots > 0 {
-		return min(room, float64(c.spec.Slots))
+		return min(capacity, float64(c.spec.Slots))
 	}
-	return room
+	return capacity
 }
 
-// layersFor is how many layers a card holds beside room for so many requests.
-func (c *coverage) layersFor(k Accelerator, room float64) int {
-	perLayer := c.spec.LayerMB + room*c.spec.usualTokens()*c.spec.KVBytes/float64(c.spec.Layers)/1e6
+// layersFor returns how many layers a card can hold beside the given number of requests.
+func (c *coverage) layersFor(k Accelerator, capacity float64) int {
+	perLayer := c.spec.LayerMB + capacity*c.spec.meanTokens()*c.spec.KVBytes/float64(c.spec.Layers)/1e6
 	return min(c.spec.maxLayers(k), int(k.MemoryMB/perLayer))
 }
 
-// roomFor is the room for requests that the cards can have and still hold the model
-// with some of it doubled.
-func (c *coverage) roomFor(set []Replica, l layout) float64 {
-	const steps = 1.1
+// capacityFor returns for how many mean requests each card keeps memory free: the layout's
+// capacity, reduced in steps until the cards can hold the model with the layout's
+// redundancy, or once if that is impossible. It is at least minCapacity.
+func (c *coverage) capacityFor(set []Replica, l layout) float64 {
+	const shrinkFactor = 1.1
 	for _, wanted := range []float64{l.redundancy, 1} {
-		for room := l.room; room >= leastRoom; room /= steps {
+		for capacity := l.capacity; capacity >= minCapacity; capacity /= shrinkFactor {
 			held := 0
 			for _, r := range set {
-				held += c.layersFor(c.spec.kind(r.Kind), room)
+				held += c.layersFor(c.spec.kind(r.Kind), capacity)
 			}
 			if float64(held) >= wanted*float64(c.spec.Layers) {
-				return room
+				return capacity
 			}
 		}
 	}
-	return leastRoom
+	return minCapacity
 }
 
-// shortage says how badly the layers are covered: the sum of what one more request
-// finds taken at each layer. A layer with little room weighs most, as every request
-// passes through it, and a hole outweighs everything.
+// shortage measures how badly the layers are covered: the sum over the layers of the
+// inverse of their capacity. A layer with little capacity weighs most, as every request
+// passes through it, and a gap outweighs everything else.
 func (c *coverage) shortage() float64 {
 	sum := 0.0
-	for _, room := range c.room {
-		sum += short(room)
+	for _, capacity := range c.capacity {
+		sum += layerShortage(capacity)
 	}
 	return sum
 }
 
-func short(room float64) float64 { return 1 / (max(0, room) + uncovered) }
+// layerShortage returns the shortage of a layer with the given capacity.
+func layerShortage(capacity float64) float64 { return 1 / (max(0, capacity) + uncoveredCapacity) }
 
-// best returns the range for a card, whose present range is not counted in c, that
-// leaves the least shortage, and that shortage.
-func (c *coverage) best(k Accelerator) (config.LayerRange, float64) {
-	return c.bestOf(k, config.LayerRange{}, func(config.LayerRange) bool { return true })
+// bestRange returns the range for a card that leaves the least shortage, and that shortage.
+// The card's present range must not be counted in c.
+func (c *coverage) bestRange(k Accelerator) (config.LayerRange, float64) {
+	return c.bestAllowed(k, config.LayerRange{}, func(config.LayerRange) bool { return true })
 }
 
-// wider is best among the ranges that contain the present one, which it returns where
-// none is better.
-func (c *coverage) wider(k Accelerator, held config.LayerRange) (config.LayerRange, float64) {
-	return c.bestOf(k, held, func(r config.LayerRange) bool { return r.Contains(held) })
+// bestWider is bestRange among the ranges that contain the present one. It returns the
+// present range if none is better.
+func (c *coverage) bestWider(k Accelerator, held config.LayerRange) (config.LayerRange, float64) {
+	return c.bestAllowed(k, held, func(r config.LayerRange) bool { return r.Contains(held) })
 }
 
-// narrower is best among the parts of the present range, which it returns where none is
-// better.
-func (c *coverage) narrower(k Accelerator, held config.LayerRange) (config.LayerRange, float64) {
-	return c.bestOf(k, held, held.Contains)
+// bestNarrower is bestRange among the parts of the present range. It returns the present
+// range if none is better.
+func (c *coverage) bestNarrower(k Accelerator, held config.LayerRange) (config.LayerRange, float64) {
+	return c.bestAllowed(k, held, held.Contains)
 }
 
-// bestOf returns the range with the least shortage among those that are allowed, or the
-// present one where none is better.
-func (c *coverage) bestOf(k Accelerator, held config.LayerRange, allowed func(config.LayerRange) bool) (config.LayerRange, float64) {
+// bestAllowed returns the allowed range with the least shortage, or the present one if none
+// is better.
+func (c *coverage) bestAllowed(k Accelerator, held config.LayerRange, allowed func(config.LayerRange) bool) (config.LayerRange, float64) {
 	before := c.sums(0)
 	total := before[c.spec.Layers]
 	with := func(r config.LayerRange, sums []float64) float64 {
@@ -107,11 +109,11 @@
 		least = with(held, c.sums(c.requests(k, held.Len())))
 	}
 	for n := 1; n <= c.spec.maxLayers(k); n++ {
-		room := c.requests(k, n)
-		if room < 1 {
+		capacity := c.requests(k, n)
+		if capacity < 1 {
 			break
 		}
-		sums := c.sums(room)
+		sums := c.sums(capacity)
 		for from := 0; from+n <= c.spec.Layers; from++ {
 			r := config.LayerRange{From: from, To: from + n}
 			if !allowed(r) {
@@ -125,21 +127,21 @@
 	return best, least
 }
 
-// hasHole reports whether nobody holds some layer of the range.
-func (c *coverage) hasHole(held config.LayerRange) bool {
+// hasGap reports whether some layer of the range has no holder.
+func (c *coverage) hasGap(held config.LayerRange) bool {
 	for l := max(0, held.From); l < min(held.To, c.spec.Layers); l++ {
-		if c.room[l] < uncovered {
+		if c.capacity[l] < uncoveredCapacity {
 			return true
 		}
 	}
 	return false
 }
 
-// sums returns the running sums of the shortage if every layer had more room.
+// sums returns the prefix sums of the shortage if every layer had more capacity.
 func (c *coverage) sums(more float64) []float64 {
 	sums := make([]float64, c.spec.Layers+1)
-	for l, room := range c.room {
-		sums[l+1] = sums[l] + short(room+more)
+	for l, capacity := range c.capacity {
+		sums[l+1] = sums[l] + layerShortage(capacity+more)
 	}
 	return sums
 }
--- a/internal/layers/restart_test.go
+++ b/internal/layers/restart_test.go
@@ -9,7 +9,8 @@
 	"geraniumcroft/internal/incarnation"
 )
 
-// restartedCards are three cards with all layers of which the first starts again under its id.
+// restartedCards returns three cards with all layers, before and after a restart of the
+// first one under the same ID.
 func restartedCards() (before, after []Replica) {
 	before = cards("a", "large", 3)
 	for i := range before {
@@ -21,15 +22,16 @@
 	return before, after
 }
 
-// A card fails, is avoided, and starts again under its id. What its earlier incarnation did,
-// held and had room for is not its own: it is used as soon as it is listed with its layers. A
-// stream that was cut off with the earlier one ends late and blames that one alone.
-func TestRestartedCardStartsWithACleanSheet(t *testing.T) {
+// A card that failed and was avoided restarts under the same ID. The failures, layers and
+// reserved memory of its earlier incarnation must not be attributed to the new one, which is
+// used as soon as it is listed with its layers. A stream that was cut off by the restart and
+// ends late affects the earlier incarnation only.
+func TestRestartedCardHasNoStateOfItsPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before, after := restartedCards()
 		table := NewTable()
 		table.Update(testSpec(), before)
-		cutOff, err := table.Reserve(usual)
+		cutOff, err := table.Reserve(meanQuery)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,22 +39,22 @@
 		table.SetLoads(map[incarnation.Key]Load{before[0].Key(): {Down: true, At: time.Now()}})
 		table.Suspect(before[0])
 		table.Update(testSpec(), after)
-		table.Suspect(first) // the stream that was cut off finds out only now
+		table.Suspect(first) // reported late by the stream that was cut off
 		table.RecordRefusal(first)
 		table.SetPace(first, 8)
 		cutOff.Release(false)
 		fresh := table.replicas[after[0].Key()]
-		if fresh.suspected(time.Now()) || fresh.reserved != 0 || fresh.first != 0 || fresh.pace != 0 {
-			t.Errorf("the new incarnation: %+v", fresh)
+		if fresh.suspected(time.Now()) || fresh.reserved != 0 || fresh.entryRequests != 0 || fresh.pace != 0 {
+			t.Errorf("state of the new incarnation: %+v", fresh)
 		}
-		if _, err := table.Reserve(usual); err != nil {
+		if _, err := table.Reserve(meanQuery); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// A board of loads was made before a card started again, and arrives after its new
-// incarnation is listed, empty. The layers and the room on the board are gone.
+// A load report made before a card restarted arrives after its new incarnation is listed
+// without layers. The layers and the memory in that report no longer exist.
 func TestReportOfTheEarlierIncarnationIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before, after := restartedCards()
@@ -62,18 +64,18 @@
 		table.Update(testSpec(), after)
 		time.Sleep(2 * reportLag)
 		table.SetLoads(map[incarnation.Key]Load{before[0].Key(): {Total: 1e6, Pace: 1, Held: before[0].Held, At: time.Now()}})
-		if _, err := table.Reserve(usual); err == nil {
-			t.Error("a request goes over layers that were lost")
+		if _, err := table.Reserve(meanQuery); err == nil {
+			t.Error("a path uses layers that were lost")
 		}
 		table.SetLoads(map[incarnation.Key]Load{after[0].Key(): {Total: 1e6, Pace: 1, Held: before[0].Held, At: time.Now()}})
-		if _, err := table.Reserve(usual); err != nil {
-			t.Errorf("once it reports them itself: %v", err)
+		if _, err := table.Reserve(meanQuery); err != nil {
+			t.Errorf("reservation after the new incarnation reported its layers: %v", err)
 		}
 	})
 }
 
-// A replica reports a range that the model does not have. It is not searched, whose cuts lie
-// within the model.
+// A replica reports a range beyond the model's layers. The report must be ignored, because the
+// cuts of a search must lie within the model.
 func TestReportedRangeBeyondTheModelIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before, _ := restartedCards()
@@ -81,21 +83,21 @@
 		table.Update(testSpec(), before)
 		time.Sleep(2 * reportLag)
 		table.SetLoads(map[incarnation.Key]Load{before[0].Key(): {Total: 1e6, Pace: 1, Held: config.LayerRange{From: -5, To: 5000}, At: time.Now()}})
-		r, err := table.Reserve(usual)
+		r, err := table.Reserve(meanQuery)
 		if err != nil || !r.Path().Covers(80) {
 			t.Errorf("%v", err)
 		}
 	})
 }
 
-// The first card of a path starts again, empty, and gets the layers of a later stage that has
-// stopped. A stream whose connection to it has not broken yet must not be moved there: its
-// path would name one address twice, which engines refuse.
+// The first card of a path restarts empty and loads the layers of a later stage that has
+// stopped. A stream whose connection to the card is not broken yet must not be moved there:
+// its path would name one address twice, which engines refuse.
 func TestDetourNamesNoAddressTwice(t *testing.T) {
 	before, after := restartedCards()
 	table := NewTable()
 	table.Update(testSpec(), before)
-	reservation, err := table.Reserve(usual)
+	reservation, err := table.Reserve(meanQuery)
 	if err != nil {
 		t.Fatal(err)
 	}
