--- a/internal/drain/tracker.go
+++ b/internal/drain/tracker.go
@@ -16,7 +16,7 @@
 
 // Options configure a Tracker.
 type Options struct {
-	Source config.Source
+	ConfigSource config.Source
 	// OnChange, if not nil, is called with the new result whenever it differs; calls
 	// do not overlap.
 	OnChange func(map[string]Cause)
@@ -97,7 +97,7 @@
 // Leaving returns the targets of the present configuration that are to get no new
 // work, each with the reasons.
 func (t *Tracker) Leaving() map[string]Cause {
-	snapshot := t.options.Source.Current()
+	snapshot := t.options.ConfigSource.Current()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.forgetGone(snapshot)
--- a/internal/drain/tracker_test.go
+++ b/internal/drain/tracker_test.go
@@ -25,7 +25,7 @@
 
 func newBench() *bench {
 	b := &bench{source: config.NewStaticSource(config.NewSnapshot())}
-	b.tracker = New(Options{Source: b.source, OnChange: func(m map[string]Cause) { b.told = append(b.told, m) }})
+	b.tracker = New(Options{ConfigSource: b.source, OnChange: func(m map[string]Cause) { b.told = append(b.told, m) }})
 	b.operator(config.StateActive)
 	return b
 }
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -92,7 +92,7 @@
 
 func (n *Node) buildControl() {
 	s := n.settings
-	n.tracker = drain.New(drain.Options{Source: n.store, OnChange: n.onLeaving, Logger: n.logger})
+	n.tracker = drain.New(drain.Options{ConfigSource: n.store, OnChange: n.onLeaving, Logger: n.logger})
 	n.watcher = watch.New(watch.Options{
 		Source: n.store, Engines: n.wiring.Engines, Services: n.wiring.Services,
 		Sink: reports{n.balancer, n.tracker}, Watched: n.watched, Interval: s.Targets.ReportInterval,
--- a/internal/peer/fleet_test.go
+++ b/internal/peer/fleet_test.go
@@ -40,7 +40,7 @@
 	return f.startWith(name, store, nil, s)
 }
 
-func (f *fleet) startWith(name string, store *memoryStore, load LoadSink, s Settings) *testVM {
+func (f *fleet) startWith(name string, store *memoryStore, load LoadStore, s Settings) *testVM {
 	return f.launch(name, name, store, load, s)
 }
 
@@ -49,7 +49,7 @@
 	return f.launch(name, address, newMemoryStore(), nil, Settings{})
 }
 
-func (f *fleet) launch(name, address string, store ConfigStore, load LoadSink, s Settings) *testVM {
+func (f *fleet) launch(name, address string, store ConfigStore, load LoadStore, s Settings) *testVM {
 	vm := &testVM{name: name, store: store, done: make(chan struct{})}
 	vm.node = New(Options{
 		VM: name, DataCentre: "hall-a", Address: address, Seeds: []string{vmName(0), vmName(1)},
--- a/internal/peer/load.go
+++ b/internal/peer/load.go
@@ -19,7 +19,7 @@
 // loadExchange tells peers what this VM has in flight, each only what changed
 // since it last heard, and keeps what they tell.
 type loadExchange struct {
-	sink   LoadSink
+	sink   LoadStore
 	expiry time.Duration
 	names  *targetNames
 
@@ -46,7 +46,7 @@
 	seen uint64
 }
 
-func newLoadExchange(sink LoadSink, expiry time.Duration, source config.Source) *loadExchange {
+func newLoadExchange(sink LoadStore, expiry time.Duration, source config.Source) *loadExchange {
 	names := &targetNames{source: source}
 	return &loadExchange{sink: sink, expiry: expiry, names: names, own: map[string]loadEntry{}, peers: map[string]*peerLoad{}}
 }
--- a/internal/peer/load_test.go
+++ b/internal/peer/load_test.go
@@ -10,7 +10,7 @@
 	"geraniumcroft/internal/peer/peerpb"
 )
 
-// loadTable is a LoadSink.
+// loadTable is a LoadStore in memory.
 type loadTable struct {
 	mu    sync.Mutex
 	own   map[string]int
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -30,8 +30,8 @@
 	InstallSnapshot(snapshot *config.Snapshot) bool
 }
 
-// LoadSink gives what this VM has in flight and takes what its peers have.
-type LoadSink interface {
+// LoadStore holds the requests in flight of this VM and of its peers.
+type LoadStore interface {
 	// InFlight returns this VM's requests in flight by target.
 	InFlight() map[string]int
 	// PeerLoad takes all that a peer has in flight; nil when it is not known any more.
@@ -52,7 +52,7 @@
 	Seeds []string
 	Store ConfigStore
 	// Load is optional.
-	Load LoadSink
+	Load LoadStore
 	// SharesTargets reports whether a VM sends to the same targets as this one. In
 	// a fleet larger than the view, load is exchanged only with those.
 	SharesTargets func(vm string) bool
