--- a/internal/roster/members.go
+++ b/internal/roster/members.go
@@ -5,7 +5,7 @@
 	"geraniumcroft/internal/membership"
 )
 
-// Members is what the roster asks of membership.
+// Members is the view of membership that a Roster needs.
 type Members interface {
 	confstore.Confirmer
 	Members() []membership.Member
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -13,7 +13,7 @@
 	"geraniumcroft/internal/membership"
 )
 
-// knownMembers is a membership in which everyone known has everything in force.
+// knownMembers is a membership in which every member has every version in force.
 type knownMembers []membership.Member
 
 func (k knownMembers) InForce(uint64) (confirmed, missing []string) {
@@ -33,18 +33,18 @@
 	return New(table, vm, members, zap.NewNop())
 }
 
-// An operator's change is about to be answered as accepted. A VM that nobody knows
-// of yet has read the configuration before the change: it registered before, so it
-// is named as missing, also when the rows were read a moment ago for another
-// change. The first version trusted rows that were up to 200 ms old and accepted.
+// A change must not be accepted while a VM that membership does not know yet has the old
+// configuration. The VM registered before it read the configuration, so it has to be reported as
+// missing, even if the rows were scanned a moment ago for another change. A cache of the rows that
+// is trusted for 200 ms fails this test.
 func TestUnknownVMWithARowIsMissing(t *testing.T) {
-	Convey("Given a VM that accepts a change in an empty fleet", t, func() {
+	Convey("Given a VM that accepts a change in an otherwise empty fleet", t, func() {
 		table := platformsim.NewStore()
 		accepting := newRoster(table, "entry-1")
 		_, missing := accepting.InForce(1)
 		So(missing, ShouldBeEmpty)
 
-		Convey("a VM that registers a moment later is missing from the next change and from the older one", func() {
+		Convey("a VM that registers a moment later is missing for the next change and for the earlier one", func() {
 			So(newRoster(table, "entry-2").Register(t.Context()), ShouldBeNil)
 			_, missing := accepting.InForce(2)
 			So(missing, ShouldResemble, []string{"entry-2"})
@@ -54,11 +54,11 @@
 	})
 }
 
-// The store goes out between the commit and the reading of the rows. Nobody can
-// have read an older configuration from it since, so membership alone answers and
-// the operator is not kept waiting for the store.
-func TestStoreOutageLeavesTheAnswerToMembership(t *testing.T) {
-	Convey("Given a store that is out, membership alone says who has confirmed", t, func() {
+// The store becomes unavailable between the commit and the scan of the rows. No VM can have read an
+// older configuration from it since, so membership alone decides and the operator does not wait for
+// the store.
+func TestMembershipDecidesDuringStoreOutage(t *testing.T) {
+	Convey("Given a store that is unavailable, membership alone decides which VMs have confirmed", t, func() {
 		table := platformsim.NewStore()
 		accepting := newRoster(table, "entry-1", "entry-3")
 		table.Faults.Set(platformsim.Order{Outage: platformsim.OutageUnavailable})
@@ -68,9 +68,8 @@
 	})
 }
 
-// A VM died without deleting its row. It holds up operators' changes until the
-// sweep has seen it dead or unknown for long enough, and not longer; the rows of
-// VMs that serve stay.
+// A VM died without deleting its row. It must delay changes until sweeps have found it dead or
+// unknown for rowRetention, and no longer. The rows of VMs that serve must stay.
 func TestSweepDeletesRowsOfTheDeadAlone(t *testing.T) {
 	Convey("Given three VMs with rows, of which membership knows two", t, func() {
 		table := platformsim.NewStore()
@@ -79,35 +78,34 @@
 		}
 		sweeping := newRoster(table, "entry-1", "entry-3")
 		start := time.Now()
-		for after := time.Duration(0); after < forgetAfter; after += sweepGap {
+		for after := time.Duration(0); after < rowRetention; after += maxSweepGap {
 			So(sweeping.Sweep(t.Context(), start.Add(after)), ShouldBeNil)
 		}
 
-		Convey("the third one still holds up changes just before the bound", func() {
-			So(sweeping.Sweep(t.Context(), start.Add(forgetAfter-time.Second)), ShouldBeNil)
+		Convey("the unknown VM still delays changes just before the retention ends", func() {
+			So(sweeping.Sweep(t.Context(), start.Add(rowRetention-time.Second)), ShouldBeNil)
 			_, missing := sweeping.InForce(1)
 			So(missing, ShouldResemble, []string{"entry-2"})
 		})
 
-		Convey("its row alone is deleted at the bound", func() {
-			So(sweeping.Sweep(t.Context(), start.Add(forgetAfter)), ShouldBeNil)
+		Convey("only its row is deleted when the retention ends", func() {
+			So(sweeping.Sweep(t.Context(), start.Add(rowRetention)), ShouldBeNil)
 			rows, err := table.Scan(t.Context(), rowPrefix, rowEnd, scanLimit)
 			So(err, ShouldBeNil)
 			So(names(rows), ShouldResemble, []string{"entry-1", "entry-3"})
 		})
 
-		Convey("a doubt from before a pause of the sweep does not count", func() {
-			So(sweeping.Sweep(t.Context(), start.Add(2*forgetAfter)), ShouldBeNil)
+		Convey("what was seen before a long pause of the sweep does not count", func() {
+			So(sweeping.Sweep(t.Context(), start.Add(2*rowRetention)), ShouldBeNil)
 			_, missing := sweeping.InForce(1)
 			So(missing, ShouldResemble, []string{"entry-2"})
 		})
 	})
 }
 
-// A VM that runs has lost its row: it was cut off from its peers for longer than the
-// sweep waits. When it is cut off again, a change could be accepted without it while
-// it serves. It finds at its next poll that the row is gone, writes it again, and is
-// waited for as before.
+// A running VM lost its row, because it was cut off from its peers for longer than rowRetention. If
+// it is cut off again, a change could be accepted without it while it serves. At its next poll it
+// must find that the row is missing and write it again, so that changes wait for it as before.
 func TestVMWritesItsSweptRowAgain(t *testing.T) {
 	Convey("Given a VM whose row was deleted while it runs", t, func() {
 		table := platformsim.NewStore()
@@ -116,25 +114,24 @@
 		So(newRoster(table, "entry-2").Unregister(t.Context()), ShouldBeNil)
 		So(running.Ensure(t.Context()), ShouldBeNil)
 
-		Convey("a VM that stops leaves no row behind, also when it polls once more", func() {
+		Convey("a VM that stops leaves no row, even if it polls once more", func() {
 			So(running.Unregister(t.Context()), ShouldBeNil)
 			So(running.Ensure(t.Context()), ShouldBeNil)
 			_, missing := newRoster(table, "entry-1").InForce(1)
 			So(missing, ShouldBeEmpty)
 		})
 
-		Convey("another VM waits for it again", func() {
+		Convey("a change on another VM waits for it again", func() {
 			_, missing := newRoster(table, "entry-1").InForce(1)
 			So(missing, ShouldResemble, []string{"entry-2"})
 		})
 	})
 }
 
-// An operator drains a target and is told that it is in force, while a VM still
-// sends to it. The VM is cut off from its peers, which hold it dead, but neither from
-// callers nor from the table, and reads the drain there seconds later. While it has a
-// row it is missing until its next poll must have happened, and not longer: a VM that
-// did die may not hold up changes for good.
+// A drain must not be reported as in force while a VM still sends to the target. The VM is held
+// dead by its peers, but callers and the table still reach it, and it reads the drain from the
+// table seconds later. While it has a row, it must be missing until its next poll has taken place,
+// and no longer: a VM that did die must not delay changes for good.
 func TestVMCutOffFromItsPeersIsMissingUntilItsNextPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := platformsim.NewStore()
@@ -147,25 +144,24 @@
 			_, missing := accepting.InForce(version)
 			return slices.Equal(missing, []string{"entry-2"})
 		}
-		if !missingAfter(0, 1) || !missingAfter(unheardGrace-time.Second, 1) {
+		if !missingAfter(0, 1) || !missingAfter(deadVMGrace-time.Second, 1) {
 			t.Error("accepted before the VM's poll")
 		}
 		if !missingAfter(0, 2) {
-			t.Error("a newer change was accepted with the older one's reading")
+			t.Error("a newer change was accepted by the scan for the older one")
 		}
 		if missingAfter(time.Second, 1) {
-			t.Error("held up for longer than the VM's poll")
+			t.Error("delayed beyond the VM's poll")
 		}
-		if missingAfter(unheardGrace, 2) {
-			t.Error("the newer change was held up for longer than the VM's poll")
+		if missingAfter(deadVMGrace, 2) {
+			t.Error("the newer change was delayed beyond the VM's poll")
 		}
 	})
 }
 
-// A target that is to be reloaded takes no work for good, and an operator's change is
-// never in force. A VM wrote its row and died before this one knew of it; the rows
-// were read once for the change, and the row stayed in what this VM
-// remembered after the sweep had deleted it.
+// A VM wrote its row and died before the accepting VM knew of it. The accepting VM scanned the rows
+// once for the change and kept using the cached row after a sweep had deleted it. The change was
+// then never in force, and a target that was waiting for its reload got no work for good.
 func TestSweptRowHoldsNothingUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := platformsim.NewStore()
@@ -176,21 +172,21 @@
 		if _, missing := accepting.InForce(1); !slices.Equal(missing, []string{"entry-2"}) {
 			t.Errorf("missing before the sweep: %v", missing)
 		}
-		for _, after := range []time.Duration{0, sweepGap, forgetAfter} {
+		for _, after := range []time.Duration{0, maxSweepGap, rowRetention} {
 			if err := accepting.Sweep(t.Context(), time.Now().Add(after)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		time.Sleep(rereadEvery)
+		time.Sleep(rescanInterval)
 		if _, missing := accepting.InForce(1); len(missing) > 0 {
 			t.Errorf("missing after the sweep: %v", missing)
 		}
 	})
 }
 
-// The table goes out while a change waits for a VM that peers hold dead. The VM, cut
-// off with some of its peers, cannot poll and serves on under the older configuration:
-// the change is pending, however long the outage takes, and in force afterwards.
+// The table becomes unavailable while a change waits for a VM that its peers hold dead. The VM, cut
+// off together with some of its peers, cannot poll and keeps serving the older configuration. The
+// change must be pending for the whole outage and be in force afterwards.
 func TestOutageIsNoTimeToPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := platformsim.NewStore()
@@ -209,7 +205,7 @@
 		if _, missing := accepting.InForce(1); !slices.Equal(missing, []string{"entry-2"}) {
 			t.Error("accepted before the VM could poll again")
 		}
-		time.Sleep(unheardGrace)
+		time.Sleep(deadVMGrace)
 		if _, missing := accepting.InForce(1); len(missing) > 0 {
 			t.Error("still missing after the outage")
 		}
--- a/internal/roster/record.go
+++ b/internal/roster/row_value.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// record is the value of a row.
-type record struct {
+// rowValue is the value of a row, encoded as JSON.
+type rowValue struct {
 	VM    string    `json:"vm"`
 	Since time.Time `json:"since"`
 }
--- a/internal/roster/sweep.go
+++ b/internal/roster/sweep.go
@@ -8,14 +8,14 @@
 	"geraniumcroft/internal/platform"
 )
 
-// Sweep deletes rows of VMs that died without deleting their own. Only the holder
-// of the duty calls it.
+// Sweep deletes the rows of VMs that died without deleting their own. Only the VM that holds the
+// lease of the sweep duty calls it.
 func (r *Roster) Sweep(ctx context.Context, now time.Time) error {
 	rows, err := r.scan(ctx)
 	if err != nil {
 		return err
 	}
-	for _, row := range r.forgotten(rows, now) {
+	for _, row := range r.expired(rows, now) {
 		if err := r.commit(ctx, row, platform.Write{Key: row.Key, Delete: true}); err != nil {
 			return err
 		}
@@ -23,34 +23,34 @@
 	return nil
 }
 
-// forgotten returns the rows whose VMs have been in doubt for long enough.
-func (r *Roster) forgotten(rows []platform.Row, now time.Time) []platform.Row {
+// expired returns the rows whose VMs have been dead or unknown for rowRetention.
+func (r *Roster) expired(rows []platform.Row, now time.Time) []platform.Row {
 	serving := map[string]bool{r.vm: true}
 	for _, member := range r.members.Members() {
 		serving[member.Name] = member.MayServe()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.swept) > sweepGap {
-		clear(r.doubted)
+	if now.Sub(r.lastSweep) > maxSweepGap {
+		clear(r.notServingSince)
 	}
-	r.swept = now
-	doubted := map[string]time.Time{}
-	var forgotten []platform.Row
+	r.lastSweep = now
+	notServingSince := map[string]time.Time{}
+	var expired []platform.Row
 	for _, row := range rows {
 		name := strings.TrimPrefix(row.Key, rowPrefix)
 		if serving[name] {
 			continue
 		}
-		since, before := r.doubted[name]
-		if !before {
+		since, known := r.notServingSince[name]
+		if !known {
 			since = now
 		}
-		doubted[name] = since
-		if now.Sub(since) >= forgetAfter {
-			forgotten = append(forgotten, row)
+		notServingSince[name] = since
+		if now.Sub(since) >= rowRetention {
+			expired = append(expired, row)
 		}
 	}
-	r.doubted = doubted
-	return forgotten
+	r.notServingSince = notServingSince
+	return expired
 }
