--- a/internal/drain/addresses.go
+++ b/internal/drain/addresses.go
@@ -6,9 +6,10 @@
 	"geraniumcroft/internal/platform"
 )
 
-// leavingAddresses returns the addresses whose newest entry is leaving. An address
-// can be listed twice while it passes from a machine that went to a new one; the
-// entry that the platform learned of last is the machine that has it now.
+// leavingAddresses returns the addresses whose newest entry is leaving. An address can be listed
+// twice while it passes from a machine that is gone to a new one. The entry that the platform
+// learned of last belongs to the machine that has the address now. Entries whose address cannot be
+// parsed are ignored.
 func leavingAddresses(vms []platform.VM) map[netip.Addr]bool {
 	newest := map[netip.Addr]platform.VM{}
 	for _, vm := range vms {
@@ -31,8 +32,8 @@
 	return leaving
 }
 
-// supersedes: of two entries as old as each other the leaving one counts, as that
-// error only costs a detour.
+// supersedes reports whether vm replaces known as the entry of an address. If both are equally old,
+// the leaving one counts, since that error only makes work go to another target.
 func supersedes(vm, known platform.VM) bool {
 	if vm.Since.Equal(known.Since) {
 		return vm.Leaving
--- a/internal/drain/cause.go
+++ b/internal/drain/cause.go
@@ -2,16 +2,16 @@
 
 import "strings"
 
-// Cause is a set of the reasons for which a target is leaving.
+// Cause is a set of reasons why a target is leaving.
 type Cause uint8
 
-// The reasons.
+// The reasons of a Cause.
 const (
-	// CauseOperator: the target's entry says draining.
+	// CauseOperator means that the target's entry in the configuration is set to draining.
 	CauseOperator Cause = 1 << iota
-	// CauseVMList: the platform lists the target's machine as leaving.
+	// CauseVMList means that the platform lists the target's machine as leaving.
 	CauseVMList
-	// CauseReport: the target's newest load report says leaving.
+	// CauseReport means that the target's newest load report says that it is leaving.
 	CauseReport
 )
 
@@ -24,10 +24,10 @@
 	{CauseReport, "report"},
 }
 
-// Has reports whether the reason is in the set.
+// Has reports whether c contains the reason.
 func (c Cause) Has(reason Cause) bool { return c&reason != 0 }
 
-// String returns the reasons joined by "+".
+// String returns the names of the reasons, joined by "+".
 func (c Cause) String() string {
 	var names []string
 	for _, known := range causeNames {
@@ -38,5 +38,5 @@
 	return strings.Join(names, "+")
 }
 
-// MarshalText implements encoding.TextMarshaler.
+// MarshalText implements encoding.TextMarshaler. It returns the same text as String.
 func (c Cause) MarshalText() ([]byte, error) { return []byte(c.String()), nil }
--- a/internal/drain/tracker.go
+++ b/internal/drain/tracker.go
@@ -16,28 +16,31 @@
 
 // Options configure a Tracker.
 type Options struct {
+	// ConfigSource provides the configuration with the targets and their states.
 	ConfigSource config.Source
-	// OnChange, if not nil, is called with the new result whenever it differs; calls
-	// do not overlap.
+	// OnChange, if not nil, is called with the new result of Leaving whenever the result has
+	// changed. Calls do not overlap.
 	OnChange func(map[string]Cause)
-	// Logger may be nil.
+	// Logger may be nil, which discards all messages.
 	Logger *zap.Logger
 }
 
-// Tracker knows which targets are leaving. It is safe for concurrent use.
+// Tracker tracks which targets are leaving and why. It is safe for concurrent use.
 type Tracker struct {
 	options Options
 
 	mu sync.Mutex // guards the fields below
 	// leaving holds the addresses of the machines that the list shows as leaving.
-	leaving  map[netip.Addr]bool
+	leaving map[netip.Addr]bool
+	// reported holds the targets whose newest load report says that they are leaving.
 	reported map[string]bool
 
-	notifying sync.Mutex // guards last and orders the calls of OnChange
-	last      map[string]Cause
+	notifyMu sync.Mutex // guards last and serializes the calls of OnChange
+	// last is the result of the previous Refresh.
+	last map[string]Cause
 }
 
-// New returns a tracker.
+// New returns a Tracker that knows neither a VM list nor a load report yet.
 func New(o Options) *Tracker {
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
@@ -45,15 +48,15 @@
 	return &Tracker{options: o, leaving: map[netip.Addr]bool{}, reported: map[string]bool{}}
 }
 
-// Run reads the platform's list at an interval until ctx ends, and looks at the
-// configuration as often.
-func (t *Tracker) Run(ctx context.Context, list platform.VMList, every time.Duration) {
+// Run reads the platform's list and the configuration once per interval until ctx ends. The
+// interval also bounds each read of the list.
+func (t *Tracker) Run(ctx context.Context, list platform.VMList, interval time.Duration) {
 	for {
-		t.poll(ctx, list, every)
+		t.poll(ctx, list, interval)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 	}
 }
@@ -63,14 +66,14 @@
 	defer cancel()
 	vms, err := list.VMs(ctx)
 	if err != nil {
-		t.options.Logger.Debug("VM list cannot be read, the last one stands", zap.Error(err))
+		t.options.Logger.Debug("VM list cannot be read, its last content is used", zap.Error(err))
 		t.Refresh()
 		return
 	}
 	t.SetVMs(vms)
 }
 
-// SetVMs takes in the platform's list.
+// SetVMs replaces the platform's list and refreshes the result.
 func (t *Tracker) SetVMs(vms []platform.VM) {
 	leaving := leavingAddresses(vms)
 	t.mu.Lock()
@@ -79,28 +82,28 @@
 	t.Refresh()
 }
 
-// Report takes in a load report of a target. The newest one counts.
+// Report records a load report of a target. Only the newest report of each target counts.
 func (t *Tracker) Report(target string, r engine.LoadReport) {
 	t.mu.Lock()
-	same := t.reported[target] == r.Leaving
+	unchanged := t.reported[target] == r.Leaving
 	if r.Leaving {
 		t.reported[target] = true
 	} else {
 		delete(t.reported, target)
 	}
 	t.mu.Unlock()
-	if !same {
+	if !unchanged {
 		t.Refresh()
 	}
 }
 
-// Leaving returns the targets of the present configuration that are to get no new
-// work, each with the reasons.
+// Leaving returns the targets of the current configuration that must get no new work, each with its
+// reasons.
 func (t *Tracker) Leaving() map[string]Cause {
 	snapshot := t.options.ConfigSource.Current()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forgetGone(snapshot)
+	t.dropRemovedTargets(snapshot)
 	result := map[string]Cause{}
 	for name, target := range snapshot.Targets {
 		if cause := t.causeOf(target); cause != 0 {
@@ -110,6 +113,7 @@
 	return result
 }
 
+// causeOf returns the reasons why a target is leaving, 0 if there are none. The caller holds t.mu.
 func (t *Tracker) causeOf(target *config.Target) Cause {
 	var cause Cause
 	if target.State == config.StateDraining {
@@ -124,8 +128,9 @@
 	return cause
 }
 
-// forgetGone bounds the reports kept by the targets that are configured.
-func (t *Tracker) forgetGone(snapshot *config.Snapshot) {
+// dropRemovedTargets deletes the reports of targets that are not in the configuration, which bounds
+// their number. The caller holds t.mu.
+func (t *Tracker) dropRemovedTargets(snapshot *config.Snapshot) {
 	for name := range t.reported {
 		if _, ok := snapshot.Targets[name]; !ok {
 			delete(t.reported, name)
@@ -133,11 +138,11 @@
 	}
 }
 
-// Refresh calls OnChange if the result differs from the last one. It is to be
-// called when a new snapshot is applied.
+// Refresh computes the result again and calls OnChange if it has changed. It must be called
+// whenever a new configuration snapshot is applied.
 func (t *Tracker) Refresh() {
-	t.notifying.Lock()
-	defer t.notifying.Unlock()
+	t.notifyMu.Lock()
+	defer t.notifyMu.Unlock()
 	now := t.Leaving()
 	if t.last != nil && maps.Equal(now, t.last) {
 		return
@@ -148,5 +153,5 @@
 	}
 }
 
-// Dump returns the targets that are leaving, with the reasons.
+// Dump returns the result of Leaving, for the state dump.
 func (t *Tracker) Dump() any { return t.Leaving() }
