--- a/internal/node/announcing_store.go
+++ b/internal/node/announcing_store.go
@@ -8,8 +8,8 @@
 	"geraniumcroft/internal/peer"
 )
 
-// announcingStore pushes each accepted change to the peers at once, so that it
-// reaches every VM even if the store goes out right after the commit.
+// announcingStore pushes each accepted change to the peers immediately, so that it reaches every VM
+// even if the store becomes unavailable right after the commit.
 type announcingStore struct {
 	*confstore.Store
 	peers *peer.Node
@@ -25,8 +25,8 @@
 	return change, err
 }
 
-// announce pushes all that this VM learned with the proposal, for a proposal that
-// followed another VM's change has applied that one as well.
+// announce pushes all changes after the given version. A proposal that followed another VM's change
+// has applied that change as well, so both are pushed.
 func (s announcingStore) announce(after uint64) {
 	changes, ok := s.ChangesAfter(after, maxAnnounced)
 	if ok && len(changes) > 0 {
@@ -34,11 +34,11 @@
 	}
 }
 
-// maxAnnounced bounds the changes in one push; anti-entropy carries the rest.
+// maxAnnounced bounds the changes of one push. Anti-entropy transfers the rest.
 const maxAnnounced = 64
 
-// Change proposes a change on this VM and waits until it is in force on every VM
-// that may serve, as the admin API does.
+// Change proposes a change on this VM and, like the admin API, waits until it is in force on every
+// VM that may serve.
 func (n *Node) Change(ctx context.Context, p confstore.Proposal) (confstore.Acceptance, error) {
 	change, err := announcingStore{n.store, n.peers}.Propose(ctx, p)
 	if err != nil {
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -26,17 +26,18 @@
 	"geraniumcroft/internal/watch"
 )
 
-// The duties that are won by lease.
+// The duties that only the VM with the duty's lease carries out.
 const (
 	dutySweep   = "sweep"
 	dutyCompact = "compact"
 )
 
+// duties are the names of all duties.
 var duties = []string{orders.Duty, dutySweep, dutyCompact}
 
 func (n *Node) buildPlatform() {
 	s := n.settings.Platform
-	// The settings name the fleet's budget; followVMList divides it by the VMs.
+	// The settings hold the budget of the whole fleet. updateShares divides it by the number of VMs.
 	budget := resilient.Settings{WritesPerSecond: s.WritesPerSecond, ReadsPerSecond: s.ReadsPerSecond, AttemptTimeout: s.Timeout}
 	n.platform = resilient.New(n.wiring.Table, n.wiring.Objects, n.wiring.VMList, budget)
 	n.store = confstore.New(confstore.Options{
@@ -73,8 +74,8 @@
 	return s
 }
 
-// countResult counts what says something about the target: neither a caller that
-// went away nor a target without a free slot does.
+// countResult counts the results that say something about the target. A caller that disconnected
+// and a target without a free slot do not.
 func (n *Node) countResult(target string, r balance.Result) {
 	switch r {
 	case balance.ResultOK:
@@ -95,7 +96,7 @@
 	n.tracker = drain.New(drain.Options{ConfigSource: n.store, OnChange: n.onLeaving, Logger: n.logger})
 	n.watcher = watch.New(watch.Options{
 		Source: n.store, Engines: n.wiring.Engines, Services: n.wiring.Services,
-		Sink: reports{n.balancer, n.tracker}, Watched: n.watched, Interval: s.Targets.ReportInterval,
+		Sink: reportSink{n.balancer, n.tracker}, Watched: n.isWatched, Interval: s.Targets.ReportInterval,
 	})
 	n.peers = peer.New(peer.Options{
 		VM: s.VM.Name, DataCentre: s.VM.DataCentre, Address: n.PeerAddress(), Seeds: s.Peers.Seeds,
@@ -119,9 +120,9 @@
 	n.store.Subscribe(n.onConfig)
 }
 
-// watched reports whether this VM sends to the target: it is outside the VM's
-// subset at most at fleet size.
-func (n *Node) watched(target string) bool {
+// isWatched reports whether this VM sends requests to the target. A target can be outside the VM's
+// subset only in a large fleet.
+func (n *Node) isWatched(target string) bool {
 	_, reason := n.balancer.Usable(target)
 	return reason != balance.ReasonOutsideSubset
 }
@@ -133,6 +134,7 @@
 	n.tracker.Refresh()
 }
 
+// onLeaving passes the targets that are leaving to the balancer.
 func (n *Node) onLeaving(causes map[string]drain.Cause) {
 	leaving := make(map[string]bool, len(causes))
 	for name := range causes {
@@ -162,7 +164,8 @@
 	return nil
 }
 
-// callersListen is nil over TCP, where the API counts connections itself.
+// callersListen returns the function that opens the listener of callers. It is nil for TCP, in
+// which case the API opens the listener and limits the connections itself.
 func (n *Node) callersListen() func(string) (net.Listener, error) {
 	if n.options.Wiring == nil {
 		return nil
@@ -170,8 +173,8 @@
 	return n.wiring.Listen
 }
 
-// withMetrics serves the metrics beside the admin API. They name workspaces and
-// targets and hold no secret, so a scraper needs no token.
+// withMetrics serves the metrics next to the admin API. They name workspaces and targets but
+// contain no secret, so a scraper needs no token.
 func (n *Node) withMetrics(admin http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", n.metrics.Handler())
@@ -179,6 +182,7 @@
 	return mux
 }
 
+// onRefused counts and logs a request that the API has refused before it reached the router.
 func (n *Node) onRefused(requestID, profile string, f *outcome.Failure) {
 	n.recorder.InputRefused(f.Reason)
 	telemetry.LogEnd(n.logger, telemetry.RequestEnd{
@@ -186,5 +190,5 @@
 	})
 }
 
-// TargetLeaving reports whether this VM knows that the target is about to go.
+// TargetLeaving reports whether this VM knows that the target is leaving.
 func (n *Node) TargetLeaving(target string) bool { return n.tracker.Leaving()[target] != 0 }
--- a/internal/node/dump.go
+++ b/internal/node/dump.go
@@ -7,7 +7,7 @@
 	"geraniumcroft/internal/router"
 )
 
-// Dump is the state of one process on request.
+// Dump is the state of one process, encoded as JSON.
 type Dump struct {
 	VM            string                    `json:"vm"`
 	DataCentre    string                    `json:"dataCentre"`
@@ -26,12 +26,13 @@
 	Orders        any                       `json:"orders"`
 	Leaving       any                       `json:"leavingTargets"`
 	Invariants    invariant.Report          `json:"invariants"`
-	// LogLinesDropped counts lines that a stalled log writer lost.
+	// LogLinesDropped is the number of log lines that were lost because the writer of the log was
+	// stalled.
 	LogLinesDropped uint64 `json:"logLinesDropped"`
 }
 
-// Dump returns the process's state. Every part answers from memory under short
-// locks, so it answers while requests are stuck or the store is out.
+// Dump returns the state of the process. Every part reports its state from memory and holds its
+// locks only briefly, so Dump returns even while requests are stuck or the store is unavailable.
 func (n *Node) Dump() any {
 	return Dump{
 		VM:            n.settings.VM.Name,
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -8,15 +8,15 @@
 
 const gaugeInterval = 5 * time.Second
 
-// setGauges keeps the metrics of states, which no event counts, up to date.
-func (n *Node) setGauges() {
+// updateGauges keeps the gauges of current state up to date, which no event changes.
+func (n *Node) updateGauges() {
 	for n.ctx.Err() == nil {
-		n.setGaugesOnce()
+		n.updateGaugesOnce()
 		sleep.For(n.ctx, gaugeInterval)
 	}
 }
 
-func (n *Node) setGaugesOnce() {
+func (n *Node) updateGaugesOnce() {
 	held := 0
 	for _, duty := range duties {
 		if _, ok := n.leases.Held(duty); ok {
@@ -24,11 +24,11 @@
 		}
 	}
 	gauges := map[string]float64{
-		"ready":             asGauge(n.gate.Ready()),
+		"ready":             boolGauge(n.gate.Ready()),
 		"requests_in_hand":  float64(n.router.InHand()),
 		"config_version":    float64(n.store.InForceVersion()),
 		"peers_serving":     float64(n.peers.PeerCount()),
-		"platform_healthy":  asGauge(n.platform.Healthy()),
+		"platform_healthy":  boolGauge(n.platform.Healthy()),
 		"leases_held":       float64(held),
 		"log_lines_dropped": float64(n.logDropped()),
 	}
@@ -37,7 +37,7 @@
 	}
 }
 
-func asGauge(condition bool) float64 {
+func boolGauge(condition bool) float64 {
 	if condition {
 		return 1
 	}
--- a/internal/node/isolation.go
+++ b/internal/node/isolation.go
@@ -8,99 +8,107 @@
 )
 
 const (
-	isolationCheck = 250 * time.Millisecond
-	// isolationBound is how long a VM is cut off before it refuses. Peers count as
-	// unreachable only after peer.DefaultReachableBound, 3 s; with this and one
-	// probe of the store it is 4 s, and peers hold a silent VM dead after more than
-	// 5 s. Until then a change waits for this VM's confirmation; after it this VM
-	// takes no requests, so nobody needs the confirmation.
-	isolationBound = 500 * time.Millisecond
-	// storeProbeEvery spaces the probes, for in a partition all VMs send them.
-	storeProbeEvery   = time.Second
-	storeProbeTimeout = 500 * time.Millisecond
+	isolationCheckInterval = 250 * time.Millisecond
+	// isolationTimeout is how long a VM must be cut off before it refuses requests. Peers count as
+	// unreachable only after peer.DefaultReachableBound, 3 s. Together with this timeout and one
+	// probe of the store that makes 4 s, while peers hold a silent VM dead after more than 5 s.
+	// Until then a change waits for this VM's confirmation; afterwards this VM takes no requests,
+	// so its confirmation is not needed.
+	isolationTimeout = 500 * time.Millisecond
+	// storeProbeInterval is the least time between two probes, because in a partition all VMs send
+	// them.
+	storeProbeInterval = time.Second
+	storeProbeTimeout  = 500 * time.Millisecond
 )
 
-// reach is what a VM must reach one of to know the configuration in force.
-type reach struct {
+// connectivity reports what this VM can reach. A VM that has peers must reach the store or a peer
+// to know the configuration in force.
+type connectivity struct {
 	storeReachable func() bool
 	hasPeers       func() bool
 	peerReachable  func() bool
 }
 
-func (r reach) cutOff() bool {
-	return r.hasPeers() && !r.peerReachable() && !r.storeReachable()
+// cutOff reports whether there are peers, but neither a peer nor the store can be reached.
+func (c connectivity) cutOff() bool {
+	return c.hasPeers() && !c.peerReachable() && !c.storeReachable()
 }
 
-// storeProbe reads the newest configuration from the table. It is asked only while
-// no peer answers: the others may then hold this VM dead and accept changes
-// without it, which it has to learn from the table, and the circuit breaker alone
-// would tell too late that the table is out as well.
+// storeProbe tests whether the store is reachable by reading the newest configuration from the
+// table. It is used only while no peer answers. The peers may then hold this VM dead and accept
+// changes without it, which it has to read from the table. The circuit breaker alone would report
+// too late that the table is unavailable as well.
 type storeProbe struct {
-	poll  func(context.Context) error
-	asked time.Time
-	ok    bool
+	poll func(context.Context) error
+	// probedAt is when the last probe ended, and ok its result.
+	probedAt time.Time
+	ok       bool
 }
 
+// reachable returns the result of the last probe, or of a new one if storeProbeInterval has passed.
 func (p *storeProbe) reachable() bool {
-	if time.Since(p.asked) < storeProbeEvery {
+	if time.Since(p.probedAt) < storeProbeInterval {
 		return p.ok
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), storeProbeTimeout)
 	defer cancel()
 	err := p.poll(ctx)
-	p.asked, p.ok = time.Now(), err == nil
+	p.probedAt, p.ok = time.Now(), err == nil
 	return p.ok
 }
 
-// freshness keeps the gate's proof that this VM has the configuration in force.
-type freshness struct {
-	reach reach
-	gate  *router.Gate
-	// catchUp reads the newest configuration that store or peers can give.
+// isolationMonitor confirms to the gate, for as long as that is known, that this VM has the
+// configuration in force.
+type isolationMonitor struct {
+	connectivity connectivity
+	gate         *router.Gate
+	// catchUp reads the newest configuration from the store and peers, and reports whether one of
+	// them answered.
 	catchUp func() bool
-	// resumed is called when the gate opens again.
-	resumed func()
+	// onResume is called when the gate opens again.
+	onResume func()
 
+	// cutOffSince is the zero time while this VM is not cut off.
 	cutOffSince time.Time
 }
 
-// run checks until the context ends.
-func (f *freshness) run(ctx context.Context) {
+// run calls check periodically until ctx ends.
+func (m *isolationMonitor) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(isolationCheck):
-			f.check(time.Now())
+		case <-time.After(isolationCheckInterval):
+			m.check(time.Now())
 		}
 	}
 }
 
-// check closes the gate once this VM has been cut off from the store and all peers
-// for the bound. After that, or after a pause of the whole VM, others may have
-// accepted changes without it, so the gate opens only once it has caught up.
-func (f *freshness) check(now time.Time) {
-	f.noteReach(now)
-	isolated := !f.cutOffSince.IsZero() && now.Sub(f.cutOffSince) >= isolationBound
-	f.gate.SetIsolated(isolated)
+// check closes the gate once this VM has been cut off from the store and all peers for
+// isolationTimeout. After that, or after the whole VM was paused, other VMs may have accepted
+// changes without it, so the gate opens only once this VM has caught up.
+func (m *isolationMonitor) check(now time.Time) {
+	m.updateCutOffSince(now)
+	isolated := !m.cutOffSince.IsZero() && now.Sub(m.cutOffSince) >= isolationTimeout
+	m.gate.SetIsolated(isolated)
 	if isolated {
 		return
 	}
-	if !f.gate.Stale() {
-		f.gate.Prove()
+	if !m.gate.Stale() {
+		m.gate.Prove()
 		return
 	}
-	if f.catchUp() {
-		f.gate.Prove()
-		f.resumed()
+	if m.catchUp() {
+		m.gate.Prove()
+		m.onResume()
 	}
 }
 
-func (f *freshness) noteReach(now time.Time) {
+func (m *isolationMonitor) updateCutOffSince(now time.Time) {
 	switch {
-	case !f.reach.cutOff():
-		f.cutOffSince = time.Time{}
-	case f.cutOffSince.IsZero():
-		f.cutOffSince = now
+	case !m.connectivity.cutOff():
+		m.cutOffSince = time.Time{}
+	case m.cutOffSince.IsZero():
+		m.cutOffSince = now
 	}
 }
--- a/internal/node/isolation_test.go
+++ b/internal/node/isolation_test.go
@@ -10,88 +10,86 @@
 	"geraniumcroft/internal/router"
 )
 
-// A VM is cut off from the store and from every peer. Its callers are served for
-// the bound, while a change still waits for this VM's confirmation, and are then
-// refused as not run; the balancer sees it unready. Once one of them is back, it
-// serves again.
+// A VM that is cut off from the store and from every peer must serve its callers until
+// isolationTimeout, because changes still wait for its confirmation. Then it must refuse them as
+// not executed and be unready for the balancer. Once the store is back it must serve again.
 func TestCutOffVMRefusesAfterTheBound(t *testing.T) {
-	rows := []struct {
-		shows          string
-		store, peers   bool
-		hasPeers       bool
-		refusedByBound bool
+	cases := []struct {
+		name         string
+		store, peers bool
+		hasPeers     bool
+		wantRefused  bool
 	}{
 		{"the store alone is enough", true, false, true, false},
-		{"peers alone are enough, however long the store is out", false, true, true, false},
-		{"neither: refuse", false, false, true, true},
-		{"a fleet of one has nobody who could change anything", false, false, false, false},
+		{"peers alone are enough, however long the store is unavailable", false, true, true, false},
+		{"cut off from both", false, false, true, true},
+		{"a fleet of one: no other VM can accept a change", false, false, false, false},
 	}
-	for _, row := range rows {
-		t.Run(row.shows, func(t *testing.T) {
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				var back atomic.Bool
+				var storeBack atomic.Bool
 				gate := &router.Gate{}
 				gate.SetLoaded()
-				caughtUp := 0
-				watch := &freshness{gate: gate, resumed: func() {}, catchUp: func() bool { caughtUp++; return true }, reach: reach{
-					storeReachable: func() bool { return row.store || back.Load() },
-					hasPeers:       func() bool { return row.hasPeers },
-					peerReachable:  func() bool { return row.peers },
+				catchUps := 0
+				monitor := &isolationMonitor{gate: gate, onResume: func() {}, catchUp: func() bool { catchUps++; return true }, connectivity: connectivity{
+					storeReachable: func() bool { return c.store || storeBack.Load() },
+					hasPeers:       func() bool { return c.hasPeers },
+					peerReachable:  func() bool { return c.peers },
 				}}
-				go watch.run(ctx)
-				time.Sleep(isolationCheck)
+				go monitor.run(ctx)
+				time.Sleep(isolationCheckInterval)
 				synctest.Wait()
 				if !gate.Ready() {
-					t.Error("refused before the bound")
+					t.Error("refused before the timeout")
 				}
 				time.Sleep(time.Hour)
 				synctest.Wait()
-				if refused := gate.Check() != nil; refused != row.refusedByBound {
-					t.Errorf("refused %t after the bound", refused)
+				if refused := gate.Check() != nil; refused != c.wantRefused {
+					t.Errorf("refused is %t after the timeout", refused)
 				}
-				back.Store(true)
-				time.Sleep(2 * isolationCheck)
+				storeBack.Store(true)
+				time.Sleep(2 * isolationCheckInterval)
 				synctest.Wait()
 				if gate.Check() != nil {
 					t.Error("refused although the store is back")
 				}
-				if row.refusedByBound != (caughtUp > 0) {
-					t.Errorf("caught up %d times", caughtUp)
+				if c.wantRefused != (catchUps > 0) {
+					t.Errorf("catchUp was called %d times", catchUps)
 				}
 			})
 		})
 	}
 }
 
-// A VM is frozen for a minute and wakes. Its peers held it dead meanwhile and a
-// target was drained without it. The first caller after the freeze is refused as
-// not run, and so is everyone until the VM has caught up; what waited in its queue
-// goes on then. Without this the first second after the freeze is served by what
-// was in force before it.
+// A VM is paused for a minute. Meanwhile its peers held it dead and a target was drained without
+// it. After the pause it must refuse every request as not executed, the first one included, until
+// it has caught up; then requests in its queue continue. Otherwise it would serve the configuration
+// from before the pause for about a second.
 func TestVMThatWakesCatchesUpFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate := &router.Gate{}
 		gate.SetLoaded()
 		reachable, resumed := false, 0
-		watch := &freshness{gate: gate, resumed: func() { resumed++ }, catchUp: func() bool { return reachable }, reach: reach{
+		monitor := &isolationMonitor{gate: gate, onResume: func() { resumed++ }, catchUp: func() bool { return reachable }, connectivity: connectivity{
 			storeReachable: func() bool { return true }, hasPeers: func() bool { return true }, peerReachable: func() bool { return true },
 		}}
-		watch.check(time.Now())
+		monitor.check(time.Now())
 		if gate.Check() != nil {
-			t.Fatal("refused while it runs")
+			t.Fatal("refused before the pause")
 		}
 		time.Sleep(time.Minute) // nothing runs meanwhile
 		if failure := gate.Check(); failure == nil || gate.Ready() {
-			t.Error("served right after the freeze")
+			t.Error("served right after the pause")
 		}
-		watch.check(time.Now())
+		monitor.check(time.Now())
 		if gate.Check() == nil || resumed != 0 {
 			t.Error("served before it caught up")
 		}
 		reachable = true
-		watch.check(time.Now())
+		monitor.check(time.Now())
 		if gate.Check() != nil || resumed != 1 {
 			t.Errorf("refused after it caught up, resumed %d times", resumed)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,7 +32,7 @@
 	"geraniumcroft/internal/watch"
 )
 
-// Node is one VM's process. Start it once and Stop it once.
+// Node is the process of one VM. Start and Stop must each be called once.
 type Node struct {
 	settings   *settings.Settings
 	options    Options
@@ -71,15 +71,15 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	work   sync.WaitGroup
-	// duties are what this VM does under leases; they end before the leases go back.
+	// duties counts the goroutines that act under leases. They end before the leases are released.
 	duties     sync.WaitGroup
 	dutiesCtx  context.Context
 	stopDuties context.CancelFunc
 	ready      chan struct{}
 }
 
-// New builds a node and opens the listeners of peers and operators, so that
-// their addresses are known. Nothing runs until Start.
+// New builds a node and opens the listeners for peers and operators, so that their addresses are
+// known. Nothing runs until Start.
 func New(o Options) (*Node, error) {
 	n := &Node{options: o, settings: o.Settings, version: o.Version, started: time.Now(), ready: make(chan struct{})}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
@@ -100,6 +100,7 @@
 	return n, n.buildServers()
 }
 
+// openLog sets the logger from the options, or opens one by the settings.
 func (n *Node) openLog() error {
 	if n.options.Logger != nil {
 		n.logger, n.closeLog = n.options.Logger, func() error { return nil }
@@ -119,6 +120,7 @@
 	return nil
 }
 
+// onViolation counts and logs a violated invariant.
 func (n *Node) onViolation(v invariant.Violation) {
 	n.recorder.Violation(v.Name)
 	n.logger.Error("invariant violated", zap.String("invariant", string(v.Name)), zap.String("detail", v.Detail))
@@ -127,52 +129,55 @@
 	}
 }
 
+// listen opens the listeners for peers and operators.
 func (n *Node) listen() error {
 	peers, err := n.wiring.Listen(n.settings.Peers.Address)
 	if err != nil {
-		return errors.Wrap(err, "peers' listener")
+		return errors.Wrap(err, "listen for peers")
 	}
 	admin, err := n.wiring.Listen(n.settings.Admin.Address)
 	if err != nil {
 		_ = peers.Close()
-		return errors.Wrap(err, "operators' listener")
+		return errors.Wrap(err, "listen for operators")
 	}
-	n.peerListener, n.adminListener = peers, secured(admin, n.options.AdminTLS)
+	n.peerListener, n.adminListener = peers, withTLS(admin, n.options.AdminTLS)
 	return nil
 }
 
-func secured(lis net.Listener, config *tls.Config) net.Listener {
+// withTLS wraps the listener with TLS unless config is nil.
+func withTLS(lis net.Listener, config *tls.Config) net.Listener {
 	if config == nil {
 		return lis
 	}
 	return tls.NewListener(lis, config)
 }
 
-// Router returns the request path, for calls within the process.
+// Router returns the request path, for calls from within the process.
 func (n *Node) Router() *router.Router { return n.router }
 
-// Store returns the configuration's store.
+// Store returns the configuration store.
 func (n *Node) Store() *confstore.Store { return n.store }
 
-// Peers returns this VM's end of the connections to its peers.
+// Peers returns this VM's side of the peer protocol.
 func (n *Node) Peers() *peer.Node { return n.peers }
 
-// Leases returns this VM's leases.
+// Leases returns the manager of this VM's leases.
 func (n *Node) Leases() *lease.Manager { return n.leases }
 
-// Invariants returns the registry of violations.
+// Invariants returns the registry of invariants and their violations.
 func (n *Node) Invariants() *invariant.Registry { return n.invariants }
 
-// CallersAddress returns IP:port of the callers' listener once Start returned.
+// CallersAddress returns the IP:port of the listener for callers. It is known once Start has
+// returned.
 func (n *Node) CallersAddress() string { return n.callersAddr }
 
-// AdminAddress returns IP:port of the operators' listener.
+// AdminAddress returns the IP:port of the listener for operators.
 func (n *Node) AdminAddress() string { return n.adminListener.Addr().String() }
 
-// PeerAddress returns IP:port of the peers' listener.
+// PeerAddress returns the IP:port of the listener for peers.
 func (n *Node) PeerAddress() string { return n.peerListener.Addr().String() }
 
-// Ready is closed once the configuration in force was read.
+// Ready returns a channel that is closed once the configuration in force has been read.
 func (n *Node) Ready() <-chan struct{} { return n.ready }
 
 func (n *Node) dispatchSettings() dispatch.Settings {
--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -7,7 +7,7 @@
 	"geraniumcroft/internal/telemetry"
 )
 
-// observer passes what the router measures on to the metrics and the log.
+// observer records the router's measurements in the metrics and the log.
 type observer struct {
 	*telemetry.Recorder
 	logger *zap.Logger
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -14,31 +14,31 @@
 	"geraniumcroft/internal/settings"
 )
 
-// Options are what a Node is made from.
+// Options configure a Node.
 type Options struct {
 	Settings *settings.Settings
 	Version  string
-	// LogOut takes the log's lines; nil discards them.
+	// LogOut receives the lines of the log; nil discards them.
 	LogOut io.Writer
-	// Authenticator knows the operators' tokens.
+	// Authenticator verifies the operators' tokens.
 	Authenticator adminapi.Authenticator
-	// CallersTLS, AdminTLS and PeersTLS are nil for plain connections.
+	// CallersTLS, AdminTLS and PeersTLS configure the listeners; nil means connections without TLS.
 	CallersTLS *tls.Config
 	AdminTLS   *tls.Config
 	PeersTLS   *tls.Config
-	// PlatformTLS is for the platform's services over https; nil takes the system's
-	// authorities.
+	// PlatformTLS is for https connections to the platform's services; nil uses the system's
+	// certificate authorities.
 	PlatformTLS *tls.Config
-	// PeersClientTLS is for connections to peers, nil for plain ones.
+	// PeersClientTLS is for connections to peers; nil means connections without TLS.
 	PeersClientTLS peer.ClientTLS
-	// Dispatch and Generation take their defaults where they are zero.
+	// Dispatch and Generation use their defaults where they are zero.
 	Dispatch   dispatch.Settings
 	Generation generation.Settings
-	// OnViolation, when not nil, is called on each violated invariant besides the
-	// log and the metrics; tests make it fatal.
+	// OnViolation, if not nil, is called on each violation of an invariant, in addition to the log
+	// and the metrics. Tests fail on it.
 	OnViolation func(invariant.Violation)
-	// Wiring replaces TCP and HTTP, for tests; nil leaves them.
+	// Wiring replaces TCP and HTTP, for tests; nil uses the network.
 	Wiring *Wiring
-	// Logger replaces the log made from the settings, for tests.
+	// Logger, if not nil, is used instead of a log made from the settings, for tests.
 	Logger *zap.Logger
 }
--- a/internal/node/reload_drainer.go
+++ b/internal/node/reload_drainer.go
@@ -11,13 +11,11 @@
 	"geraniumcroft/internal/confstore"
 )
 
-// reloadAuthor is the author of the changes that keep work off a target while it
-// is reloaded.
+// reloadAuthor is the author of the changes that withhold work from a target while it is reloaded.
 const reloadAuthor = "orders"
 
-// reloadDrainer implements orders.Drainer by changes of the configuration: the
-// target's entry says that it is reloading, so the state outlives this VM and is
-// in force on every VM like any other change.
+// reloadDrainer implements orders.Drainer with configuration changes. The target's entry has the
+// state reloading, so the state outlives this VM and is in force on every VM like any other change.
 type reloadDrainer struct {
 	store     announcingStore
 	confirmer confstore.Confirmer
@@ -25,23 +23,25 @@
 
 // Drain implements orders.Drainer.
 func (d *reloadDrainer) Drain(ctx context.Context, target string) error {
-	return d.move(ctx, target, config.StateActive, config.StateReloading)
+	return d.setState(ctx, target, config.StateActive, config.StateReloading)
 }
 
-// Resume implements orders.Drainer. An operator who drained the target meanwhile
-// changed the state, which is then left alone.
+// Resume implements orders.Drainer. If an operator has drained the target in the meantime, the
+// state is no longer reloading and is not changed.
 func (d *reloadDrainer) Resume(ctx context.Context, target string) error {
-	return d.move(ctx, target, config.StateReloading, config.StateActive)
+	return d.setState(ctx, target, config.StateReloading, config.StateActive)
 }
 
-func (d *reloadDrainer) move(ctx context.Context, name string, from, to config.TargetState) error {
+// setState proposes a change of the target's state. It does nothing if the target does not exist or
+// is not in the state from.
+func (d *reloadDrainer) setState(ctx context.Context, name string, from, to config.TargetState) error {
 	target, ok := d.store.Current().Targets[name]
 	if !ok || target.State != from {
 		return nil
 	}
-	moved := *target
-	moved.State = to
-	value, err := json.Marshal(&moved)
+	changed := *target
+	changed.State = to
+	value, err := json.Marshal(&changed)
 	if err != nil {
 		return err
 	}
--- a/internal/node/reports.go
+++ b/internal/node/report_sink.go
@@ -6,14 +6,14 @@
 	"geraniumcroft/internal/engine"
 )
 
-// reports hands a target's load report to all who need it.
-type reports struct {
+// reportSink passes load reports to the balancer and to the drain tracker.
+type reportSink struct {
 	*balance.Balancer
 	tracker *drain.Tracker
 }
 
 // Report implements watch.Sink.
-func (r reports) Report(target string, report engine.LoadReport) {
+func (r reportSink) Report(target string, report engine.LoadReport) {
 	r.Balancer.Report(target, report)
 	r.tracker.Report(target, report)
 }
--- a/internal/node/subset_test.go
+++ b/internal/node/shares_test.go
@@ -6,9 +6,9 @@
 	"geraniumcroft/internal/membership"
 )
 
-// Each VM takes its own share of each target's slots. Two VMs that took the same
-// place would leave a share unused and overfill another; a VM that is dead or on
-// its way out would hold a share that nobody uses.
+// Each VM must use its own share of each target's slots. If two VMs computed the same index, one
+// share would be unused and another one exceeded. A VM that is dead or leaving must not count, or
+// it would keep a share that nobody uses.
 func TestPlaceInFleet(t *testing.T) {
 	members := []membership.Member{
 		{Name: "a", State: membership.Alive},
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	pollInterval = 5 * time.Second
-	dutyInterval = 10 * time.Second
-	loadAttempt  = 2 * time.Second
-	loadPause    = 200 * time.Millisecond
-	sweepLimit   = 200
+	pollInterval   = 5 * time.Second
+	dutyInterval   = 10 * time.Second
+	loadTimeout    = 2 * time.Second
+	loadRetryDelay = 200 * time.Millisecond
+	maxSweptClaims = 200
 )
 
-// Start opens the callers' listener and begins all work. The node serves requests
-// once it has read the configuration; Ready tells when.
+// Start opens the listener for callers and starts all goroutines. The node serves requests once it
+// has read the configuration, which Ready reports.
 func (n *Node) Start() error {
 	n.spawn(func() { _ = n.peers.Serve(n.peerListener) })
 	n.spawn(func() { _ = n.adminServer.Serve(n.adminListener) })
@@ -29,20 +29,21 @@
 	}
 	n.callersAddr = address.String()
 	n.spawn(func() { n.peers.Run(n.ctx) })
-	n.spawn(n.followVMList)
-	n.spawn(n.becomeReady)
+	n.spawn(n.pollVMList)
+	n.spawn(n.loadConfig)
 	n.spawn(func() { n.watcher.Run(n.ctx) })
 	n.spawn(func() { n.leases.Run(n.ctx) })
 	n.duties.Go(func() { n.orders.Run(n.dutiesCtx) })
 	n.spawn(n.pollStore)
-	n.duties.Go(n.doDuties)
+	n.duties.Go(n.runDuties)
 	n.spawn(func() { n.claims.Run(n.ctx) })
-	n.spawn(n.watchFreshness)
-	n.spawn(n.setGauges)
+	n.spawn(n.monitorIsolation)
+	n.spawn(n.updateGauges)
 	n.logger.Info("started", zap.String("callers", n.callersAddr), zap.String("admin", n.AdminAddress()), zap.String("peers", n.PeerAddress()))
 	return nil
 }
 
+// spawn runs f in a goroutine that terminate waits for.
 func (n *Node) spawn(f func()) {
 	n.work.Add(1)
 	go func() {
@@ -51,94 +52,95 @@
 	}()
 }
 
-// becomeReady reads the configuration in force. The store alone or a peer alone
-// is enough, but both are asked: a change that was committed right before the
-// store went out is known to peers only, and a change that reached no peer yet is
-// known to the store only.
-func (n *Node) becomeReady() {
+// loadConfig reads the configuration in force, with retries. The store or one peer is enough, but
+// both are asked: a change that was committed right before the store became unavailable may be
+// known to peers only, and a change that has not reached a peer yet is known to the store only.
+func (n *Node) loadConfig() {
 	for n.ctx.Err() == nil {
-		if n.readConfig() {
+		if n.tryLoadConfig() {
 			n.gate.SetLoaded()
 			close(n.ready)
 			n.logger.Info("ready", zap.Uint64("configVersion", n.store.Current().Version))
 			return
 		}
-		sleep.For(n.ctx, loadPause)
+		sleep.For(n.ctx, loadRetryDelay)
 	}
 }
 
-// readConfig registers this VM before it reads, so that a change which commits in
-// between waits for it; see package roster.
-func (n *Node) readConfig() bool {
-	ctx, cancel := context.WithTimeout(n.ctx, loadAttempt)
+// tryLoadConfig registers this VM before it reads the configuration, so that a change that is
+// committed in between waits for this VM; see package roster. It reports whether the configuration
+// was read.
+func (n *Node) tryLoadConfig() bool {
+	ctx, cancel := context.WithTimeout(n.ctx, loadTimeout)
 	defer cancel()
 	if vms, err := n.platform.VMs(ctx); err == nil {
 		n.peers.UpdateVMs(vms)
 	}
 	registerErr := n.roster.Register(ctx)
-	loadErr, joinErr := n.askBoth(ctx, n.store.Load)
+	loadErr, joinErr := n.readStoreAndPeers(ctx, n.store.Load)
 	loadErr = errors.CombineErrors(registerErr, loadErr)
 	if loadErr != nil && joinErr != nil {
 		n.logger.Warn("no configuration yet", zap.NamedError("store", loadErr), zap.NamedError("peers", joinErr))
 		return false
 	}
 	if registerErr != nil {
-		n.spawn(n.registerLater)
+		n.spawn(n.retryRegister)
 	}
 	return true
 }
 
-// watchFreshness begins once the VM is ready.
-func (n *Node) watchFreshness() {
+// monitorIsolation runs the isolation monitor once the VM is ready.
+func (n *Node) monitorIsolation() {
 	select {
 	case <-n.ready:
 	case <-n.ctx.Done():
 		return
 	}
-	watch := &freshness{
-		reach: reach{
+	monitor := &isolationMonitor{
+		connectivity: connectivity{
 			storeReachable: (&storeProbe{poll: n.store.Poll}).reachable,
 			hasPeers:       n.peers.HasPeers,
 			peerReachable:  n.peers.Reachable,
 		},
-		gate:    n.gate,
-		catchUp: n.catchUp,
-		resumed: n.router.Resume,
+		gate:     n.gate,
+		catchUp:  n.catchUp,
+		onResume: n.router.Resume,
 	}
-	watch.run(n.ctx)
+	monitor.run(n.ctx)
 }
 
-// catchUp reads the newest configuration that the store and the peers can give and
-// reports whether either gave one.
+// catchUp reads the newest configuration from the store and from peers, and reports whether one of
+// them answered.
 func (n *Node) catchUp() bool {
-	ctx, cancel := context.WithTimeout(n.ctx, loadAttempt)
+	ctx, cancel := context.WithTimeout(n.ctx, loadTimeout)
 	defer cancel()
-	pollErr, joinErr := n.askBoth(ctx, n.store.Poll)
+	pollErr, joinErr := n.readStoreAndPeers(ctx, n.store.Poll)
 	return pollErr == nil || joinErr == nil
 }
 
-// askBoth reads the configuration from the store and from peers side by side.
-func (n *Node) askBoth(ctx context.Context, readStore func(context.Context) error) (storeErr, peersErr error) {
-	joined := make(chan error, 1)
-	go func() { joined <- n.peers.Join(ctx) }()
+// readStoreAndPeers reads the configuration from the store and from peers concurrently.
+func (n *Node) readStoreAndPeers(ctx context.Context, readStore func(context.Context) error) (storeErr, peersErr error) {
+	joinErrs := make(chan error, 1)
+	go func() { joinErrs <- n.peers.Join(ctx) }()
 	storeErr = readStore(ctx)
-	return storeErr, <-joined
+	return storeErr, <-joinErrs
 }
 
-// registerLater writes the row that a store outage kept from being written.
-func (n *Node) registerLater() {
+// retryRegister writes the row that could not be written because of a store outage.
+func (n *Node) retryRegister() {
 	for n.ctx.Err() == nil {
-		ctx, cancel := context.WithTimeout(n.ctx, loadAttempt)
+		ctx, cancel := context.WithTimeout(n.ctx, loadTimeout)
 		err := n.roster.Register(ctx)
 		cancel()
 		if err == nil {
 			return
 		}
-		sleep.For(n.ctx, loadPause)
+		sleep.For(n.ctx, loadRetryDelay)
 	}
 }
 
-func (n *Node) followVMList() {
+// pollVMList reads the platform's VM list periodically and updates the shares of this VM.
+func (n *Node) pollVMList() {
 	for n.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(n.ctx, 2*minVMListInterval)
 		vms, err := n.platform.VMs(ctx)
@@ -147,7 +149,7 @@
 			n.peers.UpdateVMs(vms)
 			n.tracker.SetVMs(vms)
 		}
-		n.shareOut()
+		n.updateShares()
 		sleep.For(n.ctx, vmListInterval(n.peers.PeerCount()+1))
 	}
 }
@@ -156,7 +158,7 @@
 	for n.ctx.Err() == nil {
 		sleep.For(n.ctx, pollInterval)
 		ctx, cancel := context.WithTimeout(n.ctx, pollInterval)
-		// The row first: a change that commits after it waits for this VM.
+		// The row is checked first: a change that is committed afterwards waits for this VM.
 		err := errors.CombineErrors(n.roster.Ensure(ctx), n.store.Poll(ctx))
 		if err != nil {
 			n.logger.Debug("poll of the store failed", zap.Error(err))
@@ -165,7 +167,8 @@
 	}
 }
 
-func (n *Node) doDuties() {
+// runDuties carries out the duties whose lease this VM holds. Package orders runs its duty itself.
+func (n *Node) runDuties() {
 	for n.dutiesCtx.Err() == nil {
 		sleep.For(n.dutiesCtx, dutyInterval)
 		if lease, held := n.leases.Held(dutySweep); held && lease.Check() == nil {
@@ -179,12 +182,13 @@
 	}
 }
 
+// sweep deletes claims and rows of VMs that are no longer needed.
 func (n *Node) sweep() {
 	now := time.Now()
-	if _, err := n.claims.Sweep(n.dutiesCtx, now, sweepLimit); err != nil {
+	if _, err := n.claims.Sweep(n.dutiesCtx, now, maxSweptClaims); err != nil {
 		n.logger.Debug("sweep of claims failed", zap.Error(err))
 	}
 	if err := n.roster.Sweep(n.dutiesCtx, now); err != nil {
-		n.logger.Debug("sweep of VMs' rows failed", zap.Error(err))
+		n.logger.Debug("sweep of VM rows failed", zap.Error(err))
 	}
 }
--- a/internal/node/wiring.go
+++ b/internal/node/wiring.go
@@ -13,23 +13,23 @@
 	"geraniumcroft/internal/transport"
 )
 
-// Wiring is all that a node reaches outside its process. Tests replace it to run
-// whole nodes in one process and in virtual time.
+// Wiring provides everything that a node reaches outside its process. Tests replace it to run whole
+// nodes in one process and in virtual time.
 type Wiring struct {
-	// Listen opens the listeners of callers, peers and operators; nil opens TCP.
+	// Listen opens the listeners for callers, peers and operators; nil uses TCP.
 	Listen func(address string) (net.Listener, error)
-	// DialPeer opens connections to peers; nil opens TCP.
+	// DialPeer opens connections to peers; nil uses TCP.
 	DialPeer peer.Dial
 	Engines  engine.Client
 	Services service.Client
 	Table    platform.Table
 	Objects  platform.Objects
 	VMList   platform.VMList
-	// Close drops idle connections at the end; it may be nil.
+	// Close closes idle connections when the node ends; it may be nil.
 	Close func()
 }
 
-// wire takes the wiring of the options, or makes one over TCP and HTTP.
+// wire sets the wiring to that of the options, or to TCP and HTTP.
 func (n *Node) wire() {
 	if n.options.Wiring != nil {
 		n.wiring = *n.options.Wiring
