--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -18,16 +18,16 @@
 	"geraniumcroft/internal/invariant"
 )
 
-// The benchmarks run whole nodes of one process over TCP on the loopback.
+// The benchmarks run whole nodes in one process over TCP on the loopback interface.
 
 const (
 	designWorkspaces = 2600
 	designTargets    = 600
-	// inFlightTargets is how many targets a VM has requests in flight at.
+	// inFlightTargets is the number of targets at which a VM has requests in flight.
 	inFlightTargets = 230
 	idleTime        = 10 * time.Second
-	benchBound      = time.Minute
-	pollStep        = 2 * time.Millisecond
+	benchTimeout    = time.Minute
+	pollInterval    = 2 * time.Millisecond
 )
 
 type benchVM struct {
@@ -36,7 +36,7 @@
 	load  *loadTable
 }
 
-// newBenchFleet starts a fleet over TCP and waits until all know all.
+// newBenchFleet starts a fleet over TCP and waits until every VM knows all others.
 func newBenchFleet(b *testing.B, size int, s Settings, full bool) []*benchVM {
 	listeners := make([]net.Listener, size)
 	for i := range listeners {
@@ -56,7 +56,7 @@
 		}
 		vm.node = New(Options{
 			VM: vmName(i), DataCentre: "hall-a", Address: lis.Addr().String(), Seeds: seeds,
-			Store: vm.store, Load: vm.load, SharesTargets: sharing(i, size), Invariants: invariant.Strict(), Settings: s,
+			Store: vm.store, Load: vm.load, SharesTargets: sharesTargetsWith(i, size), Invariants: invariant.Strict(), Settings: s,
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { _ = vm.node.Serve(lis) }()
@@ -65,17 +65,17 @@
 		vms[i] = vm
 	}
 	started := time.Now()
-	for ok, why := joined(vms); !ok; ok, why = joined(vms) {
-		if time.Since(started) > benchBound {
-			b.Fatal("the fleet does not come together: ", why)
+	for ok, reason := joined(vms); !ok; ok, reason = joined(vms) {
+		if time.Since(started) > benchTimeout {
+			b.Fatal("the VMs do not all know each other: ", reason)
 		}
-		time.Sleep(10 * pollStep)
+		time.Sleep(10 * pollInterval)
 	}
 	return vms
 }
 
-// sharing makes each VM share its targets with the next few in the order of names.
-func sharing(index, size int) func(vm string) bool {
+// sharesTargetsWith makes each VM share its targets with its neighbours in the order of names.
+func sharesTargetsWith(index, size int) func(vm string) bool {
 	const neighbours = 8
 	shared := map[string]bool{}
 	for offset := -neighbours; offset <= neighbours; offset++ {
@@ -84,35 +84,36 @@
 	return func(vm string) bool { return shared[vm] }
 }
 
-// changeLoad changes what is in flight at some targets.
+// changeLoad changes the number of requests in flight at some targets.
 func (vm *benchVM) changeLoad(count int) {
 	for range count {
 		vm.load.set(targetName(rand.IntN(inFlightTargets)), 1+rand.IntN(8))
 	}
 }
 
-// settle waits until the rumours of the start have been passed on.
+// settle waits until no rumour from the start of the fleet is pending.
 func settle(b *testing.B, vms []*benchVM) {
-	poll(b, func() bool {
+	waitUntil(b, func() bool {
 		return !slices.ContainsFunc(vms, func(vm *benchVM) bool { return vm.node.Dump().(Dump).Rumours > 0 })
 	})
 }
 
-// poll waits for a condition in real time, for a benchmark's bound.
-func poll(b *testing.B, holds func() bool) time.Duration {
+// waitUntil polls the condition in real time and returns how long it took. It fails the benchmark
+// after benchTimeout.
+func waitUntil(b *testing.B, condition func() bool) time.Duration {
 	b.Helper()
 	started := time.Now()
-	for time.Since(started) < benchBound {
-		if holds() {
+	for time.Since(started) < benchTimeout {
+		if condition() {
 			return time.Since(started)
 		}
-		time.Sleep(pollStep)
+		time.Sleep(pollInterval)
 	}
-	b.Fatal("the condition does not hold within the benchmark's bound")
+	b.Fatal("the condition is not met within the benchmark's timeout")
 	return 0
 }
 
-// joined reports whether all know all, and otherwise who does not.
+// joined reports whether every VM knows all others, and otherwise which one does not.
 func joined(vms []*benchVM) (bool, string) {
 	for _, vm := range vms {
 		if count := vm.node.PeerCount(); count != len(vms)-1 {
@@ -122,8 +123,8 @@
 	return true, ""
 }
 
-// BenchmarkChangeInForce gives the time until a change is in force on all VMs,
-// and until the VM that took it knows that it is.
+// BenchmarkChangeInForce measures the time until a change is in force on all VMs, and until the VM
+// that accepted it has their confirmations.
 func BenchmarkChangeInForce(b *testing.B) {
 	for _, push := range []bool{true, false} {
 		for _, size := range []int{6, 16, 32, 64, 320} {
@@ -148,29 +149,30 @@
 		if push {
 			origin.node.Announce(changes)
 		}
-		poll(b, func() bool {
+		waitUntil(b, func() bool {
 			return !slices.ContainsFunc(vms, func(vm *benchVM) bool { return vm.store.Current().Version < version })
 		})
 		inForce = append(inForce, time.Since(started))
-		poll(b, func() bool {
+		waitUntil(b, func() bool {
 			_, missing := origin.node.InForce(version)
 			return len(missing) == 0
 		})
 		known = append(known, time.Since(started))
 	}
-	report(b, "inforce", inForce)
-	report(b, "known", known)
+	reportTimes(b, "inforce", inForce)
+	reportTimes(b, "known", known)
 	reportFaults(b, vms)
 	b.ReportMetric(0, "ns/op")
 }
 
-func report(b *testing.B, what string, times []time.Duration) {
+func reportTimes(b *testing.B, prefix string, times []time.Duration) {
 	slices.Sort(times)
-	b.ReportMetric(float64(times[len(times)/2])/1e6, what+"-median-ms")
-	b.ReportMetric(float64(times[len(times)-1])/1e6, what+"-max-ms")
+	b.ReportMetric(float64(times[len(times)/2])/1e6, prefix+"-median-ms")
+	b.ReportMetric(float64(times[len(times)-1])/1e6, prefix+"-max-ms")
 }
 
-// reportFaults tells how far the machine itself was too slow for the timeouts.
+// reportFaults reports reconnects and suspicions, which show how far the machine was too slow for
+// the timeouts.
 func reportFaults(b *testing.B, vms []*benchVM) {
 	var reconnects, suspicions float64
 	for _, vm := range vms {
@@ -182,8 +184,8 @@
 	b.ReportMetric(suspicions/float64(len(vms)), "suspicions/node")
 }
 
-// BenchmarkCost gives what a node spends with the whole configuration and its
-// load changing, without changes of the configuration and with one a second.
+// BenchmarkCost measures the resources that a node uses with a configuration of full size and
+// changing load, both without configuration changes and with one per second.
 func BenchmarkCost(b *testing.B) {
 	for _, size := range []int{6, 16, 32, 64, 320} {
 		for _, changing := range []bool{false, true} {
@@ -194,11 +196,11 @@
 }
 
 func benchCost(b *testing.B, size int, changing bool) {
-	before := heap()
+	before := memoryInUse()
 	vms := newBenchFleet(b, size, Settings{}, true)
 	settle(b, vms)
 	for range b.N {
-		cpu, sent, received := spent(vms)
+		cpu, sent, received := usage(vms)
 		started := time.Now()
 		for time.Since(started) < idleTime {
 			for _, vm := range vms {
@@ -210,28 +212,28 @@
 			}
 			time.Sleep(time.Second)
 		}
-		cpuAfter, sentAfter, receivedAfter := spent(vms)
+		cpuAfter, sentAfter, receivedAfter := usage(vms)
 		perNode := float64(size) * time.Since(started).Seconds()
 		b.ReportMetric(100*(cpuAfter-cpu).Seconds()/perNode, "%core/node")
 		b.ReportMetric(float64(sentAfter-sent)/perNode/1e3, "sent-KB/s/node")
 		b.ReportMetric(float64(receivedAfter-received)/perNode/1e3, "received-KB/s/node")
 	}
-	b.ReportMetric(float64(heap()-before)/float64(size)/1e6, "heap-MB/node")
+	b.ReportMetric(float64(memoryInUse()-before)/float64(size)/1e6, "heap-MB/node")
 	b.ReportMetric(0, "ns/op")
 	runtime.KeepAlive(vms)
 }
 
-func spent(vms []*benchVM) (cpu time.Duration, sent, received uint64) {
-	var usage syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+func usage(vms []*benchVM) (cpu time.Duration, sent, received uint64) {
+	var rusage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &rusage)
 	for _, vm := range vms {
 		sent += vm.node.Traffic().Sent()
 		received += vm.node.Traffic().Received()
 	}
-	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), sent, received
+	return time.Duration(rusage.Utime.Nano() + rusage.Stime.Nano()), sent, received
 }
 
-func heap() uint64 {
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -239,8 +241,8 @@
 	return stats.HeapAlloc + stats.StackInuse
 }
 
-// BenchmarkSnapshot gives the size of a snapshot of the design's size, and what
-// encoding and compressing it takes.
+// BenchmarkSnapshot measures the size of a snapshot of a configuration of full size, and the cost
+// of encoding and compressing it.
 func BenchmarkSnapshot(b *testing.B) {
 	store := newMemoryStore()
 	fill(store, designWorkspaces, designTargets)
--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -10,48 +10,53 @@
 	"geraniumcroft/internal/peer/peerpb"
 )
 
-// attempt is one try of a call on one connection.
-type attempt func(ctx context.Context, client peerpb.PeerClient) error
-
-// call makes a call on the kept connection and, should that one be silent or
-// broken, once more on a new connection. The failure of a kept connection says
-// nothing of the peer: a box between the two may have lost track of it. All
-// calls of the protocol are idempotent, so the second try is safe. Only the try
-// on a new connection has the whole timeout: a call that was too long for the
-// short one loses little, and a silent connection holds nothing up for long.
-func (n *Node) call(ctx context.Context, address string, timeout time.Duration, try attempt) error {
-	if kept := n.pool.get(address); kept != nil {
-		err := tryOnce(ctx, kept, n.settings.CallTimeout, try)
+// callFunc makes one attempt of a call on one connection.
+type callFunc func(ctx context.Context, client peerpb.PeerClient) error
+
+// call makes a call on the pooled connection and, if that connection is silent or broken, once more
+// on a new one. The failure of a pooled connection says nothing about the peer, because a middlebox
+// may have lost the state of the connection. All calls of the protocol are idempotent, so the
+// second attempt is safe.
+//
+// Only the attempt on a new connection gets the whole timeout; the one on the pooled connection
+// gets CallTimeout. A call that needs longer than that loses little time, and a silent connection
+// does not delay a call for long.
+func (n *Node) call(ctx context.Context, address string, timeout time.Duration, fn callFunc) error {
+	if pooled := n.pool.get(address); pooled != nil {
+		err := callOnce(ctx, pooled, n.settings.CallTimeout, fn)
 		if !connectionFailed(err) || ctx.Err() != nil {
 			return err
 		}
-		n.pool.drop(address, kept)
+		n.pool.drop(address, pooled)
 		n.count(func(c *Counters) *uint64 { return &c.Reconnects })
 	}
-	return n.callOnNew(ctx, address, timeout, try)
+	return n.callOnNewConnection(ctx, address, timeout, fn)
 }
 
-func (n *Node) callOnNew(ctx context.Context, address string, timeout time.Duration, try attempt) error {
-	fresh, err := n.pool.open(address)
+// callOnNewConnection makes a call on a new connection and returns that connection to the pool
+// unless it failed.
+func (n *Node) callOnNewConnection(ctx context.Context, address string, timeout time.Duration, fn callFunc) error {
+	fresh, err := n.pool.newConnection(address)
 	if err != nil {
 		return err
 	}
-	err = tryOnce(ctx, fresh, timeout, try)
+	err = callOnce(ctx, fresh, timeout, fn)
 	if connectionFailed(err) {
 		n.count(func(c *Counters) *uint64 { return &c.FailedCalls })
 		fresh.close()
 		return err
 	}
-	n.pool.offer(address, fresh)
+	n.pool.put(address, fresh)
 	return err
 }
 
-func tryOnce(ctx context.Context, c *connection, timeout time.Duration, try attempt) error {
+func callOnce(ctx context.Context, c *connection, timeout time.Duration, fn callFunc) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return try(ctx, c.client)
+	return fn(ctx, c.client)
 }
 
+// connectionFailed reports whether the error may be due to the connection rather than to the peer.
 func connectionFailed(err error) bool {
 	switch status.Code(err) {
 	case codes.Unavailable, codes.DeadlineExceeded, codes.Canceled:
--- a/internal/peer/client_credentials.go
+++ b/internal/peer/client_credentials.go
@@ -8,13 +8,11 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// ClientTLS returns the TLS configuration for connections to the peer with the IP
-// number.
+// ClientTLS returns the TLS configuration for connections to the peer with the given IP address.
 type ClientTLS func(host string) *tls.Config
 
-// clientCredentials asks for a configuration at each handshake, because the IP
-// number that the certificate must name differs from peer to peer and never
-// travels in the handshake itself.
+// clientCredentials gets its TLS configuration at each handshake, because the certificate of each
+// peer must name that peer's IP address, which is not part of the handshake itself.
 type clientCredentials struct {
 	credentials.TransportCredentials
 	config ClientTLS
--- a/internal/peer/compression.go
+++ b/internal/peer/compression.go
@@ -7,15 +7,15 @@
 	"geraniumcroft/internal/peer/peerpb"
 )
 
-// compressFrom is the size at which a configuration is worth compressing.
-const compressFrom = 8 << 10
+// minCompressedSize is the size in bytes from which a configuration is compressed.
+const minCompressedSize = 8 << 10
 
-func worthCompressing(c *peerpb.Configuration) bool {
-	return len(c.GetChanges())+len(c.GetSnapshot()) >= compressFrom
+func shouldCompress(c *peerpb.Configuration) bool {
+	return len(c.GetChanges())+len(c.GetSnapshot()) >= minCompressedSize
 }
 
-func compression(c *peerpb.Configuration) []grpc.CallOption {
-	if !worthCompressing(c) {
+func compressionOptions(c *peerpb.Configuration) []grpc.CallOption {
+	if !shouldCompress(c) {
 		return nil
 	}
 	return []grpc.CallOption{grpc.UseCompressor(gzip.Name)}
--- a/internal/peer/configuration.go
+++ b/internal/peer/configuration.go
@@ -10,7 +10,8 @@
 	"geraniumcroft/internal/peer/peerpb"
 )
 
-// configurationAfter returns what a VM at a version lacks, or nil.
+// configurationAfter returns what a VM at the given version lacks: changes if the store still has
+// them, otherwise a snapshot. It returns nil if nothing is lacking or encoding fails.
 func (n *Node) configurationAfter(version uint64) *peerpb.Configuration {
 	current := n.options.Store.Current()
 	if version >= current.Version {
@@ -36,9 +37,8 @@
 	return &peerpb.Configuration{Changes: encoded}
 }
 
-// apply takes in changes or a snapshot and reports whether the version rose. The
-// store skips what is in force already, so an old delayed message changes
-// nothing.
+// apply applies changes or a snapshot and reports whether the version has risen. The store skips
+// what is already in force, so a delayed message has no effect.
 func (n *Node) apply(c *peerpb.Configuration) bool {
 	if c == nil {
 		return false
@@ -62,7 +62,7 @@
 		return
 	}
 	if _, err := n.options.Store.ApplyChanges(changes); err != nil {
-		n.log.Info("a peer's changes do not apply here", zap.Error(err))
+		n.log.Info("cannot apply a peer's changes", zap.Error(err))
 		return
 	}
 	n.count(func(c *Counters) *uint64 { return &c.ChangesReceived })
--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -1,6 +1,6 @@
 package peer
 
-// Counters count what a node did since it started.
+// Counters count the events of a node since it started.
 type Counters struct {
 	Syncs           uint64 `json:"syncs"`
 	Pushes          uint64 `json:"pushes"`
@@ -14,13 +14,14 @@
 	Snapshots       uint64 `json:"snapshots"`
 }
 
+// count increments one of the counters. The caller must not hold n.mu.
 func (n *Node) count(field func(*Counters) *uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	*field(&n.counters)++
 }
 
-// Counters returns what the node did so far.
+// Counters returns a copy of the counters.
 func (n *Node) Counters() Counters {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,23 +1,21 @@
-// Package peer connects the system's own VMs: it spreads configuration changes,
-// keeps membership, and tells what each VM has in force and in flight.
+// Package peer connects the system's own VMs. It spreads configuration changes, maintains
+// membership, and reports what each VM has in force and in flight.
 //
-// A change that was committed is pushed at once, to every VM in a small fleet
-// and to a few random ones in a large fleet, which push it on. Whatever a push
-// misses, anti-entropy repairs: each second a VM compares its version with a few
-// random peers, and the older side gets the changes that it lacks, or a
-// snapshot. Both work without the platform's store, so a change that one VM has
-// read reaches all others though the store goes out right after the commit.
+// A committed change is pushed immediately: to every VM in a small fleet, and to a few random VMs
+// in a large one, which forward it. Anti-entropy repairs what pushes miss: once a second, a VM
+// compares its version with a few random peers, and the side that is behind gets the changes that
+// it lacks, or a snapshot. Neither needs the platform's store, so a change that one VM has read
+// reaches all others even if the store becomes unavailable right after the commit.
 //
-// Versions only go up. A push of what is in force already changes nothing, and
-// messages of a VM's earlier life are dropped, however late they come.
+// Versions only rise. A push of what is already in force has no effect, and messages of an earlier
+// process of a VM are dropped however late they arrive.
 //
-// A connection can go silent for good while the peer is well. Each call has a
-// deadline; a call that fails on a kept connection is made again on a new one,
-// and only when that fails too is the peer itself in question. It is then probed
-// through helpers before it is suspected (package membership). One silent peer
-// costs one bounded call at a time, and nobody waits for it: InForce names it.
+// A connection can become silent for good while the peer works. Each call has a deadline; a call
+// that fails on a pooled connection is repeated on a new one, and only if that fails as well may
+// the peer itself have failed. The peer is then probed through helpers before it is suspected (see
+// package membership). A silent peer costs one bounded call at a time, and nothing waits for it:
+// InForce reports it as missing.
 //
-// A VM keeps connections to a bounded random view of the fleet, which is the
-// whole fleet while that is small. So the cost of a VM does not grow with the
-// fleet.
+// A VM keeps connections to a random part of the fleet of bounded size, its view. A small fleet
+// fits the view as a whole. The cost of a VM therefore does not grow with the fleet.
 package peer
--- a/internal/peer/dump.go
+++ b/internal/peer/dump.go
@@ -7,7 +7,7 @@
 	"geraniumcroft/internal/membership"
 )
 
-// Dump is a node's state, for operators.
+// Dump is the state of a node for operators, encoded as JSON.
 type Dump struct {
 	VM            string                 `json:"vm"`
 	Incarnation   membership.Incarnation `json:"incarnation"`
@@ -24,7 +24,7 @@
 	ReceivedBytes uint64                 `json:"receivedBytes"`
 }
 
-// Dump returns the node's state.
+// Dump returns the state of the node, as a Dump.
 func (n *Node) Dump() any {
 	reachable := n.Reachable()
 	n.mu.Lock()
--- a/internal/peer/envelope.go
+++ b/internal/peer/envelope.go
@@ -11,27 +11,30 @@
 	"geraniumcroft/internal/peer/peerpb"
 )
 
-// errDropped answers a message that must not be acted on.
+// errDropped answers a message that must be ignored: it is from an earlier process of the VM, or
+// its sender has the name of this VM.
 var errDropped = status.Error(codes.FailedPrecondition, "message of an earlier life of the VM, or of this VM's own name")
 
-// seal returns the envelope of a message to a VM.
-func (n *Node) seal(to string, limit int) *peerpb.Envelope {
+// newEnvelope returns the envelope for a message to a VM, with up to limit rumours and a few
+// members in rotation.
+func (n *Node) newEnvelope(to string, limit int) *peerpb.Envelope {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.table.SetVersion(n.options.Store.InForceVersion())
 	return envelopeOf(n.table.Self(), n.table.Gossip(to, limit))
 }
 
-// sealForJoiner returns an envelope with all members.
-func (n *Node) sealForJoiner() *peerpb.Envelope {
+// newFullEnvelope returns an envelope with updates about all members that may serve.
+func (n *Node) newFullEnvelope() *peerpb.Envelope {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.table.SetVersion(n.options.Store.InForceVersion())
 	return envelopeOf(n.table.Self(), n.table.FullState())
 }
 
-// open takes in an envelope. It reports false for a message that must be dropped.
-func (n *Node) open(e *peerpb.Envelope) bool {
+// acceptEnvelope merges the envelope of a received message into the membership. It reports false if
+// the message must be dropped.
+func (n *Node) acceptEnvelope(e *peerpb.Envelope) bool {
 	if len(e.GetUpdates()) > maxUpdatesAccepted {
 		return false
 	}
@@ -46,11 +49,12 @@
 	return true
 }
 
-// openAnswer takes in the envelope of an answer. It fails when another VM
-// answered than was asked: addresses are given to new VMs, and a dead VM whose
-// address answers would be waited for for good. An empty name accepts any.
-func (n *Node) openAnswer(name string, e *peerpb.Envelope) error {
-	if !n.open(e) {
+// acceptAnswer merges the envelope of an answer. It fails with errOtherVM if the answer is not from
+// the VM that was asked: the addresses of dead VMs are assigned to new ones, and if the answers of
+// a new VM counted for the dead one, changes would wait for the dead one for good. An empty name
+// accepts any VM.
+func (n *Node) acceptAnswer(name string, e *peerpb.Envelope) error {
+	if !n.acceptEnvelope(e) {
 		return errDropped
 	}
 	n.mu.Lock()
@@ -62,8 +66,8 @@
 	return nil
 }
 
-// errOtherVM reports that an address now belongs to another VM.
-var errOtherVM = errors.New("another VM answers at the address")
+// errOtherVM reports that the address now belongs to another VM.
+var errOtherVM = errors.New("address belongs to another VM")
 
 func envelopeOf(self membership.Identity, updates []membership.Update) *peerpb.Envelope {
 	e := &peerpb.Envelope{
--- a/internal/peer/fleet_test.go
+++ b/internal/peer/fleet_test.go
@@ -10,7 +10,7 @@
 	"geraniumcroft/internal/invariant"
 )
 
-// fleet is a number of whole nodes in one process, in virtual time.
+// fleet is a set of whole nodes in one process, in virtual time.
 type fleet struct {
 	t       testing.TB
 	network *pipenet.Network
@@ -44,7 +44,7 @@
 	return f.launch(name, name, store, load, s)
 }
 
-// startAt starts a VM whose address is not its name.
+// startAt starts a VM whose address differs from its name.
 func (f *fleet) startAt(name, address string) *testVM {
 	return f.launch(name, address, newMemoryStore(), nil, Settings{})
 }
@@ -68,7 +68,7 @@
 	return vm
 }
 
-// kill ends a VM without a word.
+// kill ends a VM without an announcement, and cuts its name off from the network.
 func (f *fleet) kill(name string) {
 	f.network.SetCut(func(from, to string) bool { return from == name || to == name })
 	vm := f.vms[name]
@@ -90,19 +90,20 @@
 
 func (f *fleet) vm(i int) *testVM { return f.vms[vmName(i)] }
 
-// within polls in virtual time until the condition holds.
-func (f *fleet) within(bound time.Duration, what string, holds func() bool) {
+// waitFor polls in virtual time until the condition is met, and fails the test after the bound.
+func (f *fleet) waitFor(bound time.Duration, description string, condition func() bool) {
 	f.t.Helper()
 	const step = 10 * time.Millisecond
 	for range bound / step {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(step)
 	}
-	f.t.Fatalf("not within %v of virtual time: %s", bound, what)
+	f.t.Fatalf("not within %v of virtual time: %s", bound, description)
 }
 
+// joined returns a condition: every VM knows all others of a fleet of the given size.
 func (f *fleet) joined(size int) func() bool {
 	return func() bool {
 		for _, vm := range f.vms {
@@ -114,6 +115,7 @@
 	}
 }
 
+// allAt returns a condition: every VM has at least the version.
 func (f *fleet) allAt(version uint64) func() bool {
 	return func() bool {
 		for _, vm := range f.vms {
@@ -125,6 +127,7 @@
 	}
 }
 
+// change commits a change on the VM, announces it and returns its version.
 func (vm *testVM) change(name string) uint64 {
 	changes := vm.store.(*memoryStore).commit(name)
 	vm.node.Announce(changes)
--- a/internal/peer/join.go
+++ b/internal/peer/join.go
@@ -9,15 +9,15 @@
 	"geraniumcroft/internal/membership"
 )
 
-// joinPeers is how many peers a joining VM compares versions with at once.
+// joinPeers is the number of known members with which a joining VM compares versions concurrently,
+// besides seeds.
 const joinPeers = 5
 
-// ErrNoPeer reports that no peer answered.
+// ErrNoPeer reports that no peer has answered.
 var ErrNoPeer = errors.New("no peer answered")
 
-// Join compares versions with seeds and listed VMs, so that this VM has the
-// newest configuration that they can give. It returns ErrNoPeer when none of
-// them answered.
+// Join compares versions with seeds and listed VMs, so that this VM gets the newest configuration
+// that they have. It returns ErrNoPeer if none of them answers.
 func (n *Node) Join(ctx context.Context) error {
 	answers := make(chan struct{}, joinPeers+len(n.options.Seeds))
 	var group errgroup.Group
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// joinAddresses returns names by address; a seed's name is not known yet.
+// joinAddresses returns the names of the VMs to ask, by address. The name of a seed is empty, since
+// it is not known yet.
 func (n *Node) joinAddresses() map[string]string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/peer/load_test.go
+++ b/internal/peer/load_test.go
@@ -49,10 +49,10 @@
 	return l.peers[vm]
 }
 
-// Two VMs send to the same targets and pick by what both have in flight. Each
-// hears of the other's changes alone, also after messages were lost, and forgets
-// the other's load once it is gone: it would hold targets back for a VM that
-// sends them nothing.
+// Two VMs send to the same targets and choose targets by what both have in flight. Each must
+// receive the other's changes, also after messages were lost, and must drop the other's load once
+// the other is unreachable; otherwise targets would be avoided because of a VM that sends them
+// nothing.
 func TestLoadIsExchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 0, Settings{})
@@ -68,22 +68,22 @@
 			f.startWith(vmName(i), store, load, Settings{})
 		}
 		agree := func() bool { return maps.Equal(loads[1].peer(vmName(0)), nonZero(loads[0].InFlight())) }
-		f.within(joinBound, "the first load is known", agree)
+		f.waitFor(joinBound, "the initial load is received", agree)
 		loads[0].set(targetName(1), 9)
 		loads[0].set(targetName(3), 0)
-		f.within(joinBound, "the changes are known", agree)
+		f.waitFor(joinBound, "the changes are received", agree)
 		f.network.SetCut(func(from, to string) bool { return true })
 		loads[0].set(targetName(1), 4)
-		f.within(deathBound, "the load is forgotten", func() bool { return loads[1].peer(vmName(0)) == nil })
+		f.waitFor(deathBound, "the load has expired", func() bool { return loads[1].peer(vmName(0)) == nil })
 		f.network.SetCut(func(string, string) bool { return false })
-		f.within(healBound, "the load is known again", agree)
+		f.waitFor(healBound, "the load is received again", agree)
 	})
 }
 
-// A peer was silent for a while and its load was forgotten here; it goes on with
-// what changed since. Taken as the whole, that would hide most of its load, so it
-// is refused and the peer starts anew.
-func TestForgottenLoadIsSentWhole(t *testing.T) {
+// A peer was silent for a while, so its load has expired here, and it continues with changes. If
+// these were accepted as the whole load, most of it would be missing. They must be rejected, and
+// the peer must send its whole load again.
+func TestExpiredLoadIsSentInFull(t *testing.T) {
 	store := newMemoryStore()
 	fill(store, 1, 2)
 	own := newLoadTable(map[string]int{targetName(0): 1})
@@ -92,17 +92,17 @@
 	receiver := newLoadExchange(sink, time.Minute, store)
 	exchange := func() {
 		sender.refresh()
-		load, seen := sender.give("receiver")
-		receiver.take(&peerpb.Envelope{Vm: "sender"}, load, seen)
-		load, seen = receiver.give("sender")
-		sender.take(&peerpb.Envelope{Vm: "receiver"}, load, seen)
+		load, seen := sender.messageFor("receiver")
+		receiver.receive(&peerpb.Envelope{Vm: "sender"}, load, seen)
+		load, seen = receiver.messageFor("sender")
+		sender.receive(&peerpb.Envelope{Vm: "receiver"}, load, seen)
 	}
 	exchange()
 	receiver.expire(time.Now().Add(time.Hour), func(string) bool { return true })
 	own.set(targetName(1), 2)
 	exchange()
 	if got := sink.peer("sender"); got != nil {
-		t.Fatalf("changes were taken as the whole: %v", got)
+		t.Fatalf("changes were accepted as the whole load: %v", got)
 	}
 	exchange()
 	if got, want := sink.peer("sender"), own.InFlight(); !maps.Equal(got, want) {
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -16,8 +16,7 @@
 	"geraniumcroft/internal/platform"
 )
 
-// Node is this VM's end of the connections to all its peers. It is safe for
-// concurrent use.
+// Node is this VM's side of the protocol with all its peers. It is safe for concurrent use.
 type Node struct {
 	options  Options
 	settings Settings
@@ -31,13 +30,14 @@
 	cancel   context.CancelFunc
 	snapshot snapshotCache
 
-	mu         sync.Mutex // guards the fields below
-	stopped    bool
-	rng        *rand.Rand
-	table      *membership.Table
-	view       map[string]string // name to address
-	swapped    time.Time
-	repaired   time.Time
+	mu           sync.Mutex // guards the fields below
+	stopped      bool
+	rng          *rand.Rand
+	table        *membership.Table
+	view         map[string]string // addresses by name
+	lastViewSwap time.Time
+	// lastRepair is when this VM last sent a digest of its members to compare.
+	lastRepair time.Time
 	nextSeed   int
 	lastAnswer time.Time
 	pushes     map[string]*push
@@ -45,7 +45,7 @@
 	counters   Counters
 }
 
-// New returns a node that neither listens nor sends yet.
+// New returns a Node that does not listen or send yet.
 func New(o Options) *Node {
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
@@ -71,12 +71,14 @@
 	return n
 }
 
+// newRand returns a random source that differs between VMs and processes.
 func newRand(vm string, now time.Time) *rand.Rand {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(vm))
 	return rand.New(rand.NewPCG(hash.Sum64(), uint64(now.UnixNano())))
 }
 
+// identity returns what this VM reports about itself when its process starts at the given time.
 func (n *Node) identity(now time.Time) membership.Identity {
 	return membership.Identity{
 		Name:        n.options.VM,
@@ -87,14 +89,14 @@
 	}
 }
 
-// UpdateVMs takes the platform's list of VMs.
+// UpdateVMs applies the platform's list of VMs.
 func (n *Node) UpdateVMs(vms []platform.VM) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.table.UpdateListed(vms, time.Now())
 }
 
-// Members returns this VM and all that it knows of, in order of name.
+// Members returns this VM and all members that it knows, sorted by name.
 func (n *Node) Members() []membership.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -102,16 +104,16 @@
 	return n.table.Members()
 }
 
-// PeerCount returns how many other VMs may serve.
+// PeerCount returns the number of other VMs that may serve.
 func (n *Node) PeerCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.table.FleetSize() - 1
 }
 
-// HasPeers reports whether there is, or may be, another VM that has not left. It
-// is true for a VM that was cut off so long that it holds all others dead, which
-// PeerCount does not tell from a fleet of one.
+// HasPeers reports whether there is, or may be, another VM that has not left. It is also true for a
+// VM that has been cut off for so long that it holds all others dead; PeerCount cannot distinguish
+// that from a fleet of one.
 func (n *Node) HasPeers() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -126,15 +128,15 @@
 	return slices.ContainsFunc(n.options.Seeds, func(seed string) bool { return !left[seed] })
 }
 
-// Reachable reports whether a peer answered within the bound.
+// Reachable reports whether a peer has answered within ReachableBound.
 func (n *Node) Reachable() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.lastAnswer.IsZero() && time.Since(n.lastAnswer) <= n.settings.ReachableBound
 }
 
-// InForce returns the VMs that may serve and are known to have applied the
-// version, and those that are not, this VM included.
+// InForce returns the names of the VMs that may serve, this one included: those that are known to
+// have the version in force, and those that are not.
 func (n *Node) InForce(version uint64) (confirmed, missing []string) {
 	for _, m := range n.Members() {
 		if !m.MayServe() {
@@ -149,13 +151,15 @@
 	return confirmed, missing
 }
 
-// spawn runs a piece of work that Stop waits for. It reports false once stopped.
+// spawn runs f in a goroutine that Stop waits for. It reports false, without running f, once the
+// node has stopped.
 func (n *Node) spawn(f func(ctx context.Context)) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.spawnLocked(f)
 }
 
+// spawnLocked is spawn for a caller that holds n.mu.
 func (n *Node) spawnLocked(f func(ctx context.Context)) bool {
 	if n.stopped {
 		return false
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -11,22 +11,22 @@
 	"geraniumcroft/internal/invariant"
 )
 
-// ConfigStore holds this VM's configuration.
+// ConfigStore holds the configuration of this VM.
 type ConfigStore interface {
-	// Current returns what is in force on this VM. Its version never falls.
+	// Current returns the newest configuration of this VM. Its version never falls.
 	Current() *config.Snapshot
-	// InForceVersion is the newest version that this VM's parts all act by. It may
-	// be behind Current for a moment; only it may be confirmed to peers, or an
-	// operator is told that a drain is in force where the balancer has yet to see it.
+	// InForceVersion returns the newest version that all parts of this VM apply. It may briefly be
+	// behind the version of Current. Only this version may be confirmed to peers; otherwise an
+	// operator would be told that a drain is in force before the balancer of this VM applies it.
 	InForceVersion() uint64
-	// ApplyChanges applies the changes that follow the current version, skips those
-	// that are applied already, and returns the version that is then in force.
+	// ApplyChanges applies the changes that follow the current version and skips those that are
+	// already applied. It returns the resulting version.
 	ApplyChanges(changes []config.Change) (uint64, error)
-	// ChangesAfter returns up to limit changes that follow a version, and false when
-	// it no longer has them.
+	// ChangesAfter returns up to limit changes that follow a version, and false if the store no
+	// longer has them.
 	ChangesAfter(version uint64, limit int) ([]config.Change, bool)
-	// InstallSnapshot replaces the configuration by a newer one, and reports false
-	// for one that is not newer.
+	// InstallSnapshot replaces the configuration by a newer one. It reports false if the snapshot
+	// is not newer.
 	InstallSnapshot(snapshot *config.Snapshot) bool
 }
 
@@ -34,35 +34,36 @@
 type LoadStore interface {
 	// InFlight returns this VM's requests in flight by target.
 	InFlight() map[string]int
-	// PeerLoad takes all that a peer has in flight; nil when it is not known any more.
+	// PeerLoad replaces the requests in flight of a peer, by target; nil means that they are no
+	// longer known.
 	PeerLoad(vm string, inFlight map[string]int)
 }
 
-// Dial opens a connection to a peer.
+// Dial opens a connection to a peer at the address IP:port.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
 // Options configure a Node.
 type Options struct {
-	// VM is this VM's name, unique in the fleet.
+	// VM is the name of this VM, unique in the fleet.
 	VM         string
 	DataCentre string
-	// Address is IP:port at which peers reach this VM.
+	// Address is the IP:port at which peers reach this VM.
 	Address string
-	// Seeds are addresses of peers to join by, besides the platform's list.
+	// Seeds are addresses of peers to join, in addition to the platform's list.
 	Seeds []string
 	Store ConfigStore
-	// Load is optional.
+	// Load is optional. Without it, no load is exchanged.
 	Load LoadStore
-	// SharesTargets reports whether a VM sends to the same targets as this one. In
-	// a fleet larger than the view, load is exchanged only with those.
+	// SharesTargets reports whether a VM sends requests to the same targets as this one. It may be
+	// nil. In a fleet larger than the view, load is exchanged only with such VMs.
 	SharesTargets func(vm string) bool
 	Invariants    *invariant.Registry
 	Logger        *zap.Logger
 	Settings      Settings
-	// TLS is the listener's, ClientTLS the one for connections to peers; both are
-	// nil for plain connections.
+	// TLS is the configuration of the listener, ClientTLS that of connections to peers. Both are
+	// nil for connections without TLS.
 	TLS       *tls.Config
 	ClientTLS ClientTLS
-	// Dial replaces TCP, for tests.
+	// Dial replaces TCP, for tests; nil uses TCP.
 	Dial Dial
 }
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -28,29 +28,28 @@
 
 func (c *connection) close() { _ = c.conn.Close() }
 
-// pool keeps one connection to each peer of the view. One is enough: HTTP/2
-// interleaves a snapshot with small calls, and what a second kept connection
-// would add, independence of the first going silent, is had from a new one.
+// pool keeps one connection to each peer of the view. One is enough: HTTP/2 multiplexes a snapshot
+// with small calls. A second pooled connection would only help when the first one is silent, and
+// then call opens a new one anyway.
 type pool struct {
 	options []grpc.DialOption
 
-	mu     sync.Mutex // guards the fields below
-	kept   map[string]*connection
-	wanted map[string]bool
-	closed bool
+	mu          sync.Mutex // guards the fields below
+	connections map[string]*connection
+	retained    map[string]bool
+	closed      bool
 }
 
 func newPool(o Options, s Settings, traffic *Traffic) *pool {
 	return &pool{
-		options: dialOptions(o, s, traffic),
-		kept:    map[string]*connection{},
-		wanted:  map[string]bool{},
+		options:     dialOptions(o, s, traffic),
+		connections: map[string]*connection{},
+		retained:    map[string]bool{},
 	}
 }
 
-// dialOptions leave grpc nothing to decide: no resolver, proxy, service config
-// or retry of its own. A failed call is retried by Node.call alone, which knows
-// that a new connection is what matters.
+// dialOptions disables the resolver, proxy, service config and retries of gRPC. A failed call is
+// retried only by Node.call, because the retry has to use a new connection.
 func dialOptions(o Options, s Settings, traffic *Traffic) []grpc.DialOption {
 	dial := o.Dial
 	if dial == nil {
@@ -96,8 +95,8 @@
 	return newClientCredentials(o.ClientTLS)
 }
 
-// open returns a new connection, which connects with its first call.
-func (p *pool) open(address string) (*connection, error) {
+// newConnection returns a new connection, which is established by its first call.
+func (p *pool) newConnection(address string) (*connection, error) {
 	conn, err := grpc.NewClient("passthrough:///"+address, p.options...)
 	if err != nil {
 		return nil, err
@@ -105,20 +104,20 @@
 	return &connection{conn: conn, client: peerpb.NewPeerClient(conn)}, nil
 }
 
-// get returns the kept connection to an address, or nil.
+// get returns the pooled connection to an address, or nil.
 func (p *pool) get(address string) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.kept[address]
+	return p.connections[address]
 }
 
-// offer keeps a connection that has just answered, when its address is wanted
-// and has none, and closes it otherwise.
-func (p *pool) offer(address string, c *connection) {
+// put adds a connection that has just answered, if its address is retained and has no connection
+// yet. Otherwise it closes the connection.
+func (p *pool) put(address string, c *connection) {
 	p.mu.Lock()
-	keep := p.wanted[address] && p.kept[address] == nil && !p.closed
+	keep := p.retained[address] && p.connections[address] == nil && !p.closed
 	if keep {
-		p.kept[address] = c
+		p.connections[address] = c
 	}
 	p.mu.Unlock()
 	if !keep {
@@ -126,36 +125,37 @@
 	}
 }
 
-// drop closes a connection that failed.
+// drop closes a connection that has failed and removes it from the pool.
 func (p *pool) drop(address string, c *connection) {
 	p.mu.Lock()
-	if p.kept[address] == c {
-		delete(p.kept, address)
+	if p.connections[address] == c {
+		delete(p.connections, address)
 	}
 	p.mu.Unlock()
 	c.close()
 }
 
-// want sets the addresses to which connections are kept.
-func (p *pool) want(addresses map[string]bool) {
+// retain sets the addresses whose connections are kept, and closes all other pooled connections.
+func (p *pool) retain(addresses map[string]bool) {
 	p.mu.Lock()
-	p.wanted = addresses
-	var unwanted []*connection
-	for address, c := range p.kept {
+	p.retained = addresses
+	var removed []*connection
+	for address, c := range p.connections {
 		if !addresses[address] {
-			delete(p.kept, address)
-			unwanted = append(unwanted, c)
+			delete(p.connections, address)
+			removed = append(removed, c)
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range unwanted {
+	for _, c := range removed {
 		c.close()
 	}
 }
 
+// close closes all pooled connections. Connections that are put later are closed as well.
 func (p *pool) close() {
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.want(map[string]bool{})
+	p.retain(map[string]bool{})
 }
--- a/internal/peer/probe.go
+++ b/internal/peer/probe.go
@@ -10,23 +10,24 @@
 	"geraniumcroft/internal/peer/peerpb"
 )
 
-// indirectFactor is how much longer a helper's answer may take: the helper may
-// have to try its kept connection and then a new one.
-const indirectFactor = 3
+// indirectTimeoutFactor is the ratio of the timeout of an indirect probe to that of a direct one.
+// The helper may have to try its pooled connection and then a new one.
+const indirectTimeoutFactor = 3
 
-// probeRound probes the member whose turn it is.
+// probeRound probes the next member in the rotation.
 func (n *Node) probeRound() {
 	n.mu.Lock()
 	n.table.Tick(time.Now())
 	m, ok := n.table.NextProbe()
 	n.mu.Unlock()
 	if ok {
-		n.suspect(m)
+		n.startVerification(m)
 	}
 }
 
-// suspect probes a member that may have failed, unless that is under way.
-func (n *Node) suspect(m membership.Member) {
+// startVerification starts to verify a member that may have failed, unless that is already in
+// progress or maxConcurrentProbes are running.
+func (n *Node) startVerification(m membership.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.probing[m.Name] || len(n.probing) >= maxConcurrentProbes {
@@ -44,8 +45,8 @@
 	}
 }
 
-// verify probes a member over the kept connection, a new connection and helpers,
-// in this order, and records the failure of all three.
+// verify probes a member over the pooled connection, a new connection and helpers, in this order,
+// and records a failed probe if all three fail.
 func (n *Node) verify(ctx context.Context, m membership.Member) {
 	n.count(func(c *Counters) *uint64 { return &c.Probes })
 	if n.probe(ctx, m.Name, m.Address) != nil {
@@ -63,20 +64,21 @@
 	n.table.ProbeFailed(m.Name, m.Incarnation, time.Now())
 }
 
-// probe returns the VM's answer, or nil.
+// probe returns the envelope of the VM's answer, or nil if the VM did not answer.
 func (n *Node) probe(ctx context.Context, name, address string) *peerpb.Envelope {
 	var answer *peerpb.ProbeResponse
 	err := n.call(ctx, address, n.settings.CallTimeout, func(ctx context.Context, client peerpb.PeerClient) error {
 		var err error
-		answer, err = client.Probe(ctx, &peerpb.ProbeRequest{Envelope: n.seal(name, maxProbeUpdates)})
+		answer, err = client.Probe(ctx, &peerpb.ProbeRequest{Envelope: n.newEnvelope(name, maxProbeUpdates)})
 		return err
 	})
-	if err != nil || n.openAnswer(name, answer.GetEnvelope()) != nil {
+	if err != nil || n.acceptAnswer(name, answer.GetEnvelope()) != nil {
 		return nil
 	}
 	return answer.GetEnvelope()
 }
 
+// probeThroughHelpers reports whether a member has answered the probe of at least one helper.
 func (n *Node) probeThroughHelpers(ctx context.Context, m membership.Member) bool {
 	n.mu.Lock()
 	helpers := n.table.Helpers(m.Name, n.settings.IndirectProbes)
@@ -98,19 +100,20 @@
 	return len(answered) > 0
 }
 
+// probeThrough asks one helper to probe a member and reports whether the member answered.
 func (n *Node) probeThrough(ctx context.Context, helper, m membership.Member) bool {
 	n.count(func(c *Counters) *uint64 { return &c.IndirectProbes })
 	var answer *peerpb.ProbeForResponse
-	timeout := indirectFactor * n.settings.CallTimeout
+	timeout := indirectTimeoutFactor * n.settings.CallTimeout
 	err := n.call(ctx, helper.Address, timeout, func(ctx context.Context, client peerpb.PeerClient) error {
 		var err error
 		answer, err = client.ProbeFor(ctx, &peerpb.ProbeForRequest{
-			Envelope: n.seal(helper.Name, maxProbeUpdates), Vm: m.Name, Address: m.Address,
+			Envelope: n.newEnvelope(helper.Name, maxProbeUpdates), Vm: m.Name, Address: m.Address,
 		})
 		return err
 	})
-	if err != nil || n.openAnswer(helper.Name, answer.GetEnvelope()) != nil {
+	if err != nil || n.acceptAnswer(helper.Name, answer.GetEnvelope()) != nil {
 		return false
 	}
-	return answer.GetAnswer().GetVm() == m.Name && n.open(answer.GetAnswer())
+	return answer.GetAnswer().GetVm() == m.Name && n.acceptEnvelope(answer.GetAnswer())
 }
--- a/internal/peer/push.go
+++ b/internal/peer/push.go
@@ -8,32 +8,33 @@
 	"geraniumcroft/internal/peer/peerpb"
 )
 
-// push is the state of the pushing to one peer. There is at most one call under
-// way to a peer, so a silent one holds one goroutine however many changes come.
+// push is the state of the pushes to one peer. At most one call to a peer is in progress, so a
+// silent peer occupies one goroutine however many changes there are.
 type push struct {
-	again bool
+	// repeat is set if there were more changes while a push was in progress.
+	repeat bool
 }
 
-// Announce pushes changes that this VM has applied: to every peer of a small
-// fleet, to a few of a large one, which push them on.
+// Announce pushes changes that this VM has applied: to every peer if the whole fleet is in the
+// view, and otherwise to a few peers, which forward them.
 func (n *Node) Announce(changes []config.Change) {
 	if len(changes) == 0 {
 		return
 	}
-	n.pushToSome("")
+	n.pushToPeers("")
 }
 
-// pushToSome pushes what is in force here to peers other than the one that it
-// came from.
-func (n *Node) pushToSome(except string) {
+// pushToPeers pushes what this VM has in force to peers, except to the one from which it came.
+func (n *Node) pushToPeers(except string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, m := range n.pushTargets(except) {
+	for _, m := range n.pushReceivers(except) {
 		n.startPush(m)
 	}
 }
 
-func (n *Node) pushTargets(except string) []membership.Member {
+// pushReceivers returns the peers to push to. The caller holds n.mu.
+func (n *Node) pushReceivers(except string) []membership.Member {
 	if n.settings.PushFanout < 0 {
 		return nil
 	}
@@ -45,13 +46,17 @@
 	return n.table.Sample(n.settings.PushFanout, inView)
 }
 
+// wholeFleetInView reports whether the view has room for all peers that may serve. The caller holds
+// n.mu.
 func (n *Node) wholeFleetInView() bool {
 	return n.table.FleetSize()-1 <= n.settings.ViewSize
 }
 
+// startPush starts a push to a peer, or another one after the push that is in progress. The caller
+// holds n.mu.
 func (n *Node) startPush(m membership.Member) {
 	if running := n.pushes[m.Name]; running != nil {
-		running.again = true
+		running.repeat = true
 		return
 	}
 	n.pushes[m.Name] = &push{}
@@ -60,20 +65,21 @@
 	}
 }
 
+// runPush pushes to a peer until no further round is requested.
 func (n *Node) runPush(ctx context.Context, m membership.Member) {
 	for {
-		n.bringUp(ctx, m)
-		if n.endPush(m.Name) {
+		n.pushUntilCurrent(ctx, m)
+		if n.finishPush(m.Name) {
 			return
 		}
-		m = n.asKnownNow(m)
+		m = n.currentMember(m)
 	}
 }
 
-// asKnownNow returns what this VM holds of a member by now. A round that compared
-// versions with a VM known from the list alone asks for another one, to push; with
-// the member as it was before, that would compare again, without end or pause.
-func (n *Node) asKnownNow(m membership.Member) membership.Member {
+// currentMember returns the current state of a member. If a VM is known only from the list, the
+// first round compares versions and then requests another round, which pushes. With the old state
+// of the member, that round would compare versions again, endlessly and without a pause.
+func (n *Node) currentMember(m membership.Member) membership.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if now, ok := n.table.Get(m.Name); ok {
@@ -82,23 +88,24 @@
 	return m
 }
 
-// endPush reports whether the pushing to a peer is over; it is not when more
-// came meanwhile.
-func (n *Node) endPush(name string) bool {
+// finishPush ends the push to a peer and reports true, unless another round was requested in the
+// meantime.
+func (n *Node) finishPush(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.pushes[name].again && !n.stopped {
-		n.pushes[name].again = false
+	if n.pushes[name].repeat && !n.stopped {
+		n.pushes[name].repeat = false
 		return false
 	}
 	delete(n.pushes, name)
 	return true
 }
 
-// bringUp pushes until the peer has what is in force here.
-func (n *Node) bringUp(ctx context.Context, m membership.Member) {
+// pushUntilCurrent pushes until the peer has what is in force on this VM, in at most maxTransfers
+// messages.
+func (n *Node) pushUntilCurrent(ctx context.Context, m membership.Member) {
 	if m.LastMessage.IsZero() && m.Incarnation == 0 {
-		// Known from the list alone: its version is not known, so compare first.
+		// The member is known only from the list and its version is unknown, so compare first.
 		n.syncMember(ctx, m)
 		return
 	}
@@ -110,17 +117,18 @@
 		}
 		version, err := n.pushOnce(ctx, m, configuration)
 		if err != nil {
-			n.suspect(m)
+			n.startVerification(m)
 			return
 		}
 		if version == known {
-			// The peer takes nothing; it says why in its own log.
+			// The peer has applied nothing. It logs the reason itself.
 			return
 		}
 		known = version
 	}
 }
 
+// pushOnce sends one push and returns the version that the peer has in force afterwards.
 func (n *Node) pushOnce(ctx context.Context, m membership.Member, c *peerpb.Configuration) (uint64, error) {
 	n.count(func(c *Counters) *uint64 { return &c.Pushes })
 	timeout := n.settings.CallTimeout
@@ -130,23 +138,23 @@
 	var answer *peerpb.PushResponse
 	err := n.call(ctx, m.Address, timeout, func(ctx context.Context, client peerpb.PeerClient) error {
 		var err error
-		request := &peerpb.PushRequest{Envelope: n.seal(m.Name, maxProbeUpdates), Configuration: c}
-		answer, err = client.Push(ctx, request, compression(c)...)
+		request := &peerpb.PushRequest{Envelope: n.newEnvelope(m.Name, maxProbeUpdates), Configuration: c}
+		answer, err = client.Push(ctx, request, compressionOptions(c)...)
 		return err
 	})
 	if err != nil {
 		return 0, err
 	}
-	return answer.GetEnvelope().GetVersion(), n.openAnswer(m.Name, answer.GetEnvelope())
+	return answer.GetEnvelope().GetVersion(), n.acceptAnswer(m.Name, answer.GetEnvelope())
 }
 
-// passOn pushes on what was news here, in a fleet that the first push does not
-// reach as a whole.
-func (n *Node) passOn(from string) {
+// forwardChanges pushes newly applied changes to further peers, in a fleet of which the first push
+// does not reach every VM.
+func (n *Node) forwardChanges(from string) {
 	n.mu.Lock()
 	small := n.wholeFleetInView()
 	n.mu.Unlock()
 	if !small {
-		n.pushToSome(from)
+		n.pushToPeers(from)
 	}
 }
--- a/internal/peer/push_listed_test.go
+++ b/internal/peer/push_listed_test.go
@@ -11,19 +11,19 @@
 	"geraniumcroft/internal/platform"
 )
 
-// An operator's change is pushed to a VM that this one knows from the platform's
-// list alone, as it is when both have just started. What the VM has in force is not
-// known, so versions are compared first, which shows that it lacks the change. That
-// asked for another round with the member as it was before: it compared again, and
-// again, without a pause, and never pushed. Callers saw a core taken, and the change
-// late, with the other VM's own round of anti-entropy.
+// A change is pushed to a VM that is known only from the platform's list, as when both VMs have
+// just started. The version of that VM is unknown, so versions are compared first, which shows that
+// it lacks the change and requests another round. If that round uses the old state of the member,
+// it compares versions again, endlessly and without a pause, and never pushes. That takes a whole
+// core, and the change arrives only with the other VM's own anti-entropy.
 func TestPushToVMKnownFromTheListAlone(t *testing.T) {
-	const enoughSteps = 10000
+	const maxSteps = 10000
 	synctest.Test(t, func(t *testing.T) {
 		network := pipenet.NewNetwork()
 		var steps atomic.Int64
-		// Ends an endless exchange, so that virtual time can go on.
-		network.SetCut(func(string, string) bool { return steps.Add(1) > enoughSteps })
+		// Cuts the network off after maxSteps, so that virtual time advances in spite of an endless
+		// exchange.
+		network.SetCut(func(string, string) bool { return steps.Add(1) > maxSteps })
 		start := func(name string) (*Node, *memoryStore) {
 			store := newMemoryStore()
 			node := New(Options{VM: name, Address: name, Store: store, Invariants: invariant.Strict(), Dial: network.DialFrom(name)})
@@ -39,7 +39,7 @@
 		sender.Announce(changes)
 		time.Sleep(time.Second)
 		if there.Current().Version != here.Current().Version {
-			t.Errorf("the listed VM is at version %d of %d", there.Current().Version, here.Current().Version)
+			t.Errorf("the listed VM has version %d, want %d", there.Current().Version, here.Current().Version)
 		}
 		if syncs := sender.Counters().Syncs; syncs != 1 {
 			t.Errorf("versions were compared %d times", syncs)
--- a/internal/peer/random_test.go
+++ b/internal/peer/random_test.go
@@ -13,7 +13,7 @@
 	"geraniumcroft/internal/config"
 )
 
-// TestMain fixes the seed unless one is given, so that each run tests the same.
+// TestMain sets a fixed seed unless one is given, so that each run tests the same cases.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "320")
 	flag.Parse()
@@ -27,24 +27,24 @@
 	faultChangeThenDeath
 	faultKill
 	faultRestart
-	faultHalves
-	faultCutOff
+	faultPartition
+	faultIsolate
 	faultSilence
 	faultHeal
 	faultCount
 )
 
-// fault is one thing that happens to a fleet, and the quiet time after it.
+// fault is one fault or change that is injected into a fleet, and the time to wait after it.
 type fault struct {
 	kind faultKind
 	vm   int
 	wait time.Duration
 }
 
-// Operators change profiles while VMs die, come back, are cut off and find their
-// connections silent, at random, one after the other and at once. Once the
-// faults end, all VMs know each other and have the newest configuration that any
-// of them kept. The nodes' own invariant, that no version falls, is on.
+// Operators change the configuration while VMs die, restart, are cut off and find their connections
+// silent, at random, one after the other and at the same time. Once the faults have ended, all VMs
+// must know each other and have the newest configuration that any of them still had. The invariant
+// that no version falls is checked by the nodes.
 func TestRandomFaultsOfWholeNodes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		size := rapid.IntRange(2, 6).Draw(rt, "size")
@@ -54,7 +54,7 @@
 			r := &randomRun{fleet: newFleet(t, size, Settings{}), size: size}
 			defer r.fleet.stop()
 			for _, f := range faults {
-				r.inflict(f)
+				r.inject(f)
 				time.Sleep(f.wait)
 			}
 			failure = r.settle()
@@ -73,14 +73,14 @@
 	}
 }
 
-// randomRun is a fleet and the history that the platform's table would hold.
+// randomRun is a fleet and the history of changes that the platform's table would hold.
 type randomRun struct {
 	fleet   *fleet
 	size    int
 	history []config.Change
 }
 
-func (r *randomRun) inflict(f fault) {
+func (r *randomRun) inject(f fault) {
 	name := vmName(f.vm)
 	vm := r.fleet.vms[name]
 	switch f.kind {
@@ -89,19 +89,19 @@
 			r.change(vm)
 		}
 		if vm != nil && f.kind == faultChangeThenDeath {
-			r.end(vm)
+			r.kill(vm)
 		}
 	case faultKill:
 		if vm != nil {
-			r.end(vm)
+			r.kill(vm)
 		}
 	case faultRestart:
 		if vm == nil {
 			r.fleet.start(name, newMemoryStore(), Settings{})
 		}
-	case faultHalves:
+	case faultPartition:
 		r.fleet.network.SetCut(func(from, to string) bool { return (from < name) != (to < name) })
-	case faultCutOff:
+	case faultIsolate:
 		r.fleet.network.SetCut(func(from, to string) bool { return from == name || to == name })
 	case faultSilence:
 		r.fleet.network.Silence(func(from, to string) bool { return from == name || to == name })
@@ -110,7 +110,8 @@
 	}
 }
 
-// change reads the table, commits the next change and announces it.
+// change applies the history to the VM, as if it had read the table, then commits the next change
+// and announces it.
 func (r *randomRun) change(vm *testVM) {
 	if _, err := vm.store.ApplyChanges(r.history); err != nil {
 		panic(err)
@@ -120,14 +121,14 @@
 	vm.node.Announce(changes)
 }
 
-func (r *randomRun) end(vm *testVM) {
+func (r *randomRun) kill(vm *testVM) {
 	vm.stop()
 	<-vm.done
 	vm.node.Stop()
 	delete(r.fleet.vms, vm.name)
 }
 
-// settle ends all faults and returns what is wrong after the bound.
+// settle ends all faults and returns what is still wrong after healBound, or an empty string.
 func (r *randomRun) settle() string {
 	r.fleet.network.SetCut(func(string, string) bool { return false })
 	for i := range r.size {
@@ -147,7 +148,7 @@
 	}
 	for _, vm := range r.fleet.vms {
 		if vm.store.Current().Version != newest || vm.node.PeerCount() != r.size-1 {
-			return fmt.Sprintf("%s is at %d of %d and knows %d peers", vm.name, vm.store.Current().Version, newest, vm.node.PeerCount())
+			return fmt.Sprintf("%s has version %d, want %d, and knows %d peers", vm.name, vm.store.Current().Version, newest, vm.node.PeerCount())
 		}
 	}
 	return "settled late"
--- a/internal/peer/run.go
+++ b/internal/peer/run.go
@@ -6,27 +6,28 @@
 )
 
 const (
-	// jitterShare is the share of a period by which timers differ, so that VMs that
-	// started together do not stay in step.
-	jitterShare = 0.2
-	// stopGrace bounds the wait for peers' calls at the end.
-	stopGrace = time.Second
+	// jitterFraction is the total range of the jitter as a fraction of the period. VMs that started
+	// together would otherwise act at the same times.
+	jitterFraction = 0.2
+	// stopTimeout bounds the graceful stop of the server, in which calls of peers may end.
+	stopTimeout = time.Second
 )
 
-// Run drives anti-entropy and probes until the context ends.
+// Run performs anti-entropy and probes until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		n.every(ctx, n.settings.ProbePeriod, n.probeRound)
+		n.runPeriodically(ctx, n.settings.ProbePeriod, n.probeRound)
 	}()
 	n.refreshView(time.Now())
 	n.syncRound()
-	n.every(ctx, n.settings.SyncPeriod, n.syncRound)
+	n.runPeriodically(ctx, n.settings.SyncPeriod, n.syncRound)
 	<-done
 }
 
-func (n *Node) every(ctx context.Context, period time.Duration, round func()) {
+// runPeriodically calls round once per jittered period until ctx ends.
+func (n *Node) runPeriodically(ctx context.Context, period time.Duration, round func()) {
 	timer := time.NewTimer(n.jittered(period))
 	defer timer.Stop()
 	for {
@@ -43,11 +44,11 @@
 func (n *Node) jittered(period time.Duration) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	share := 1 + jitterShare*(n.rng.Float64()-0.5)
+	share := 1 + jitterFraction*(n.rng.Float64()-0.5)
 	return time.Duration(share * float64(period))
 }
 
-// Stop ends all calls and connections. It does not tell peers; Leave does.
+// Stop ends all calls and closes all connections. It does not notify peers; Leave does.
 func (n *Node) Stop() {
 	n.mu.Lock()
 	n.stopped = true
@@ -58,8 +59,8 @@
 	n.pool.close()
 }
 
-// stopServer lets calls in hand end, but not for long: a silent connection would
-// hold the graceful stop for good.
+// stopServer lets calls in progress end, but only for stopTimeout: a silent connection would delay
+// a graceful stop forever.
 func (n *Node) stopServer() {
 	ended := make(chan struct{})
 	go func() {
@@ -68,7 +69,7 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(stopGrace):
+	case <-time.After(stopTimeout):
 		n.server.Stop()
 		<-ended
 	}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -7,7 +7,7 @@
 	"google.golang.org/grpc/keepalive"
 )
 
-// maxStreams bounds the calls under way on one accepted connection.
+// maxStreams bounds the concurrent calls on one accepted connection.
 const maxStreams = 64
 
 func newServer(o Options, s Settings) *grpc.Server {
@@ -23,7 +23,7 @@
 	)
 }
 
-// Serve answers peers until Stop.
+// Serve accepts connections from peers and answers their calls until Stop.
 func (n *Node) Serve(lis net.Listener) error {
 	return n.server.Serve(&countingListener{
 		Listener: lis,
--- a/internal/peer/settings.go
+++ b/internal/peer/settings.go
@@ -6,41 +6,41 @@
 	"geraniumcroft/internal/membership"
 )
 
-// Settings are the timers and bounds of a Node. Zero fields take the defaults.
+// Settings are the timers and limits of a Node. Fields that are zero take their defaults.
 type Settings struct {
 	// SyncPeriod is the time between two rounds of anti-entropy.
 	SyncPeriod time.Duration
-	// SyncPeers is how many peers one round compares versions with.
+	// SyncPeers is the number of peers with which one round compares versions.
 	SyncPeers int
 	// ProbePeriod is the time between two probes.
 	ProbePeriod time.Duration
-	// CallTimeout bounds one attempt of a small call, connecting included.
+	// CallTimeout bounds one attempt of a small call, including connecting.
 	CallTimeout time.Duration
 	// TransferTimeout bounds an attempt that may carry a snapshot.
 	TransferTimeout time.Duration
-	// IndirectProbes is how many helpers probe a VM that did not answer.
+	// IndirectProbes is the number of helpers that probe a VM that did not answer.
 	IndirectProbes int
-	// ViewSize is how many peers a VM keeps connections to. A fleet in which that
-	// is everyone is pushed to directly.
+	// ViewSize is the number of peers to which a VM keeps connections. If the whole fleet fits the
+	// view, changes are pushed to all VMs directly.
 	ViewSize int
-	// ViewSwapPeriod is how often a large fleet's view replaces one peer.
+	// ViewSwapPeriod is the time after which the view of a large fleet replaces one peer.
 	ViewSwapPeriod time.Duration
-	// RepairPeriod is the least time between two exchanges of all members, which
-	// repair what rumours missed.
+	// RepairPeriod is the least time between two comparisons of the members' digests. If digests
+	// differ, all members are exchanged, which repairs what rumours did not reach.
 	RepairPeriod time.Duration
-	// PushFanout is how many peers a VM of a large fleet pushes a new change to; a
-	// negative one leaves all to anti-entropy.
+	// PushFanout is the number of peers to which a VM of a large fleet pushes a new change. If it
+	// is negative, no VM pushes changes and only anti-entropy transfers them.
 	PushFanout int
-	// ReachableBound is how fresh the last answer of a peer must be for Reachable. It
-	// is shorter than the suspicion timeout, so a VM that is cut off knows it before
-	// the others hold it dead and accept changes without it.
+	// ReachableBound is the greatest age of the last answer of a peer for which Reachable is true.
+	// It is shorter than the suspicion timeout, so that a VM that is cut off detects it before the
+	// others hold it dead and accept changes without it.
 	ReachableBound time.Duration
-	// LoadExpiry is how long a peer's load is believed. A generation takes some
-	// twenty seconds, so what was in flight a few seconds ago mostly still is.
+	// LoadExpiry is how long the load of a peer is used. A generation takes some twenty seconds,
+	// so most requests that were in flight a few seconds ago still are.
 	LoadExpiry time.Duration
-	// KeepAlivePeriod is the time between two pings on an idle kept connection.
+	// KeepAlivePeriod is the time between two pings on an idle pooled connection.
 	KeepAlivePeriod time.Duration
-	// KeepAliveTimeout bounds the answer to a ping and unacknowledged data.
+	// KeepAliveTimeout bounds the time until a ping is answered and until sent data is acknowledged.
 	KeepAliveTimeout time.Duration
 	Membership       membership.Settings
 }
@@ -63,7 +63,7 @@
 	DefaultKeepAliveTimeout = 3 * time.Second
 )
 
-// The bounds of messages.
+// The limits of messages, and of the work for them.
 const (
 	maxMessageBytes      = 64 << 20
 	maxChangesPerMessage = 512
--- a/internal/peer/snapshot_cache.go
+++ b/internal/peer/snapshot_cache.go
@@ -8,17 +8,19 @@
 	"geraniumcroft/internal/config"
 )
 
-const snapshotKept = 30 * time.Second
+// snapshotTTL is how long an encoded snapshot is cached.
+const snapshotTTL = 30 * time.Second
 
-// snapshotCache keeps the newest encoded snapshot for a while, so that a fleet
-// that joins at once does not have it encoded for each VM.
+// snapshotCache caches the newest encoded snapshot, so that it is not encoded for each VM when a
+// whole fleet joins at once. It is safe for concurrent use.
 type snapshotCache struct {
-	mu      sync.Mutex // guards the fields below
-	version uint64
-	encoded []byte
-	at      time.Time
+	mu        sync.Mutex // guards the fields below
+	version   uint64
+	encoded   []byte
+	encodedAt time.Time
 }
 
+// encode returns the snapshot as JSON. The caller must not modify the result.
 func (c *snapshotCache) encode(s *config.Snapshot) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -29,15 +31,15 @@
 	if err != nil {
 		return nil, err
 	}
-	c.version, c.encoded, c.at = s.Version, encoded, time.Now()
+	c.version, c.encoded, c.encodedAt = s.Version, encoded, time.Now()
 	return encoded, nil
 }
 
-// trim frees a snapshot that nobody asked for lately.
-func (c *snapshotCache) trim(now time.Time) {
+// evictExpired frees the encoded snapshot once it is older than snapshotTTL.
+func (c *snapshotCache) evictExpired(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.encoded != nil && now.Sub(c.at) > snapshotKept {
+	if c.encoded != nil && now.Sub(c.encodedAt) > snapshotTTL {
 		c.encoded = nil
 	}
 }
--- a/internal/peer/store_test.go
+++ b/internal/peer/store_test.go
@@ -9,13 +9,13 @@
 	"geraniumcroft/internal/config"
 )
 
-// memoryStore is a ConfigStore without a platform.
+// memoryStore is a ConfigStore in memory.
 type memoryStore struct {
 	mu      sync.Mutex
 	current *config.Snapshot
 	changes []config.Change
-	// held, when above 0, is the newest version that this VM's parts act by.
-	held uint64
+	// inForceLimit, if above 0, bounds the version that counts as in force on this VM.
+	inForceLimit uint64
 }
 
 func newMemoryStore() *memoryStore { return &memoryStore{current: config.NewSnapshot()} }
@@ -29,16 +29,16 @@
 func (s *memoryStore) InForceVersion() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held > 0 {
-		return min(s.held, s.current.Version)
+	if s.inForceLimit > 0 {
+		return min(s.inForceLimit, s.current.Version)
 	}
 	return s.current.Version
 }
 
-func (s *memoryStore) hold(version uint64) {
+func (s *memoryStore) limitInForce(version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held = version
+	s.inForceLimit = version
 }
 
 func (s *memoryStore) ApplyChanges(changes []config.Change) (uint64, error) {
@@ -78,7 +78,7 @@
 	return true
 }
 
-// commit makes the next change, as the platform's table would.
+// commit adds the next change, as the platform's table would, and returns it.
 func (s *memoryStore) commit(name string) []config.Change {
 	value, _ := json.Marshal(config.Workspace{Weight: 1})
 	change := config.Change{
@@ -93,7 +93,7 @@
 
 func targetName(i int) string { return fmt.Sprintf("target-%04d", i) }
 
-// fill commits the configuration of the size that the system is designed for.
+// fill installs a configuration with the given numbers of workspaces and targets.
 func fill(s *memoryStore, workspaces, targets int) {
 	snapshot := config.NewSnapshot()
 	snapshot.Version = 1
--- a/internal/peer/sync.go
+++ b/internal/peer/sync.go
@@ -8,13 +8,13 @@
 	"geraniumcroft/internal/peer/peerpb"
 )
 
-// syncRound compares versions with a few random peers of the view, and with one
-// seed that no live member answers for.
+// syncRound compares versions with a few random peers of the view, and with one seed that is not
+// the address of a live member.
 func (n *Node) syncRound() {
 	now := time.Now()
 	n.load.refresh()
 	n.load.expire(now, n.mayServe)
-	n.snapshot.trim(now)
+	n.snapshot.evictExpired(now)
 	n.refreshView(now)
 	n.mu.Lock()
 	peers := n.syncPeers()
@@ -35,8 +35,8 @@
 	return ok && m.MayServe()
 }
 
-// syncPeers picks this round's peers. In a large fleet one of them shares
-// targets, so that load is heard from those whose load matters.
+// syncPeers returns the peers of this round. In a large fleet one of them shares targets with this
+// VM, so that load is received from the VMs whose load matters. The caller holds n.mu.
 func (n *Node) syncPeers() []membership.Member {
 	inView := func(m *membership.Member) bool { return n.view[m.Name] != "" }
 	peers := n.table.Sample(n.settings.SyncPeers, inView)
@@ -47,7 +47,8 @@
 	return append(peers[:len(peers)-1], sharing...)
 }
 
-// unknownSeed returns the next seed that is not the address of a live member.
+// unknownSeed returns the next seed that is not the address of a member that may serve and has sent
+// a message, or an empty string. The caller holds n.mu.
 func (n *Node) unknownSeed() string {
 	known := map[string]bool{n.options.Address: true}
 	for _, m := range n.table.ServingMembers() {
@@ -63,14 +64,16 @@
 	return ""
 }
 
+// syncMember compares versions with a member and starts to verify it if that fails.
 func (n *Node) syncMember(ctx context.Context, m membership.Member) {
 	if err := n.syncWith(ctx, m.Name, m.Address); err != nil {
-		n.suspect(m)
+		n.startVerification(m)
 	}
 }
 
-// syncWith compares versions with one peer, until neither lacks anything. The
-// name is empty for a seed.
+// syncWith compares versions with one peer and transfers what this VM lacks, in at most
+// maxTransfers calls; then it pushes what the peer lacks. The name is empty for a seed, whose VM is
+// not known.
 func (n *Node) syncWith(ctx context.Context, name, address string) error {
 	n.count(func(c *Counters) *uint64 { return &c.Syncs })
 	for range maxTransfers {
@@ -78,16 +81,16 @@
 		if err != nil {
 			return err
 		}
-		if err := n.openAnswer(name, answer.GetEnvelope()); err != nil {
+		if err := n.acceptAnswer(name, answer.GetEnvelope()); err != nil {
 			return err
 		}
-		n.load.take(answer.GetEnvelope(), answer.GetLoad(), answer.GetLoadSeen())
-		rose := n.apply(answer.GetConfiguration())
-		if rose {
-			n.passOn(answer.GetEnvelope().GetVm())
+		n.load.receive(answer.GetEnvelope(), answer.GetLoad(), answer.GetLoadSeen())
+		advanced := n.apply(answer.GetConfiguration())
+		if advanced {
+			n.forwardChanges(answer.GetEnvelope().GetVm())
 		}
-		if !rose || n.options.Store.Current().Version >= answer.GetEnvelope().GetVersion() {
-			n.offerNewer(answer.GetEnvelope())
+		if !advanced || n.options.Store.Current().Version >= answer.GetEnvelope().GetVersion() {
+			n.pushIfBehind(answer.GetEnvelope())
 			return nil
 		}
 	}
@@ -107,29 +110,31 @@
 func (n *Node) syncRequest(to string) *peerpb.SyncRequest {
 	load, seen := n.loadFor(to)
 	return &peerpb.SyncRequest{
-		Envelope: n.seal(to, maxSyncUpdates),
+		Envelope: n.newEnvelope(to, maxSyncUpdates),
 		Load:     load,
 		LoadSeen: seen,
 		Joining:  !n.Reachable(),
-		Digest:   n.digestToCompare(),
+		Digest:   n.digestIfDue(),
 	}
 }
 
-// digestToCompare returns the digest of this VM's members now and then, once it
-// is quiet. Rumours die out and the rotation takes minutes to bring a large
-// fleet's every member; a difference of digests brings all at once.
-func (n *Node) digestToCompare() uint64 {
+// digestIfDue returns the digest of this VM's members if RepairPeriod has passed and no rumour is
+// pending, and 0 otherwise. Rumours may die out before they reach every VM, and it takes minutes
+// until the rotation has sent every member of a large fleet. If the digests differ, all members are
+// sent at once.
+func (n *Node) digestIfDue() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if time.Since(n.repaired) < n.settings.RepairPeriod || !n.table.Quiescent() {
+	if time.Since(n.lastRepair) < n.settings.RepairPeriod || !n.table.Quiescent() {
 		return 0
 	}
-	n.repaired = time.Now()
+	n.lastRepair = time.Now()
 	return n.table.Digest()
 }
 
-// differs reports whether a peer's members are not this VM's.
-func (n *Node) differs(digest uint64) bool {
+// digestDiffers reports whether a peer's members differ from this VM's. It is false for the digest
+// 0.
+func (n *Node) digestDiffers(digest uint64) bool {
 	if digest == 0 {
 		return false
 	}
@@ -138,8 +143,8 @@
 	return digest != n.table.Digest()
 }
 
-// offerNewer pushes to a peer whose answer showed that it lacks something.
-func (n *Node) offerNewer(e *peerpb.Envelope) {
+// pushIfBehind pushes to a peer whose envelope has a lower version than this VM.
+func (n *Node) pushIfBehind(e *peerpb.Envelope) {
 	if e.GetVersion() >= n.options.Store.Current().Version {
 		return
 	}
--- a/internal/peer/target_names.go
+++ b/internal/peer/target_names.go
@@ -8,10 +8,10 @@
 	"geraniumcroft/internal/config"
 )
 
-// hashName shortens a target's name for a message.
+// hashName returns the hash that stands for a target's name in messages.
 func hashName(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// targetNames finds targets by the hash of their names.
+// targetNames maps the hashes of targets' names back to the names. It is safe for concurrent use.
 type targetNames struct {
 	source config.Source
 
@@ -20,9 +20,9 @@
 	names   map[uint32]string
 }
 
-// resolve returns loads by name. A hash that no target of this VM's
-// configuration has, or that two have, is left out: a load that is missing makes
-// a choice a little worse, a wrong one would hold the wrong target back.
+// resolve returns loads by target name. A hash is ignored if no target of this VM's configuration
+// has it, or if two have it: a missing load makes the choice of a target slightly worse, while a
+// wrong one would keep work from the wrong target.
 func (t *targetNames) resolve(byHash map[uint32]int) map[string]int {
 	names := t.current()
 	byName := make(map[string]int, len(byHash))
@@ -34,6 +34,8 @@
 	return byName
 }
 
+// current returns the names by hash for the current configuration. The name is empty for a hash
+// that two targets have.
 func (t *targetNames) current() map[uint32]string {
 	snapshot := t.source.Current()
 	t.mu.Lock()
@@ -44,7 +46,7 @@
 	names := make(map[uint32]string, len(snapshot.Targets))
 	for name := range snapshot.Targets {
 		hash := hashName(name)
-		if _, twice := names[hash]; twice {
+		if _, ambiguous := names[hash]; ambiguous {
 			names[hash] = ""
 			continue
 		}
--- a/internal/peer/tcp.go
+++ b/internal/peer/tcp.go
@@ -9,9 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// dialTCP returns a Dial that sets TCP_USER_TIMEOUT. Data that a silent network
-// never acknowledges would otherwise be sent again for a quarter of an hour
-// before the kernel reports it.
+// dialTCP returns a Dial that sets TCP_USER_TIMEOUT. Otherwise the kernel would retransmit data
+// that a silent network never acknowledges for a quarter of an hour before it reports an error.
 func dialTCP(timeout time.Duration) Dial {
 	dialer := &net.Dialer{
 		Control: func(_, _ string, raw syscall.RawConn) error {
@@ -23,8 +22,8 @@
 	}
 }
 
-// prepareAccepted sets TCP_USER_TIMEOUT on an accepted connection. A connection
-// that is not TCP, in tests, stays as it is.
+// prepareAccepted returns a function that sets TCP_USER_TIMEOUT on an accepted connection. A
+// connection that is not TCP, as in tests, is not changed.
 func prepareAccepted(timeout time.Duration) func(net.Conn) {
 	return func(conn net.Conn) {
 		tcp, ok := conn.(*net.TCPConn)
@@ -38,12 +37,12 @@
 }
 
 func setUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
-	var failed error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -17,7 +17,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// authority signs certificates of VMs for IP numbers.
+// authority is a certificate authority that signs certificates of VMs for IP addresses.
 type authority struct {
 	t    *testing.T
 	cert *x509.Certificate
@@ -81,10 +81,10 @@
 	}
 }
 
-// Peers use mutual TLS. A VM whose certificate the fleet's authority signed joins
-// by IP number; one without a certificate, one signed by another authority and
-// one that speaks no TLS get nothing of the configuration.
-func TestOnlyKnownPeersJoin(t *testing.T) {
+// Peers use mutual TLS. A VM whose certificate was signed by the fleet's authority must join by IP
+// address. A VM without a certificate, one with a certificate of another authority and one that
+// does not use TLS must get no part of the configuration.
+func TestOnlyPeersWithValidCertificateJoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, ours, other := pipenet.NewNetwork(), newAuthority(t), newAuthority(t)
 		server := ours.options("server", "10.0.0.1", ours.certificate("10.0.0.1"))
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -5,18 +5,20 @@
 	"sync/atomic"
 )
 
-// Traffic counts the bytes on all connections between this VM and its peers.
+// Traffic counts the bytes on all connections between this VM and its peers. It is safe for
+// concurrent use.
 type Traffic struct {
 	sent     atomic.Uint64
 	received atomic.Uint64
 }
 
-// Sent returns the bytes written.
+// Sent returns the number of bytes written.
 func (t *Traffic) Sent() uint64 { return t.sent.Load() }
 
-// Received returns the bytes read.
+// Received returns the number of bytes read.
 func (t *Traffic) Received() uint64 { return t.received.Load() }
 
+// countingConn is a connection that counts its bytes.
 type countingConn struct {
 	net.Conn
 	traffic *Traffic
@@ -34,6 +36,7 @@
 	return written, err
 }
 
+// countingListener prepares the connections that it accepts and counts their bytes.
 type countingListener struct {
 	net.Listener
 	traffic *Traffic
@@ -49,5 +52,5 @@
 	return &countingConn{Conn: conn, traffic: l.traffic}, nil
 }
 
-// Traffic returns the bytes exchanged with peers.
+// Traffic returns the counters of the bytes exchanged with peers. They keep counting.
 func (n *Node) Traffic() *Traffic { return n.traffic }
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -7,26 +7,27 @@
 	"geraniumcroft/internal/membership"
 )
 
-// refreshView fills the view with members that may serve. A large fleet's view
-// replaces one peer now and then, so that the graph of kept connections keeps
-// changing and no group of VMs stays apart.
+// refreshView removes members from the view that may not serve and fills the view with members that
+// may. In a large fleet it also replaces one peer once per ViewSwapPeriod, so that the graph of
+// pooled connections keeps changing and no group of VMs stays separated.
 func (n *Node) refreshView(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.table.Tick(now)
 	n.pruneView()
-	if now.Sub(n.swapped) >= n.settings.ViewSwapPeriod && !n.wholeFleetInView() {
-		n.swapped = now
+	if now.Sub(n.lastViewSwap) >= n.settings.ViewSwapPeriod && !n.wholeFleetInView() {
+		n.lastViewSwap = now
 		n.dropFromView()
 	}
 	n.fillView()
-	wanted := map[string]bool{}
+	addresses := map[string]bool{}
 	for _, address := range n.view {
-		wanted[address] = true
+		addresses[address] = true
 	}
-	n.pool.want(wanted)
+	n.pool.retain(addresses)
 }
 
+// pruneView removes members that may not serve or whose address has changed. The caller holds n.mu.
 func (n *Node) pruneView() {
 	for name, address := range n.view {
 		if m, ok := n.table.Get(name); !ok || !m.MayServe() || m.Address != address {
@@ -35,6 +36,7 @@
 	}
 }
 
+// dropFromView removes a random member from a full view. The caller holds n.mu.
 func (n *Node) dropFromView() {
 	names := make([]string, 0, len(n.view))
 	for name := range n.view {
@@ -47,6 +49,7 @@
 	delete(n.view, names[n.rng.IntN(len(names))])
 }
 
+// fillView adds random members until the view is full. The caller holds n.mu.
 func (n *Node) fillView() {
 	missing := n.settings.ViewSize - len(n.view)
 	if missing <= 0 {
