--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -120,8 +120,8 @@
 	n.store.Subscribe(n.onConfig)
 }
 
-// isWatched reports whether this VM sends requests to the target. A target can be outside the VM's
-// subset only in a large fleet.
+// isWatched reports whether this VM sends requests to the target. That is not the case if the
+// target is outside the VM's subset, which only happens in a large fleet.
 func (n *Node) isWatched(target string) bool {
 	_, reason := n.balancer.Usable(target)
 	return reason != balance.ReasonOutsideSubset
--- a/internal/node/isolation.go
+++ b/internal/node/isolation.go
@@ -57,8 +57,8 @@
 	return p.ok
 }
 
-// isolationMonitor confirms to the gate, for as long as that is known, that this VM has the
-// configuration in force.
+// isolationMonitor keeps confirming to the gate that this VM has the configuration in force, and
+// closes the gate while that is not known.
 type isolationMonitor struct {
 	connectivity connectivity
 	gate         *router.Gate
--- a/internal/node/isolation_test.go
+++ b/internal/node/isolation_test.go
@@ -12,7 +12,8 @@
 
 // A VM that is cut off from the store and from every peer must serve its callers until
 // isolationTimeout, because changes still wait for its confirmation. Then it must refuse them as
-// not executed and be unready for the balancer. Once the store is back it must serve again.
+// not executed and be unready for the balancer. Once one of them is reachable again it must serve
+// again; the test brings back the store.
 func TestCutOffVMRefusesAfterTheBound(t *testing.T) {
 	cases := []struct {
 		name         string
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -52,9 +52,10 @@
 	}()
 }
 
-// loadConfig reads the configuration in force, with retries. The store or one peer is enough, but
-// both are asked: a change that was committed right before the store became unavailable may be
-// known to peers only, and a change that has not reached a peer yet is known to the store only.
+// loadConfig reads the configuration in force, with retries, and then makes the VM ready. The store
+// or one peer is enough, but both are asked: a change that was committed right before the store
+// became unavailable is known to peers only, and a change that has not reached a peer yet is known
+// to the store only.
 func (n *Node) loadConfig() {
 	for n.ctx.Err() == nil {
 		if n.tryLoadConfig() {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -130,8 +130,8 @@
 
 // A drain must not be reported as in force while a VM still sends to the target. The VM is held
 // dead by its peers, but callers and the table still reach it, and it reads the drain from the
-// table seconds later. While it has a row, it must be missing until its next poll has taken place,
-// and no longer: a VM that did die must not delay changes for good.
+// table seconds later. While it has a row, it must be missing until its next poll must have taken
+// place, and no longer: a VM that did die must not delay changes for good.
 func TestVMCutOffFromItsPeersIsMissingUntilItsNextPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := platformsim.NewStore()
@@ -159,9 +159,9 @@
 	})
 }
 
-// A VM wrote its row and died before the accepting VM knew of it. The accepting VM scanned the rows
-// once for the change and kept using the cached row after a sweep had deleted it. The change was
-// then never in force, and a target that was waiting for its reload got no work for good.
+// A VM wrote its row and died before the accepting VM knew of it. Once a sweep has deleted the row,
+// the accepting VM must not continue to use it from its cache. Otherwise the change is never in
+// force, and a target that waits for its reload gets no work for good.
 func TestSweptRowHoldsNothingUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := platformsim.NewStore()
