--- a/internal/api/body.go
+++ b/internal/api/body.go
@@ -13,7 +13,7 @@
 
 // readBody reads the whole body within the bounds of size and time, and notes its
 // size and digest.
-func (x *exchange) readBody(id *router.Identity) ([]byte, *outcome.Failure) {
+func (x *exchange) readBody(id *router.Metadata) ([]byte, *outcome.Failure) {
 	if x.r.ContentLength > x.options.MaxBodyBytes {
 		x.w.Header().Set("Connection", "close")
 		return nil, bodyTooLarge()
--- a/internal/api/call.go
+++ b/internal/api/call.go
@@ -34,7 +34,7 @@
 	if failure != nil {
 		return router.CallRequest{}, failure
 	}
-	return router.CallRequest{Identity: id, Body: body, ContentType: x.r.Header.Get("Content-Type")}, nil
+	return router.CallRequest{Metadata: id, Body: body, ContentType: x.r.Header.Get("Content-Type")}, nil
 }
 
 func (x *exchange) answerCall(result router.CallResult) {
--- a/internal/api/generation.go
+++ b/internal/api/generation.go
@@ -48,7 +48,7 @@
 		return nil, failure
 	}
 	return &generation{
-		GenerateRequest: router.GenerateRequest{Identity: id, Prompt: parsed.prompt, MaxTokens: parsed.maxTokens},
+		GenerateRequest: router.GenerateRequest{Metadata: id, Prompt: parsed.prompt, MaxTokens: parsed.maxTokens},
 		shape:           s,
 		stream:          parsed.stream,
 		includeUsage:    parsed.includeUsage,
--- a/internal/api/generation_test.go
+++ b/internal/api/generation_test.go
@@ -69,7 +69,7 @@
 			So(got.Prompt, ShouldResemble, []string{"be ", "brief", "what ", " ", "now "})
 			So(got.MaxTokens, ShouldEqual, 7)
 			So(got.IdempotencyKey, ShouldEqual, "k-1")
-			So(got.Deadline, ShouldEqual, 1500*time.Millisecond)
+			So(got.CallerTimeout, ShouldEqual, 1500*time.Millisecond)
 			So(got.BearerKey.Reveal(), ShouldEqual, "secret")
 		})
 
--- a/internal/api/head.go
+++ b/internal/api/head.go
@@ -43,13 +43,13 @@
 }
 
 // identity reads what the headers say of the request.
-func (x *exchange) identity() (router.Identity, *outcome.Failure) {
-	id := router.Identity{RequestID: x.id, Arrival: x.arrival}
+func (x *exchange) identity() (router.Metadata, *outcome.Failure) {
+	id := router.Metadata{RequestID: x.id, Arrival: x.arrival}
 	var problem string
 	if id.IdempotencyKey, problem = parseKey(x.r.Header[HeaderIdempotencyKey], x.options.MaxKeyBytes); problem != "" {
 		return id, badRequest(problem)
 	}
-	if id.Deadline, problem = parseDeadline(x.r.Header[HeaderDeadline]); problem != "" {
+	if id.CallerTimeout, problem = parseDeadline(x.r.Header[HeaderDeadline]); problem != "" {
 		return id, badRequest(problem)
 	}
 	bearer, problem := parseBearer(x.r.Header["Authorization"])
@@ -114,7 +114,7 @@
 	return strings.TrimSpace(key), ""
 }
 
-func (x *exchange) setProfile(id *router.Identity, name string) *outcome.Failure {
+func (x *exchange) setProfile(id *router.Metadata, name string) *outcome.Failure {
 	switch {
 	case name == "":
 		return badRequest("No profile is named.")
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -56,7 +56,7 @@
 // another request, declares that the call did not run, or has a 5xx status.
 func (d *Dispatcher) checkResponse(job *Job, target string, response service.Response) (service.Response, *attemptError) {
 	own := response.RequestID == job.Call.RequestID
-	if !d.invariants.Check(own, invariant.AnswerToAsker, "request %s got the answer to %q from %s", job.Call.RequestID, response.RequestID, target) {
+	if !d.invariants.Check(own, invariant.AnswerMatchesRequest, "request %s got the answer to %q from %s", job.Call.RequestID, response.RequestID, target) {
 		return response, &attemptError{target: target, reason: outcome.ReasonTargetFailed, mayHaveRun: true, cause: errors.New("response to another request")}
 	}
 	if response.NotRun {
--- a/internal/generation/bench_test.go
+++ b/internal/generation/bench_test.go
@@ -89,7 +89,7 @@
 }
 
 func benchJob(stages fixedPlacement, tokens int) Job {
-	return Job{RequestID: "q", MaxTokens: tokens, First: stages, Prompt: []string{"p"}, Replace: func(context.Context, []string) (Placement, error) { return stages, nil }}
+	return Job{RequestID: "q", MaxTokens: tokens, FirstPlacement: stages, Prompt: []string{"p"}, NextPlacement: func(context.Context, []string) (Placement, error) { return stages, nil }}
 }
 
 // BenchmarkTokens is the cost of one token over 3 stages, without the client's.
--- a/internal/generation/consume.go
+++ b/internal/generation/consume.go
@@ -18,7 +18,7 @@
 		return false
 	}
 	slow := func() { e.fail(&fault{stage: last, kind: faultSlow, cause: errNoTokenInTime}) }
-	timer := time.AfterFunc(r.runner.settings.FirstToken, slow)
+	timer := time.AfterFunc(r.runner.settings.FirstTokenTimeout, slow)
 	defer timer.Stop()
 	for {
 		event, err := stream.Recv()
@@ -36,7 +36,7 @@
 // take handles one event of the last stage's stream.
 func (r *run) take(e *epoch, event engine.Event, timer *time.Timer) (over, whole bool) {
 	if event.RequestID != r.job.RequestID {
-		r.runner.inv.Check(false, invariant.AnswerToAsker, "event for %q on the stream of %q", event.RequestID, r.job.RequestID)
+		r.runner.inv.Check(false, invariant.AnswerMatchesRequest, "event for %q on the stream of %q", event.RequestID, r.job.RequestID)
 		return r.protocolFault(e, errWrongRequest)
 	}
 	if event.Epoch < e.number && !r.runner.acceptOldEpochs {
@@ -83,7 +83,7 @@
 // slow caller would make them look slow.
 func (r *run) commit(e *epoch, event *engine.Event, timer *time.Timer) bool {
 	timer.Stop()
-	defer timer.Reset(r.runner.settings.BetweenTokens)
+	defer timer.Reset(r.runner.settings.InterTokenTimeout)
 	if err := r.sink.Token(event.Position, event.Text); err != nil {
 		r.sinkErr = err
 		e.close()
--- a/internal/generation/counters.go
+++ b/internal/generation/counters.go
@@ -17,7 +17,7 @@
 		Recoveries:     c.recoveries.Load(),
 		Preemptions:    c.preemptions.Load(),
 		Busy:           c.busy.Load(),
-		Reproved:       c.reproved.Load(),
+		Reconnects:     c.reproved.Load(),
 		StaleEvents:    c.staleEvents.Load(),
 		Duplicates:     c.duplicates.Load(),
 		CancelsFailed:  c.cancelsFailed.Load(),
--- a/internal/generation/ending_test.go
+++ b/internal/generation/ending_test.go
@@ -71,7 +71,7 @@
 			test.fault(r)
 			job := r.job("q", 12, r.stages("w1:0-12"))
 			job.Idempotent = test.idempotent
-			job.Replace = func(context.Context, []string) (Placement, error) {
+			job.NextPlacement = func(context.Context, []string) (Placement, error) {
 				return nil, outcome.Refuse(outcome.ReasonOverloaded, "full").WithRetryAfter(time.Second)
 			}
 			sink := &checkedSink{id: "q"}
--- a/internal/generation/job.go
+++ b/internal/generation/job.go
@@ -26,11 +26,11 @@
 	// over failures either way, see the package comment; the failure of a request
 	// that is not idempotent and may have run never advises a retry.
 	Idempotent bool
-	// First is the placement to start with. The run releases it.
-	First Placement
-	// Replace returns new stages after a failure (without the excluded targets) or a
+	// FirstPlacement is the placement to start with. The run releases it.
+	FirstPlacement Placement
+	// NextPlacement returns new stages after a failure (without the excluded targets) or a
 	// preemption. It may wait in admission; the run holds no placement meanwhile.
-	Replace func(ctx context.Context, exclude []string) (Placement, error)
+	NextPlacement func(ctx context.Context, exclude []string) (Placement, error)
 	// Preempt, when something is received, makes the run give up its placement,
 	// keep its KV cache and ask Replace for another. It may be nil.
 	Preempt <-chan struct{}
--- a/internal/generation/preemption_test.go
+++ b/internal/generation/preemption_test.go
@@ -59,7 +59,7 @@
 		})
 		job := r.job("q", 12, r.stages("w1:0-12"))
 		job.Preempt = preempt
-		job.Replace = func(_ context.Context, exclude []string) (Placement, error) {
+		job.NextPlacement = func(_ context.Context, exclude []string) (Placement, error) {
 			return r.choose(append(exclude, "w1"))
 		}
 		result := runWhole(t, r, job, at("q", 5, func() { preempt <- struct{}{} }))
@@ -85,7 +85,7 @@
 		next := []string{"w2:0-12", "w3:0-12"}
 		job := r.job("q", 12, r.stages("w1:0-12"))
 		job.Preempt = preempt
-		job.Replace = func(context.Context, []string) (Placement, error) {
+		job.NextPlacement = func(context.Context, []string) (Placement, error) {
 			placement := r.stages(next[0])
 			next = next[1:]
 			return placement, nil
--- a/internal/generation/protocol_test.go
+++ b/internal/generation/protocol_test.go
@@ -24,7 +24,7 @@
 		corrupt func(*engine.Event)
 		broken  invariant.Name
 	}{
-		"another request's token": {onToken(func(e *engine.Event) { e.RequestID = "other" }), invariant.AnswerToAsker},
+		"another request's token": {onToken(func(e *engine.Event) { e.RequestID = "other" }), invariant.AnswerMatchesRequest},
 		"a token left out":        {onToken(func(e *engine.Event) { e.Position = 6 }), invariant.NoTokenGapOrRepeat},
 		"a stage left out":        {onToken(func(e *engine.Event) { e.Trace = e.Trace[1:] }), invariant.LayersOnceInOrder},
 		"a layer run twice":       {onToken(func(e *engine.Event) { e.Trace[0].Layers.To++ }), invariant.LayersOnceInOrder},
--- a/internal/generation/recover.go
+++ b/internal/generation/recover.go
@@ -40,7 +40,7 @@
 // others would cost a whole open bound each.
 func (r *run) noteUnproven(e *epoch) {
 	clear(r.unproven)
-	if time.Since(e.began) < r.runner.settings.ReproveTimeout {
+	if time.Since(e.began) < r.runner.settings.ReconnectTimeout {
 		return
 	}
 	for i, opened := range e.opened {
--- a/internal/generation/replace.go
+++ b/internal/generation/replace.go
@@ -45,7 +45,7 @@
 }
 
 func (r *run) place() error {
-	placement, err := r.job.Replace(r.ctx, slices.Sorted(maps.Keys(r.excluded)))
+	placement, err := r.job.NextPlacement(r.ctx, slices.Sorted(maps.Keys(r.excluded)))
 	if err != nil {
 		return err
 	}
--- a/internal/generation/rig_test.go
+++ b/internal/generation/rig_test.go
@@ -113,7 +113,7 @@
 }
 
 func (r *rig) job(id string, tokens int, first Placement) Job {
-	return Job{RequestID: id, Model: "m", Version: "1", Prompt: []string{"p"}, MaxTokens: tokens, First: first, Replace: r.replace}
+	return Job{RequestID: id, Model: "m", Version: "1", Prompt: []string{"p"}, MaxTokens: tokens, FirstPlacement: first, NextPlacement: r.replace}
 }
 
 // verdict says what is wrong after a run: what the sink saw, what is still held,
--- a/internal/generation/run.go
+++ b/internal/generation/run.go
@@ -40,7 +40,7 @@
 
 func newRun(ctx context.Context, r *Runner, j Job, sink Sink) *run {
 	return &run{
-		ctx: ctx, runner: r, job: j, sink: sink, placement: j.First, layers: j.Layers,
+		ctx: ctx, runner: r, job: j, sink: sink, placement: j.FirstPlacement, layers: j.Layers,
 		suspected: map[string]bool{}, unproven: map[string]bool{}, excluded: map[string]bool{}, pause: r.settings.RetryPause,
 	}
 }
@@ -112,7 +112,7 @@
 // openBound is short for a target that must prove first that it answers.
 func (r *run) openBound(e *epoch, stage int) time.Duration {
 	if r.unproven[e.stages[stage].Target.Name] {
-		return r.runner.settings.ReproveTimeout
+		return r.runner.settings.ReconnectTimeout
 	}
 	return r.runner.settings.OpenTimeout
 }
--- a/internal/generation/settings.go
+++ b/internal/generation/settings.go
@@ -7,29 +7,29 @@
 
 // The defaults of Settings.
 const (
-	DefaultOpenTimeout    = 2 * time.Second
-	DefaultReproveTimeout = 200 * time.Millisecond
-	DefaultFirstToken     = 10 * time.Second
-	DefaultBetweenTokens  = 2 * time.Second
-	DefaultCancelTimeout  = time.Second
-	DefaultRetryPause     = 50 * time.Millisecond
-	DefaultMaxRetryPause  = time.Second
-	DefaultMaxRecoveries  = 32
-	DefaultMaxEpochs      = 64
-	DefaultMaxCancels     = 256
+	DefaultOpenTimeout       = 2 * time.Second
+	DefaultReconnectTimeout  = 200 * time.Millisecond
+	DefaultFirstTokenTimeout = 10 * time.Second
+	DefaultInterTokenTimeout = 2 * time.Second
+	DefaultCancelTimeout     = time.Second
+	DefaultRetryPause        = 50 * time.Millisecond
+	DefaultMaxRetryPause     = time.Second
+	DefaultMaxRecoveries     = 32
+	DefaultMaxEpochs         = 64
+	DefaultMaxCancels        = 256
 )
 
 // Settings bound what a run may take. A zero field takes its default.
 type Settings struct {
 	// OpenTimeout bounds the opening of one stage.
 	OpenTimeout time.Duration
-	// ReproveTimeout bounds the opening of a stage whose last stream went silent, or
+	// ReconnectTimeout bounds the opening of a stage whose last stream went silent, or
 	// which had as much time already and did not open.
-	ReproveTimeout time.Duration
-	// FirstToken bounds the wait for an epoch's first token, replay included.
-	FirstToken time.Duration
-	// BetweenTokens bounds the wait for each token after it.
-	BetweenTokens time.Duration
+	ReconnectTimeout time.Duration
+	// FirstTokenTimeout bounds the wait for an epoch's first token, replay included.
+	FirstTokenTimeout time.Duration
+	// InterTokenTimeout bounds the wait for each token after it.
+	InterTokenTimeout time.Duration
 	// CancelTimeout bounds the cancel of an old epoch.
 	CancelTimeout time.Duration
 	// RetryPause is waited before excluded targets are tried again; it doubles up to
@@ -55,9 +55,9 @@
 // WithDefaults returns s with its zero fields filled in.
 func (s Settings) WithDefaults() Settings {
 	s.OpenTimeout = cmp.Or(s.OpenTimeout, DefaultOpenTimeout)
-	s.ReproveTimeout = cmp.Or(s.ReproveTimeout, DefaultReproveTimeout)
-	s.FirstToken = cmp.Or(s.FirstToken, DefaultFirstToken)
-	s.BetweenTokens = cmp.Or(s.BetweenTokens, DefaultBetweenTokens)
+	s.ReconnectTimeout = cmp.Or(s.ReconnectTimeout, DefaultReconnectTimeout)
+	s.FirstTokenTimeout = cmp.Or(s.FirstTokenTimeout, DefaultFirstTokenTimeout)
+	s.InterTokenTimeout = cmp.Or(s.InterTokenTimeout, DefaultInterTokenTimeout)
 	s.CancelTimeout = cmp.Or(s.CancelTimeout, DefaultCancelTimeout)
 	s.RetryPause = cmp.Or(s.RetryPause, DefaultRetryPause)
 	s.MaxRetryPause = cmp.Or(s.MaxRetryPause, DefaultMaxRetryPause)
--- a/internal/generation/silence_test.go
+++ b/internal/generation/silence_test.go
@@ -45,7 +45,7 @@
 		if result.Epochs != 3 || !slices.Equal(r.excluded[0], []string{"b1"}) {
 			t.Errorf("%d epochs, excluded %v", result.Epochs, r.excluded)
 		}
-		if took := next.Sub(hung); took > fakeIdle+DefaultReproveTimeout+100*time.Millisecond {
+		if took := next.Sub(hung); took > fakeIdle+DefaultReconnectTimeout+100*time.Millisecond {
 			t.Errorf("recovered after %v of virtual time", took)
 		}
 	})
@@ -91,7 +91,7 @@
 			return nil
 		}}
 		runWhole(t, r, r.job("q", 12, r.stages("a1:0-6", "b1:6-12")), sink)
-		if took := next.Sub(hung); took > fakeIdle+2*DefaultReproveTimeout+100*time.Millisecond {
+		if took := next.Sub(hung); took > fakeIdle+2*DefaultReconnectTimeout+100*time.Millisecond {
 			t.Errorf("recovered after %v of virtual time", took)
 		}
 	})
--- a/internal/generation/stats.go
+++ b/internal/generation/stats.go
@@ -12,8 +12,8 @@
 	Preemptions uint64 `json:"preemptions"`
 	// Busy counts epochs that an engine without a free slot ended.
 	Busy uint64 `json:"busy"`
-	// Reproved counts stages that were opened again because their stream went silent.
-	Reproved uint64 `json:"reproved"`
+	// Reconnects counts stages that were opened again because their stream went silent.
+	Reconnects uint64 `json:"reproved"`
 	// StaleEvents counts events of an older epoch, Duplicates repeated positions of
 	// the present one; both were dropped.
 	StaleEvents uint64 `json:"staleEvents"`
--- a/internal/harness/fleettest/callers_test.go
+++ b/internal/harness/fleettest/callers_test.go
@@ -87,7 +87,7 @@
 }
 
 func (w *world) send(ctx context.Context, v *vm, got *told, now time.Time) error {
-	identity := router.Identity{
+	identity := router.Metadata{
 		RequestID: got.id, Profile: got.profile, IdempotencyKey: got.key, Arrival: now,
 		BodyBytes: int64(len(got.body)), Digest: sha256.Sum256([]byte(got.body)),
 	}
@@ -95,11 +95,11 @@
 	defer func() { got.late = time.Since(now) - deadline }()
 	if got.profile == "draft" || got.profile == "check" {
 		s := &sink{}
-		_, err := v.Router().Generate(ctx, router.GenerateRequest{Identity: identity, Prompt: []string{"a ", "b "}, MaxTokens: got.arrival.tokens}, s)
+		_, err := v.Router().Generate(ctx, router.GenerateRequest{Metadata: identity, Prompt: []string{"a ", "b "}, MaxTokens: got.arrival.tokens}, s)
 		got.tokens = s.tokens
 		return err
 	}
-	result, err := v.Router().Call(ctx, router.CallRequest{Identity: identity, Body: []byte(got.body)})
+	result, err := v.Router().Call(ctx, router.CallRequest{Metadata: identity, Body: []byte(got.body)})
 	if err == nil && string(result.Body) != got.body {
 		w.wrong("%s asked with %q and was answered %q", got.id, got.body, result.Body)
 	}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -11,22 +11,22 @@
 
 // The invariants that the program asserts.
 const (
-	OneOutcome           Name = "one-outcome-per-request"
-	OneDispatch          Name = "one-dispatch-of-non-idempotent"
-	NoDispatchAfterEnd   Name = "no-dispatch-after-outcome"
-	LayersOnceInOrder    Name = "layers-once-and-in-order"
-	NoTokenGapOrRepeat   Name = "no-token-gap-or-repeat"
-	VersionNeverFalls    Name = "config-version-never-falls"
-	NoDispatchAfterDrain Name = "no-dispatch-after-drain-bound"
-	NoOrderWithoutLease  Name = "no-order-without-lease"
-	AnswerToAsker        Name = "answer-to-its-own-request"
-	SlotsNotNegative     Name = "slots-never-negative"
-	FencingNeverFalls    Name = "fencing-number-never-falls"
+	OneOutcome             Name = "one-outcome-per-request"
+	OneDispatch            Name = "one-dispatch-of-non-idempotent"
+	NoDispatchAfterOutcome Name = "no-dispatch-after-outcome"
+	LayersOnceInOrder      Name = "layers-once-and-in-order"
+	NoTokenGapOrRepeat     Name = "no-token-gap-or-repeat"
+	VersionNeverFalls      Name = "config-version-never-falls"
+	NoDispatchAfterDrain   Name = "no-dispatch-after-drain-bound"
+	NoOrderWithoutLease    Name = "no-order-without-lease"
+	AnswerMatchesRequest   Name = "answer-to-its-own-request"
+	SlotsNotNegative       Name = "slots-never-negative"
+	FencingNeverFalls      Name = "fencing-number-never-falls"
 )
 
 // All lists every invariant, for the dump and the metrics.
 var All = []Name{
-	OneOutcome, OneDispatch, NoDispatchAfterEnd, LayersOnceInOrder, NoTokenGapOrRepeat,
-	VersionNeverFalls, NoDispatchAfterDrain, NoOrderWithoutLease, AnswerToAsker, SlotsNotNegative,
+	OneOutcome, OneDispatch, NoDispatchAfterOutcome, LayersOnceInOrder, NoTokenGapOrRepeat,
+	VersionNeverFalls, NoDispatchAfterDrain, NoOrderWithoutLease, AnswerMatchesRequest, SlotsNotNegative,
 	FencingNeverFalls,
 }
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -59,7 +59,7 @@
 	n.claims = claim.New(n.platform, s.VM.Name, claim.Settings{LongestDeadline: config.MaxDeadline}, n.invariants)
 	n.gate = &router.Gate{}
 	n.router = router.New(router.Options{
-		VM: s.VM.Name, DataCentre: s.VM.DataCentre, Source: n.store,
+		VM: s.VM.Name, DataCentre: s.VM.DataCentre, ConfigSource: n.store,
 		Admission: n.admission, Balancer: n.balancer, Plans: n.plans, Runner: n.runner,
 		Dispatcher: dispatch.New(n.wiring.Services, n.dispatchSettings(), n.invariants, n.recorder),
 		Claims:     n.claims, Gate: n.gate, Authorize: security.CheckKey, Observer: observer{n.recorder, n.logger},
--- a/internal/node/isolation.go
+++ b/internal/node/isolation.go
@@ -87,11 +87,11 @@
 		return
 	}
 	if !f.gate.Stale() {
-		f.gate.Prove()
+		f.gate.ConfirmConfig()
 		return
 	}
 	if f.catchUp() {
-		f.gate.Prove()
+		f.gate.ConfirmConfig()
 		f.resumed()
 	}
 }
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -103,7 +103,7 @@
 		},
 		gate:    n.gate,
 		catchUp: n.catchUp,
-		resumed: n.router.Resume,
+		resumed: n.router.WakeQueues,
 	}
 	watch.run(n.ctx)
 }
--- a/internal/outcome/reason.go
+++ b/internal/outcome/reason.go
@@ -23,8 +23,8 @@
 	ReasonQuarantined Reason = "quarantined"
 	// ReasonSuspected: a replica crashed as it ran the same request, and too few others are left.
 	ReasonSuspected Reason = "suspected"
-	// ReasonHeld: all replicas have asked not to be sent requests for a while.
-	ReasonHeld             Reason = "replicas-held"
+	// ReasonThrottled: all replicas have asked not to be sent requests for a while.
+	ReasonThrottled        Reason = "replicas-held"
 	ReasonDeadline         Reason = "deadline"
 	ReasonNoTarget         Reason = "no-target"
 	ReasonStoreUnavailable Reason = "store-unavailable"
@@ -52,7 +52,7 @@
 	ReasonWorkspaceLimit:   429,
 	ReasonQuarantined:      429,
 	ReasonSuspected:        429,
-	ReasonHeld:             503,
+	ReasonThrottled:        503,
 	ReasonDeadline:         504,
 	ReasonNoTarget:         503,
 	ReasonStoreUnavailable: 503,
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -26,7 +26,7 @@
 	if q.boundary != nil {
 		q.boundary.Close()
 		truthful := ended != outcome.NotRun || !q.boundary.MayHaveRun()
-		h.Invariants.Check(truthful, invariant.NoDispatchAfterEnd, "request %s was sent and told as not run", q.RequestID)
+		h.Invariants.Check(truthful, invariant.NoDispatchAfterOutcome, "request %s was sent and told as not run", q.RequestID)
 	}
 	took := time.Since(q.arrival)
 	urgency := config.Normal
--- a/internal/relay/held.go
+++ b/internal/relay/held.go
@@ -34,6 +34,6 @@
 		left = max(soon, time.Until(held.Until))
 	}
 	spread := 1 + heldSpread*rand.Float64()
-	return outcome.Refuse(outcome.ReasonHeld, "all replicas have asked not to be sent requests now").
+	return outcome.Refuse(outcome.ReasonThrottled, "all replicas have asked not to be sent requests now").
 		WithRetryAfter(time.Duration(spread * float64(left))).WithCause(held)
 }
--- a/internal/relay/held_test.go
+++ b/internal/relay/held_test.go
@@ -27,7 +27,7 @@
 		t.Fatal("not refused")
 	}
 	failure := refuseHeld(held)
-	if failure.Outcome != outcome.NotRun || failure.Reason != outcome.ReasonHeld || failure.RetryAfter < 2*time.Second {
+	if failure.Outcome != outcome.NotRun || failure.Reason != outcome.ReasonThrottled || failure.RetryAfter < 2*time.Second {
 		t.Errorf("%+v", failure)
 	}
 }
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -17,9 +17,9 @@
 
 // Call serves a call of a plain service. The error is an *outcome.Failure.
 func (r *Router) Call(ctx context.Context, request CallRequest) (CallResult, error) {
-	e, failure := r.begin(request.Identity, config.ClassCall)
+	e, failure := r.begin(request.Metadata, config.ClassCall)
 	if failure != nil {
-		return CallResult{}, r.refused(request.Identity, failure)
+		return CallResult{}, r.refused(request.Metadata, failure)
 	}
 	ctx, cancel := withDeadline(ctx, e)
 	defer cancel()
@@ -52,7 +52,7 @@
 	if err != nil {
 		return CallResult{}, asFailure(err)
 	}
-	e.enter(StageRunning)
+	e.enter(PhaseRunning)
 	started := time.Now()
 	response, err := r.Dispatcher.Call(ctx, r.job(e, request, slot))
 	if err != nil {
@@ -111,7 +111,7 @@
 // admit waits for the entry's turn; try takes capacity as a request of the
 // urgency that it is given.
 func (r *Router) admit(ctx context.Context, e *entry, cost admissionCost, try func(config.Urgency) bool) error {
-	e.enter(StageQueued)
+	e.enter(PhaseQueued)
 	queued := time.Now()
 	request := r.admissionRequest(e, cost)
 	err := r.Admission.Admit(ctx, request, func() bool {
--- a/internal/router/claiming.go
+++ b/internal/router/claiming.go
@@ -29,7 +29,7 @@
 	if !e.keyed() {
 		return nil, nil
 	}
-	e.enter(StageClaiming)
+	e.enter(PhaseClaiming)
 	if r.Claims == nil {
 		return nil, outcome.Uncertain(outcome.ReasonStoreUnavailable, "the claim could not be read; an earlier request with this key may have run")
 	}
@@ -47,7 +47,7 @@
 	if !e.keyed() {
 		return failure
 	}
-	e.enter(StageEnding)
+	e.enter(PhaseEnding)
 	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimFinishTimeout)
 	defer cancel()
 	result := outcome.Complete
--- a/internal/router/entry.go
+++ b/internal/router/entry.go
@@ -13,7 +13,7 @@
 
 // entry is one request in hand.
 type entry struct {
-	id      Identity
+	id      Metadata
 	profile *config.Profile
 	pool    string
 	// model is what serves a generation.
@@ -29,18 +29,18 @@
 	pace paceMeter
 
 	mu    sync.Mutex // guards the fields below
-	stage Stage
+	stage Phase
 	since time.Time
 	ended bool
 }
 
-func (e *entry) enter(s Stage) {
+func (e *entry) enter(s Phase) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stage, e.since = s, time.Now()
 }
 
-func (e *entry) at() (Stage, time.Time) {
+func (e *entry) at() (Phase, time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.stage, e.since
@@ -56,5 +56,5 @@
 	e.mu.Unlock()
 	invariants.Check(!again, invariant.OneOutcome, "request %s ended twice", e.id.RequestID)
 	truthful := o != outcome.NotRun || !e.boundary.MayHaveRun()
-	invariants.Check(truthful, invariant.NoDispatchAfterEnd, "request %s was sent and told as not run", e.id.RequestID)
+	invariants.Check(truthful, invariant.NoDispatchAfterOutcome, "request %s was sent and told as not run", e.id.RequestID)
 }
--- a/internal/router/gate.go
+++ b/internal/router/gate.go
@@ -25,10 +25,10 @@
 	proven   atomic.Pointer[time.Time]
 }
 
-// Prove says that this VM has, as far as store or peers can tell, the
+// ConfirmConfig says that this VM has, as far as store or peers can tell, the
 // configuration in force now. Once it was called, it has to be called again before
 // StaleAfter has passed.
-func (g *Gate) Prove() {
+func (g *Gate) ConfirmConfig() {
 	now := time.Now()
 	g.proven.Store(&now)
 }
--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -24,9 +24,9 @@
 // Generate serves a generation; tokens go to the sink in order, each once. The
 // error is an *outcome.Failure.
 func (r *Router) Generate(ctx context.Context, request GenerateRequest, sink TokenSink) (GenerateResult, error) {
-	e, failure := r.begin(request.Identity, config.ClassGeneration)
+	e, failure := r.begin(request.Metadata, config.ClassGeneration)
 	if failure != nil {
-		return GenerateResult{}, r.refused(request.Identity, failure)
+		return GenerateResult{}, r.refused(request.Metadata, failure)
 	}
 	ctx, cancel := withDeadline(ctx, e)
 	defer cancel()
@@ -99,7 +99,7 @@
 }
 
 func (r *Router) execute(ctx context.Context, e *entry, job generation.Job, sink generation.Sink) (GenerateResult, *outcome.Failure) {
-	e.enter(StageRunning)
+	e.enter(PhaseRunning)
 	started := time.Now()
 	e.boundary.BeginSend()
 	done, err := r.Runner.Run(ctx, job, sink)
@@ -119,16 +119,16 @@
 	return generation.Job{
 		RequestID: e.id.RequestID, Model: ref.Model, Version: ref.Version, Adapter: ref.Adapter,
 		Prompt: prompt, MaxTokens: tokens, Idempotent: e.profile.Idempotent, Priority: int(e.profile.Urgency), Deadline: e.deadline,
-		Layers: r.Plans.Layers(ref), First: first.measure(e, r.estimates.paces),
+		Layers: r.Plans.Layers(ref), FirstPlacement: first.measure(e, r.estimates.paces),
 		Preempt: e.preempt,
-		Replace: func(ctx context.Context, exclude []string) (generation.Placement, error) {
+		NextPlacement: func(ctx context.Context, exclude []string) (generation.Placement, error) {
 			remaining := max(1, tokens-int(e.tokens.Load()))
 			next, err := r.replaceStages(ctx, e, ref, current, remaining, exclude)
 			if err != nil {
 				return nil, err
 			}
 			current = next.plan
-			e.enter(StageRunning)
+			e.enter(PhaseRunning)
 			return next.measure(e, r.estimates.paces), nil
 		},
 	}
--- a/internal/router/in_hand.go
+++ b/internal/router/in_hand.go
@@ -94,7 +94,7 @@
 		if e.pool != pool || e.preempt == nil || e.profile.Urgency != config.Bulk {
 			continue
 		}
-		if stage, _ := e.at(); stage != StageRunning || len(e.preempt) > 0 {
+		if stage, _ := e.at(); stage != PhaseRunning || len(e.preempt) > 0 {
 			continue
 		}
 		if best == nil || e.tokens.Load() < best.tokens.Load() {
@@ -110,7 +110,7 @@
 	Profile   string         `json:"profile"`
 	Workspace string         `json:"workspace"`
 	Urgency   config.Urgency `json:"urgency"`
-	Stage     Stage          `json:"stage"`
+	Phase     Phase          `json:"stage"`
 	Since     time.Time      `json:"since"`
 	Arrival   time.Time      `json:"arrival"`
 	Deadline  time.Time      `json:"deadline"`
@@ -125,7 +125,7 @@
 		stage, since := e.at()
 		entries = append(entries, InHandEntry{
 			RequestID: e.id.RequestID, Profile: e.profile.Name, Workspace: e.profile.Workspace,
-			Urgency: e.profile.Urgency, Stage: stage, Since: since, Arrival: e.id.Arrival,
+			Urgency: e.profile.Urgency, Phase: stage, Since: since, Arrival: e.id.Arrival,
 			Deadline: e.deadline, Tokens: e.tokens.Load(),
 		})
 	}
--- a/internal/router/limits_test.go
+++ b/internal/router/limits_test.go
@@ -68,7 +68,7 @@
 		w.snapshot.Workspaces["w"].MaxInFlight = 1
 		ended := w.occupy()
 		sink := &recordingSink{}
-		request := GenerateRequest{Identity: limitIdentity("draft", "while full"), Prompt: []string{"a "}, MaxTokens: 2}
+		request := GenerateRequest{Metadata: limitIdentity("draft", "while full"), Prompt: []string{"a "}, MaxTokens: 2}
 		_, err := w.vms[0].Generate(t.Context(), request, sink)
 		wantLimit(t, err)
 		for name, e := range w.engines {
@@ -77,7 +77,7 @@
 			}
 		}
 		<-ended
-		request.Identity = limitIdentity("draft", "when free")
+		request.Metadata = limitIdentity("draft", "when free")
 		if _, err := w.vms[0].Generate(t.Context(), request, sink); err != nil || len(sink.tokens) != 2 {
 			t.Errorf("tokens %v, error %v", sink.tokens, err)
 		}
@@ -100,11 +100,11 @@
 }
 
 func (w *world) callWith(ctx context.Context, profile, body string) (CallResult, error) {
-	return w.vms[0].Call(ctx, CallRequest{Identity: limitIdentity(profile, body), Body: []byte(body)})
+	return w.vms[0].Call(ctx, CallRequest{Metadata: limitIdentity(profile, body), Body: []byte(body)})
 }
 
-func limitIdentity(profile, body string) Identity {
-	return Identity{RequestID: profile + " " + body, Profile: profile, Arrival: time.Now(), BodyBytes: int64(len(body))}
+func limitIdentity(profile, body string) Metadata {
+	return Metadata{RequestID: profile + " " + body, Profile: profile, Arrival: time.Now(), BodyBytes: int64(len(body))}
 }
 
 func (w *world) wantLimited(t *testing.T, profile string) {
--- a/internal/router/options.go
+++ b/internal/router/options.go
@@ -17,14 +17,14 @@
 // Options are the parts that a Router is put together from.
 type Options struct {
 	// VM is this VM's name; it seeds choices so that VMs do not act alike.
-	VM         string
-	DataCentre string
-	Source     config.Source
-	Admission  *admission.Controller
-	Balancer   *balance.Balancer
-	Plans      *PlanCache
-	Runner     *generation.Runner
-	Dispatcher *dispatch.Dispatcher
+	VM           string
+	DataCentre   string
+	ConfigSource config.Source
+	Admission    *admission.Controller
+	Balancer     *balance.Balancer
+	Plans        *PlanCache
+	Runner       *generation.Runner
+	Dispatcher   *dispatch.Dispatcher
 	// Claims may be nil where no platform is configured; keyed requests that may
 	// not be repeated are then refused.
 	Claims     *claim.Claims
--- a/internal/router/random_test.go
+++ b/internal/router/random_test.go
@@ -145,7 +145,7 @@
 	if a.key != "" {
 		got.body = "body of " + a.key
 	}
-	id := Identity{
+	id := Metadata{
 		RequestID: fmt.Sprintf("r%d", number), Profile: a.profile, IdempotencyKey: a.key, Arrival: time.Now(),
 		BodyBytes: int64(len(got.body)), Digest: sha256.Sum256([]byte(got.body)),
 	}
@@ -153,17 +153,17 @@
 	var err error
 	if a.profile == "draft" || a.profile == "check" {
 		sink := &recordingSink{}
-		_, err = vm.Generate(ctx, GenerateRequest{Identity: id, Prompt: []string{"a ", "b "}, MaxTokens: a.tokens}, sink)
+		_, err = vm.Generate(ctx, GenerateRequest{Metadata: id, Prompt: []string{"a ", "b "}, MaxTokens: a.tokens}, sink)
 		got.tokens = sink.tokens
 	} else {
-		_, err = vm.Call(ctx, CallRequest{Identity: id, Body: []byte(got.body)})
+		_, err = vm.Call(ctx, CallRequest{Metadata: id, Body: []byte(got.body)})
 	}
 	got.outcome = outcome.Complete
 	var failure *outcome.Failure
 	if errors.As(err, &failure) {
 		got.outcome = failure.Outcome
 	}
-	deadline := time.Duration(w.vms[0].Source.Current().Profiles[a.profile].Deadline)
+	deadline := time.Duration(w.vms[0].ConfigSource.Current().Profiles[a.profile].Deadline)
 	got.late = time.Since(id.Arrival) - deadline
 	return got
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -30,8 +30,8 @@
 // Ready reports whether the balancer should send new requests to this VM.
 func (r *Router) Ready() bool { return r.Gate.Ready() }
 
-// Resume starts what waited for this VM to catch up with the configuration.
-func (r *Router) Resume() {
+// WakeQueues starts what waited for this VM to catch up with the configuration.
+func (r *Router) WakeQueues() {
 	for _, pool := range r.inHand.pools() {
 		r.Admission.Wake(pool)
 	}
@@ -43,8 +43,8 @@
 // begin looks the request up and takes it in hand. Nothing has been spent on the
 // request yet, so the failure is NotRun unless the request carries a key that was
 // not looked up.
-func (r *Router) begin(id Identity, class config.RequestClass) (*entry, *outcome.Failure) {
-	snapshot := r.Source.Current()
+func (r *Router) begin(id Metadata, class config.RequestClass) (*entry, *outcome.Failure) {
+	snapshot := r.ConfigSource.Current()
 	profile, ok := snapshot.Profiles[id.Profile]
 	if failure := r.Gate.Check(); failure != nil {
 		return nil, unread(id, profile, failure)
@@ -67,7 +67,7 @@
 // unread turns the refusal of a keyed request whose claim was not read into
 // Unknown: this arrival did not run, but an earlier one with the same key, here or
 // on another VM, may have, and a crew that reads "not run" would ask anew.
-func unread(id Identity, profile *config.Profile, refused *outcome.Failure) *outcome.Failure {
+func unread(id Metadata, profile *config.Profile, refused *outcome.Failure) *outcome.Failure {
 	if id.IdempotencyKey == "" || profile != nil && profile.Idempotent {
 		return refused
 	}
@@ -77,7 +77,7 @@
 	return &unknown
 }
 
-func (r *Router) checkCaller(id Identity, profile *config.Profile, workspace *config.Workspace) *outcome.Failure {
+func (r *Router) checkCaller(id Metadata, profile *config.Profile, workspace *config.Workspace) *outcome.Failure {
 	if workspace != nil && len(workspace.KeyDigests) > 0 && !r.Authorize(id.BearerKey.Reveal(), workspace.KeyDigests) {
 		if id.BearerKey.IsZero() {
 			return outcome.Refuse(outcome.ReasonUnauthorized, "the profile's workspace asks for a bearer key")
@@ -90,13 +90,13 @@
 	return nil
 }
 
-func (r *Router) newEntry(id Identity, profile *config.Profile) *entry {
+func (r *Router) newEntry(id Metadata, profile *config.Profile) *entry {
 	deadline := time.Duration(profile.Deadline)
 	if deadline <= 0 {
 		deadline = r.Limits.Deadline
 	}
-	if id.Deadline > 0 {
-		deadline = min(deadline, id.Deadline)
+	if id.CallerTimeout > 0 {
+		deadline = min(deadline, id.CallerTimeout)
 	}
 	e := &entry{
 		id:       id,
@@ -104,7 +104,7 @@
 		pool:     profile.Service,
 		deadline: id.Arrival.Add(deadline),
 		boundary: dispatch.NewSendGuard(id.RequestID, profile.Idempotent, r.Invariants),
-		stage:    StageArrived,
+		stage:    PhaseArrived,
 		since:    id.Arrival,
 	}
 	if profile.Class == config.ClassGeneration {
@@ -140,9 +140,9 @@
 }
 
 // refused records a request that was never in hand.
-func (r *Router) refused(id Identity, failure *outcome.Failure) *outcome.Failure {
+func (r *Router) refused(id Metadata, failure *outcome.Failure) *outcome.Failure {
 	record := Record{RequestID: id.RequestID, Profile: id.Profile, Arrival: id.Arrival, Took: time.Since(id.Arrival)}
-	if profile := r.Source.Current().Profiles[id.Profile]; profile != nil {
+	if profile := r.ConfigSource.Current().Profiles[id.Profile]; profile != nil {
 		record.Workspace, record.Urgency = profile.Workspace, profile.Urgency
 	}
 	r.keep(&record, failure)
@@ -187,7 +187,7 @@
 }
 
 func (r *Router) workspaceWeight(name string) int {
-	if w := r.Source.Current().Workspaces[name]; w != nil && w.Weight > 0 {
+	if w := r.ConfigSource.Current().Workspaces[name]; w != nil && w.Weight > 0 {
 		return w.Weight
 	}
 	return 1
--- a/internal/router/types.go
+++ b/internal/router/types.go
@@ -6,8 +6,8 @@
 	"geraniumcroft/internal/secret"
 )
 
-// Identity is what every request carries besides its body.
-type Identity struct {
+// Metadata is what every request carries besides its body.
+type Metadata struct {
 	// RequestID is unique; the API makes it on arrival.
 	RequestID string
 	// Profile is the name that the caller gave.
@@ -16,8 +16,8 @@
 	BearerKey secret.Value
 	// IdempotencyKey is the caller's, empty when none was sent. It is never logged.
 	IdempotencyKey string
-	// Deadline is the caller's own bound from arrival; 0 leaves the profile's.
-	Deadline time.Duration
+	// CallerTimeout is the caller's own bound from arrival; 0 leaves the profile's.
+	CallerTimeout time.Duration
 	// Arrival is when the request's head was read.
 	Arrival time.Time
 	// BodyBytes is the size of the body, Digest its SHA-256.
@@ -27,7 +27,7 @@
 
 // GenerateRequest asks for a generation.
 type GenerateRequest struct {
-	Identity
+	Metadata
 	// Prompt is the prompt cut into pieces that count as tokens.
 	Prompt []string
 	// MaxTokens is the caller's bound; 0 takes the profile's.
@@ -51,7 +51,7 @@
 
 // CallRequest asks for a call of a plain service.
 type CallRequest struct {
-	Identity
+	Metadata
 	Body        []byte
 	ContentType string
 }
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -102,7 +102,7 @@
 	gate.SetLoaded()
 	vm := &worldVM{source: source, balancer: balancer, runner: generation.New(client, generation.Settings{}, w.violations)}
 	vm.Router = New(Options{
-		VM: name, Source: source, Admission: admission.New(admission.Settings{}, w.violations), Balancer: balancer,
+		VM: name, ConfigSource: source, Admission: admission.New(admission.Settings{}, w.violations), Balancer: balancer,
 		Plans: plans, Runner: vm.runner, Dispatcher: dispatch.New(w.services, dispatch.DefaultSettings(), w.violations, nil),
 		Claims: claim.New(w.store, name, claim.Settings{}, w.violations), Gate: gate, Observer: noObserver{},
 		Invariants: w.violations, Logger: zap.NewNop(), Limits: DefaultLimits(),
