--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -12,23 +12,23 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A result that nobody filled in must not tell a caller that its request did not
-// run: the caller would send it again, and it might run twice.
-func TestZeroOutcomeClaimsLeast(t *testing.T) {
-	Convey("The zero outcome, and one that has no name, are unknown", t, func() {
+// An outcome that was never set must not tell the caller that the request did not
+// run: the caller would send the request again, and it might run twice.
+func TestZeroOutcomeIsUnknown(t *testing.T) {
+	Convey("The zero outcome and an undefined one are unknown", t, func() {
 		var zero Outcome
 		So(zero, ShouldEqual, Unknown)
 		So(zero.String(), ShouldEqual, "unknown")
 		So(Outcome(99).String(), ShouldEqual, "unknown")
 	})
 
-	Convey("The others have their names", t, func() {
+	Convey("The other outcomes have their own names", t, func() {
 		So(NotRun.String(), ShouldEqual, "not-run")
 		So(Complete.String(), ShouldEqual, "complete")
 	})
 }
 
-// A reason without a status of its own would reach callers as a 500, which client
+// A reason without its own status would reach callers as status 500, which client
 // libraries retry.
 func TestEachReasonHasAStatus(t *testing.T) {
 	for _, reason := range reasons(t) {
@@ -37,11 +37,11 @@
 		}
 	}
 	if status := Reason("new").Status(); status != 500 {
-		t.Errorf("a reason that is not listed has the status %d", status)
+		t.Errorf("status %d for an undefined reason, want 500", status)
 	}
 }
 
-// reasons reads the constants from the source, as the compiler keeps no list.
+// reasons parses the constants from the source, since they cannot be listed at run time.
 func reasons(t *testing.T) (found []Reason) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "reason.go", nil, 0)
@@ -63,18 +63,18 @@
 		return true
 	})
 	if len(found) != len(statusOf) {
-		t.Errorf("%d reasons, and %d with a status", len(found), len(statusOf))
+		t.Errorf("%d reasons, but %d statuses", len(found), len(statusOf))
 	}
 	return found
 }
 
-func TestFailureIsNotChangedByItsCopies(t *testing.T) {
+func TestFailureCopiesDoNotChangeTheOriginal(t *testing.T) {
 	Convey("Given a refusal", t, func() {
 		refused := Refuse(ReasonOverloaded, "full")
 		cause := errors.New("cause")
 		later := refused.WithRetryAfter(time.Second).WithCause(cause)
 
-		Convey("a copy has what was added, and the refusal has not", func() {
+		Convey("a copy has the added fields, and the original is unchanged", func() {
 			So(later.RetryAfter, ShouldEqual, time.Second)
 			So(errors.Is(later, cause), ShouldBeTrue)
 			So(later.Outcome, ShouldEqual, NotRun)
--- a/internal/outcome/reason.go
+++ b/internal/outcome/reason.go
@@ -1,9 +1,9 @@
 package outcome
 
-// Reason says why a request was not completed. Each has one HTTP status.
+// Reason is why a request was not completed. Each reason has one HTTP status.
 type Reason string
 
-// The reasons for refusing or giving up a request.
+// The reasons for which a request is refused or ends without a complete response.
 const (
 	ReasonBadRequest       Reason = "bad-request"
 	ReasonUnauthorized     Reason = "unauthorized"
@@ -15,15 +15,17 @@
 	ReasonMethodNotAllowed Reason = "method-not-allowed"
 	ReasonKeyReused        Reason = "key-reused"
 	ReasonKeyInProgress    Reason = "key-in-progress"
-	// ReasonKeySpent: the key's request has ended and its answer is not kept.
+	// ReasonKeySpent: the request with this idempotency key has ended and its response
+	// is not stored.
 	ReasonKeySpent       Reason = "key-spent"
 	ReasonOverloaded     Reason = "overloaded"
 	ReasonWorkspaceLimit Reason = "workspace-limit"
-	// ReasonQuarantined: replicas crashed each time that they ran the same request.
+	// ReasonQuarantined: replicas crashed each time they ran the same request.
 	ReasonQuarantined Reason = "quarantined"
-	// ReasonSuspected: a replica crashed as it ran the same request, and too few others are left.
+	// ReasonSuspected: a replica crashed while it ran the same request, and too few other
+	// replicas are left.
 	ReasonSuspected Reason = "suspected"
-	// ReasonThrottled: all replicas have asked not to be sent requests for a while.
+	// ReasonThrottled: all replicas have asked to get no requests for some time.
 	ReasonThrottled        Reason = "replicas-held"
 	ReasonDeadline         Reason = "deadline"
 	ReasonNoTarget         Reason = "no-target"
@@ -64,7 +66,7 @@
 	ReasonInternal:         500,
 }
 
-// Status returns the reason's HTTP status, 500 for a reason that is not listed.
+// Status returns the reason's HTTP status, 500 for a reason that is not defined here.
 func (r Reason) Status() int {
 	if status, ok := statusOf[r]; ok {
 		return status
