--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,15 +1,15 @@
-// Package invariant counts and reports violations of what must always hold.
+// Package invariant counts and reports violations of the program's invariants.
 //
-// The checks are always on: a violation means that a caller was or would be told
-// something untrue, which no later error would show. A violation is counted,
-// kept for the dump and handed to the registry's handler, which logs it in
-// production and panics under test.
+// The checks are always enabled. A violation means that a caller got or would get a
+// wrong result or outcome, and no later error would show it. A violation is counted,
+// kept for the dump and passed to the registry's handler, which logs it in production
+// and panics in tests.
 package invariant
 
 // Name identifies an invariant.
 type Name string
 
-// The invariants that the program asserts.
+// The invariants that the program checks.
 const (
 	OneOutcome             Name = "one-outcome-per-request"
 	OneDispatch            Name = "one-dispatch-of-non-idempotent"
--- a/internal/invariant/registry.go
+++ b/internal/invariant/registry.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-const keptViolations = 64
+// maxRecent is the number of violations that are kept for the dump.
+const maxRecent = 64
 
-// Registry collects violations. It is safe for concurrent use; a nil *Registry
-// panics on a violation, so a test that passes none is strict.
+// Registry collects violations. It is safe for concurrent use. A nil *Registry panics
+// on a violation, so a test that passes nil fails on any violation.
 type Registry struct {
 	handler func(Violation)
 	total   atomic.Uint64
@@ -20,7 +21,8 @@
 	recent []Violation
 }
 
-// NewRegistry returns a registry that calls handler, when not nil, on each violation.
+// NewRegistry returns a registry that calls handler on each violation, unless handler
+// is nil.
 func NewRegistry(handler func(Violation)) *Registry {
 	return &Registry{handler: handler, counts: map[Name]uint64{}}
 }
@@ -32,39 +34,41 @@
 	})
 }
 
-// Check records a violation unless ok. The detail is formatted only on failure.
+// Check records a violation if ok is false, and returns ok. The detail is formatted
+// only for a violation.
 func (r *Registry) Check(ok bool, name Name, format string, args ...any) bool {
 	if !ok {
-		r.fail(Violation{Name: name, Time: time.Now(), Detail: fmt.Sprintf(format, args...)})
+		r.record(Violation{Name: name, Time: time.Now(), Detail: fmt.Sprintf(format, args...)})
 	}
 	return ok
 }
 
-func (r *Registry) fail(v Violation) {
+func (r *Registry) record(v Violation) {
 	if r == nil {
 		panic(fmt.Sprintf("invariant %s violated: %s", v.Name, v.Detail))
 	}
 	r.total.Add(1)
-	r.keep(v)
+	r.store(v)
 	if r.handler != nil {
 		r.handler(v)
 	}
 }
 
-func (r *Registry) keep(v Violation) {
+func (r *Registry) store(v Violation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts[v.Name]++
-	if len(r.recent) == keptViolations {
+	if len(r.recent) == maxRecent {
 		r.recent = r.recent[1:]
 	}
 	r.recent = append(r.recent, v)
 }
 
-// Total returns how many violations were recorded.
+// Total returns the number of violations recorded.
 func (r *Registry) Total() uint64 { return r.total.Load() }
 
-// Report returns the count of each invariant, zero included, and the newest violations.
+// Report returns the number of violations of each invariant, including those with
+// none, and the most recent violations.
 func (r *Registry) Report() Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/invariant/report.go
+++ b/internal/invariant/report.go
@@ -1,6 +1,6 @@
 package invariant
 
-// Report is what a registry has recorded, for the dump.
+// Report is the content of a registry, for the dump.
 type Report struct {
 	Counts map[Name]uint64 `json:"counts"`
 	Recent []Violation     `json:"recent"`
