--- a/internal/generation/bench_test.go
+++ b/internal/generation/bench_test.go
@@ -14,13 +14,14 @@
 	"geraniumcroft/internal/plan"
 )
 
-// instantClient's last stages give tokens as fast as they are taken; its other
-// stages are idle until they are closed.
+// instantClient is an engine.Client whose last stages send tokens as fast as they are
+// read. Its other stages are idle until they are closed.
 type instantClient struct {
 	engine.Client
-	// breakAt makes the first epoch's last stage break after that many tokens.
+	// breakAt, if not 0, is the number of tokens after which the first epoch's last stage
+	// breaks.
 	breakAt int
-	// hold, when not nil, keeps each stream open before its first token.
+	// hold, if not nil, blocks each stream before its first token until it is closed.
 	hold chan struct{}
 }
 
@@ -92,7 +93,7 @@
 	return Job{RequestID: "q", MaxTokens: tokens, FirstPlacement: stages, Prompt: []string{"p"}, NextPlacement: func(context.Context, []string) (Placement, error) { return stages, nil }}
 }
 
-// BenchmarkTokens is the cost of one token over 3 stages, without the client's.
+// BenchmarkTokens measures the cost of one token over 3 stages, without the client's.
 func BenchmarkTokens(b *testing.B) {
 	runner := New(&instantClient{}, Settings{}, nil)
 	var sink countingSink
@@ -104,8 +105,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "tokens/s")
 }
 
-// BenchmarkRun is the cost of a whole run of 355 tokens over 3 stages; with a
-// failure, the last stage breaks in the middle and is replaced.
+// BenchmarkRun measures the cost of a whole run of 355 tokens over 3 stages. In the case
+// with a failure, the last stage breaks in the middle and is replaced.
 func BenchmarkRun(b *testing.B) {
 	for name, breakAt := range map[string]int{"steady": 0, "failure": 170} {
 		b.Run(name, func(b *testing.B) {
@@ -127,7 +128,7 @@
 	}
 }
 
-// BenchmarkStreamMemory is what a stream in hand takes over 3 stages, without the
+// BenchmarkStreamMemory measures the memory of an open stream over 3 stages, without the
 // client's buffers: heap and stacks of 2,000 runs that wait for a token.
 func BenchmarkStreamMemory(b *testing.B) {
 	const streams = 2000
--- a/internal/generation/cancel.go
+++ b/internal/generation/cancel.go
@@ -6,11 +6,11 @@
 	"geraniumcroft/internal/plan"
 )
 
-// cancelStages asks the engines of an ended epoch to drop it. A stream that broke
-// may have left its engine working for nobody, holding a slot; the cancel goes on
-// a connection of its own and in the background, so that a dead engine does not
-// hold up the resume. An engine ignores it for an epoch newer than the named one,
-// so it cannot hit a stage that was opened since.
+// cancelStages asks the engines of an ended epoch to cancel it. After a stream broke,
+// its engine may continue to work and hold a slot although no one reads the results.
+// Each cancel is sent on its own connection in the background, so that a dead engine
+// does not delay the recovery. Engines ignore a cancel if their epoch is newer, so it
+// cannot cancel a stage that was opened later.
 func (r *Runner) cancelStages(requestID string, epoch uint32, stages []plan.Stage) {
 	for _, stage := range stages {
 		select {
@@ -19,7 +19,7 @@
 			r.counters.cancelsSkipped.Add(1)
 			continue
 		}
-		r.background.Go(func() {
+		r.cancels.Go(func() {
 			defer func() { <-r.cancelSlots }()
 			r.cancelStage(stage.Target.Address, requestID, epoch)
 		})
--- a/internal/generation/consume.go
+++ b/internal/generation/consume.go
@@ -7,40 +7,41 @@
 	"geraniumcroft/internal/invariant"
 )
 
-// consume opens the epoch's last stage and commits its tokens. It returns true
-// when the answer is whole, and false when the epoch ended for any other reason,
-// which the epoch or sinkErr tells.
+// consume opens the epoch's last stage and commits its tokens. It returns true if the
+// response is complete, and false if the epoch ended for any other reason, which is
+// recorded in the epoch or in sinkErr.
 func (r *run) consume(e *epoch) bool {
-	defer e.closeWith(r.ctx)()
+	defer e.closeOnDone(r.ctx)()
 	last := e.last()
-	stream := e.open(r.runner.client, last, r.stageOpen(e, last), r.openBound(e, last))
+	stream := e.open(r.runner.client, last, r.stageOpen(e, last), r.openTimeout(e, last))
 	if stream == nil {
 		return false
 	}
-	slow := func() { e.fail(&fault{stage: last, kind: faultSlow, cause: errNoTokenInTime}) }
-	timer := time.AfterFunc(r.runner.settings.FirstTokenTimeout, slow)
+	onTimeout := func() { e.fail(&fault{stage: last, kind: faultSlow, cause: errNoTokenInTime}) }
+	timer := time.AfterFunc(r.runner.settings.FirstTokenTimeout, onTimeout)
 	defer timer.Stop()
 	for {
 		event, err := stream.Recv()
 		if err != nil {
-			e.fail(streamFault(last, err))
+			e.fail(newStreamFault(last, err))
 			return false
 		}
-		over, whole := r.take(e, event, timer)
-		if over {
-			return whole
+		ended, complete := r.handleEvent(e, event, timer)
+		if ended {
+			return complete
 		}
 	}
 }
 
-// take handles one event of the last stage's stream.
-func (r *run) take(e *epoch, event engine.Event, timer *time.Timer) (over, whole bool) {
+// handleEvent handles one event of the last stage's stream. It reports whether the
+// epoch has ended, and whether the response is complete.
+func (r *run) handleEvent(e *epoch, event engine.Event, timer *time.Timer) (ended, complete bool) {
 	if event.RequestID != r.job.RequestID {
 		r.runner.inv.Check(false, invariant.AnswerMatchesRequest, "event for %q on the stream of %q", event.RequestID, r.job.RequestID)
 		return r.protocolFault(e, errWrongRequest)
 	}
-	if event.Epoch < e.number && !r.runner.acceptOldEpochs {
-		r.dropStale()
+	if event.Epoch < e.number && !r.runner.ignoreEpochFence {
+		r.dropStaleEvent()
 		return false, false
 	}
 	if event.Epoch > e.number {
@@ -48,17 +49,17 @@
 	}
 	switch event.Kind {
 	case engine.EventToken:
-		return r.takeToken(e, &event, timer)
+		return r.handleToken(e, &event, timer)
 	case engine.EventDone:
-		return r.takeDone(e, event)
+		return r.handleDone(e, event)
 	case engine.EventError:
-		e.fail(e.reported(e.last(), event))
+		e.fail(e.reportedFault(e.last(), event))
 		return true, false
 	}
 	return false, false
 }
 
-func (r *run) takeToken(e *epoch, event *engine.Event, timer *time.Timer) (over, whole bool) {
+func (r *run) handleToken(e *epoch, event *engine.Event, timer *time.Timer) (ended, complete bool) {
 	next := len(r.committed)
 	if event.Position < next {
 		r.runner.counters.duplicates.Add(1)
@@ -69,18 +70,18 @@
 		return r.protocolFault(e, errTokenGap)
 	}
 	if r.job.MaxTokens > 0 && next >= r.job.MaxTokens {
-		return r.protocolFault(e, errTooLong)
+		return r.protocolFault(e, errBeyondMaxTokens)
 	}
 	if !traceMatches(e, event.Trace) {
 		r.runner.inv.Check(false, invariant.LayersOnceInOrder, "%s: token %d of epoch %d: %v", r.job.RequestID, next, e.number, event.Trace)
-		return r.protocolFault(e, errTrace)
+		return r.protocolFault(e, errTraceMismatch)
 	}
 	return r.commit(e, event, timer), false
 }
 
-// commit hands the token to the sink; it reports whether the run is over because
-// the caller is gone. The engines' time does not run while the sink is busy, or a
-// slow caller would make them look slow.
+// commit passes the token to the sink. It reports whether the run has ended because
+// the caller is gone. The timer for the engines' next token is stopped while the sink
+// is busy. Otherwise a slow caller would make the engines appear slow.
 func (r *run) commit(e *epoch, event *engine.Event, timer *time.Timer) bool {
 	timer.Stop()
 	defer timer.Reset(r.runner.settings.InterTokenTimeout)
@@ -93,21 +94,21 @@
 	e.progressed = true
 	r.runner.counters.committed.Add(1)
 	if !r.failedAt.IsZero() {
-		r.recovered()
+		r.recordRecovery()
 	}
 	return false
 }
 
-func (r *run) dropStale() {
+func (r *run) dropStaleEvent() {
 	r.runner.counters.staleEvents.Add(1)
 	if r.runner.settings.OnStaleEvent != nil {
 		r.runner.settings.OnStaleEvent()
 	}
 }
 
-// takeDone accepts the end of the answer. An answer that ends for its length
-// before it has that length was cut off, and the rest is still owed.
-func (r *run) takeDone(e *epoch, event engine.Event) (over, whole bool) {
+// handleDone handles the end of the response. A response that ends because of its
+// length before it has that length is truncated, and the rest must still be generated.
+func (r *run) handleDone(e *epoch, event engine.Event) (ended, complete bool) {
 	if event.Finish == finishLength && len(r.committed) < r.job.MaxTokens {
 		return r.protocolFault(e, errTruncated)
 	}
@@ -115,14 +116,14 @@
 	return true, true
 }
 
-func (r *run) protocolFault(e *epoch, cause error) (over, whole bool) {
+func (r *run) protocolFault(e *epoch, cause error) (ended, complete bool) {
 	e.fail(&fault{stage: e.last(), kind: faultProtocol, cause: cause})
 	return true, false
 }
 
-// traceMatches reports whether the token was made by the epoch's stages, each
-// once, in order, in this epoch. As the stages cover the layers once and in
-// order, so does the trace.
+// traceMatches reports whether the token was generated in this epoch by the epoch's
+// stages, each once and in order. Since the stages cover the layers once and in order,
+// the trace then does so too.
 func traceMatches(e *epoch, trace []engine.Execution) bool {
 	if len(trace) != len(e.stages) {
 		return false
--- a/internal/generation/ending_test.go
+++ b/internal/generation/ending_test.go
@@ -11,7 +11,7 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// The caller hangs up. Every stage is cancelled and every slot given back.
+// The caller disconnects. All stages are cancelled and all slots are released.
 func TestCallerGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, twoHalves...)
@@ -23,9 +23,9 @@
 		}}
 		result, err := r.runner.Run(t.Context(), r.job("q", 12, r.stages("a1:0-6", "b1:6-12")), sink)
 		expectFailure(t, err, outcome.Unknown, outcome.ReasonCallerGone)
-		sink.next = result.Tokens // the token that the sink refused is not committed
-		if wrong := r.verdict(sink, result, err, 12); wrong != nil {
-			t.Error(wrong)
+		sink.next = result.Tokens // the token that the sink rejected is not committed
+		if checkErr := r.check(sink, result, err, 12); checkErr != nil {
+			t.Error(checkErr)
 		}
 	})
 }
@@ -34,7 +34,7 @@
 func TestDeadlineEndsTheRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, twoHalves...)
-		sink := at("q", 5, func() { r.cluster.update("a1", func(e *fakeEngine) { e.stalled = true }) })
+		sink := actAfterToken("q", 5, func() { r.cluster.update("a1", func(e *fakeEngine) { e.stalled = true }) })
 		job := r.job("q", 12, r.stages("a1:0-6", "b1:6-12"))
 		started := time.Now()
 		job.Deadline = started.Add(time.Second)
@@ -43,15 +43,15 @@
 		if took := time.Since(started); took > time.Second {
 			t.Errorf("ended after %v of virtual time", took)
 		}
-		if wrong := r.verdict(sink, result, err, 12); wrong != nil {
-			t.Error(wrong)
+		if checkErr := r.check(sink, result, err, 12); checkErr != nil {
+			t.Error(checkErr)
 		}
 	})
 }
 
-// What a caller is told when no stage could be opened: not-run if all engines
-// refused, unknown if one may have begun, and then without the advice to try again
-// unless the request may run twice.
+// The outcome if no stage could be opened is not-run if all engines refused, and
+// unknown if an engine may have started. In the latter case RetryAfter is set only if
+// the request is idempotent.
 func TestOutcomeOfARunThatCannotStart(t *testing.T) {
 	refuse := func(r *rig) { r.cluster.update("w1", func(e *fakeEngine) { e.refuse = 1000 }) }
 	hang := func(r *rig) { r.cluster.update("w1", func(e *fakeEngine) { e.hung = true }) }
@@ -81,50 +81,50 @@
 			if errors.As(err, &failure); (failure.RetryAfter > 0) != test.retry {
 				t.Errorf("%s: retry after %v", name, failure.RetryAfter)
 			}
-			if wrong := r.verdict(sink, result, err, 12); wrong != nil {
-				t.Errorf("%s: %v", name, wrong)
+			if checkErr := r.check(sink, result, err, 12); checkErr != nil {
+				t.Errorf("%s: %v", name, checkErr)
 			}
 		})
 	}
 }
 
-// The last stage dies between its last token and the end event. The caller has
-// all tokens, so the run is complete and opens nothing more.
-func TestOnlyTheEndIsLost(t *testing.T) {
+// The last stage fails between its last token and the done event. The caller has all
+// tokens, so the run is complete and starts no further epoch.
+func TestMissingDoneEventAfterLastToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, twoHalves...)
-		sink := at("q", 11, func() { r.cluster.kill("b1") })
+		sink := actAfterToken("q", 11, func() { r.cluster.kill("b1") })
 		r.cluster.corrupt = func(_ string, e *engine.Event) {
 			if e.Kind == engine.EventDone {
 				e.Kind = engine.EventHeartbeat
 			}
 		}
-		result := runWhole(t, r, r.job("q", 12, r.stages("a1:0-6", "b1:6-12")), sink)
+		result := runToCompletion(t, r, r.job("q", 12, r.stages("a1:0-6", "b1:6-12")), sink)
 		if result.Epochs != 1 || result.Finish != finishLength {
 			t.Errorf("%+v", result)
 		}
 	})
 }
 
-// A stage opens at the very moment at which another one fails. Its stream must be
-// closed all the same, or its engine works for nobody.
-func TestStreamOpenedAfterTheEndIsClosed(t *testing.T) {
+// A stage opens while another one fails. Its stream must be closed too, or its engine
+// continues to work although no one reads the results.
+func TestStreamOpenedAfterCloseIsClosed(t *testing.T) {
 	r := newRig(t, twoHalves...)
 	e := newEpoch(t.Context(), 1, r.stages("a1:0-6", "b1:6-12").Stages())
 	e.close()
 	stream := &instantStream{closed: make(chan struct{})}
-	if e.add(0, stream) {
-		t.Error("the epoch took the stream")
+	if e.addStream(0, stream) {
+		t.Error("the closed epoch accepted the stream")
 	}
 	select {
 	case <-stream.closed:
 	default:
-		t.Error("the stream stays open")
+		t.Error("the stream was not closed")
 	}
 }
 
-// The last stage was taken and the first refused. No layer has run, for the last
-// stage had nothing to work on, so the caller is rightly told not-run.
+// The last stage was opened and the first one refused. No layer has run, because the
+// last stage had no input, so the outcome not-run is true.
 func TestLastStageAloneDoesNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, "a1:0-6", "b1:6-12")
@@ -136,8 +136,8 @@
 		sink := &checkedSink{id: "q"}
 		result, err := r.runner.Run(t.Context(), r.job("q", 12, r.stages("a1:0-6", "b1:6-12")), sink)
 		expectFailure(t, err, outcome.NotRun, outcome.ReasonOverloaded)
-		if wrong := r.verdict(sink, result, err, 12); wrong != nil {
-			t.Error(wrong)
+		if checkErr := r.check(sink, result, err, 12); checkErr != nil {
+			t.Error(checkErr)
 		}
 	})
 }
@@ -146,6 +146,6 @@
 	t.Helper()
 	var failure *outcome.Failure
 	if !errors.As(err, &failure) || failure.Outcome != want || failure.Reason != reason {
-		t.Fatalf("%v, not %v for %v", err, want, reason)
+		t.Fatalf("failure %v, want outcome %v, reason %v", err, want, reason)
 	}
 }
--- a/internal/generation/epoch.go
+++ b/internal/generation/epoch.go
@@ -10,32 +10,31 @@
 	"geraniumcroft/internal/plan"
 )
 
-// epoch is one set of opened streams. The run's goroutine opens and reads the
-// last stage; each other stage has a goroutine that opens its stream and reads
-// heartbeats and errors. The first fault, a preemption or the end of the context
-// closes all streams, which ends every read.
+// epoch is one set of opened streams. The run's goroutine opens and reads the last
+// stage. Each other stage has a goroutine that opens its stream and reads heartbeats
+// and errors. The first fault, a preemption or the end of the context closes all
+// streams, which ends all reads.
 type epoch struct {
-	number uint32
-	stages []plan.Stage
-	hops   []engine.Hop
-	ctx    context.Context
-	cancel context.CancelFunc
-	began  time.Time
-	work   sync.WaitGroup
-	// imported says that a stage was asked to import KV cache, and progressed that
-	// a token was committed; both belong to the run's goroutine.
+	number     uint32
+	stages     []plan.Stage
+	hops       []engine.Hop
+	ctx        context.Context
+	cancel     context.CancelFunc
+	startTime  time.Time
+	goroutines sync.WaitGroup
+	// imported is set when a stage is asked to import KV cache, progressed when a token
+	// is committed. Both are used by the run's goroutine only.
 	imported, progressed bool
-	// started says that the first stage may have begun. The others have nothing to
-	// work on before that, so without it no layer has run.
-	started atomic.Bool
+	// mayHaveRun is set when the first stage may have mayHaveRun. The other stages have no
+	// input before that, so while it is not set no layer has run.
+	mayHaveRun atomic.Bool
 
 	mu      sync.Mutex // guards the fields below
 	closed  bool
 	streams []engine.Stream
-	// opened says which stages were.
+	// opened has one element per stage, true once the stage's stream was opened.
 	opened []bool
-	// fault is the first failure; the failures that closing itself brings about are
-	// not recorded.
+	// fault is the first failure. Failures that are a result of closing are not recorded.
 	fault     *fault
 	faultTime time.Time
 	preempted bool
@@ -44,13 +43,13 @@
 func newEpoch(ctx context.Context, number uint32, stages []plan.Stage) *epoch {
 	ctx, cancel := context.WithCancel(ctx)
 	return &epoch{
-		number: number, stages: stages, hops: hopsOf(stages),
-		ctx: ctx, cancel: cancel, began: time.Now(),
+		number: number, stages: stages, hops: makeHops(stages),
+		ctx: ctx, cancel: cancel, startTime: time.Now(),
 		streams: make([]engine.Stream, 0, len(stages)), opened: make([]bool, len(stages)),
 	}
 }
 
-func hopsOf(stages []plan.Stage) []engine.Hop {
+func makeHops(stages []plan.Stage) []engine.Hop {
 	hops := make([]engine.Hop, len(stages))
 	for i, stage := range stages {
 		hops[i] = engine.Hop{Target: stage.Target.Name, Address: stage.Target.Address, Layers: stage.Layers}
@@ -58,25 +57,25 @@
 	return hops
 }
 
-// closeWith closes the epoch when ctx ends; the returned function undoes that.
-func (e *epoch) closeWith(ctx context.Context) (stop func()) {
-	e.work.Add(1)
+// closeOnDone closes the epoch when ctx is done. The returned function undoes this.
+func (e *epoch) closeOnDone(ctx context.Context) (stop func()) {
+	e.goroutines.Add(1)
 	undo := context.AfterFunc(ctx, func() {
-		defer e.work.Done()
+		defer e.goroutines.Done()
 		e.close()
 	})
 	return func() {
 		if undo() {
-			e.work.Done()
+			e.goroutines.Done()
 		}
 	}
 }
 
 func (e *epoch) last() int { return len(e.stages) - 1 }
 
-// add keeps a stream so that it is closed with the epoch. It reports false, and
-// closes the stream, when the epoch has ended meanwhile.
-func (e *epoch) add(stage int, stream engine.Stream) bool {
+// addStream stores a stream so that it is closed with the epoch. If the epoch is
+// already closed, addStream closes the stream and returns false.
+func (e *epoch) addStream(stage int, stream engine.Stream) bool {
 	e.mu.Lock()
 	closed := e.closed
 	if !closed {
@@ -95,8 +94,8 @@
 	e.end(func() { e.fault, e.faultTime = f, time.Now() })
 }
 
-// preempt ends the epoch because others need its slots. It is noted also when a
-// fault came first, for a fault alone need not give up the slots.
+// preempt ends the epoch because other requests need its slots. It is recorded even
+// after a fault, because a fault alone does not always release the slots.
 func (e *epoch) preempt() {
 	e.mu.Lock()
 	e.preempted = true
@@ -104,18 +103,19 @@
 	e.close()
 }
 
-// close ends the epoch and leaves no cause.
+// close ends the epoch without recording a cause.
 func (e *epoch) close() { e.end(func() {}) }
 
-// end closes the streams once; the first caller's note stands.
-func (e *epoch) end(note func()) {
+// end closes the epoch and its streams. Only the first call has an effect and runs
+// setCause.
+func (e *epoch) end(setCause func()) {
 	e.mu.Lock()
 	if e.closed {
 		e.mu.Unlock()
 		return
 	}
 	e.closed = true
-	note()
+	setCause()
 	streams := e.streams
 	e.mu.Unlock()
 	e.cancel()
@@ -124,44 +124,45 @@
 	}
 }
 
-// wait returns when the epoch's goroutines have ended. The epoch must be closed.
-func (e *epoch) wait() { e.work.Wait() }
+// wait waits until the epoch's goroutines have ended. The epoch must be closed.
+func (e *epoch) wait() { e.goroutines.Wait() }
 
-// open opens one stage; it returns nil when that failed or the epoch has ended.
-func (e *epoch) open(client engine.Client, stage int, open engine.StageOpen, bound time.Duration) engine.Stream {
+// open opens one stage within the timeout. It returns nil if that failed or the epoch
+// has ended.
+func (e *epoch) open(client engine.Client, stage int, open engine.StageOpen, timeout time.Duration) engine.Stream {
 	ctx, cancel := context.WithCancel(e.ctx)
-	timer := time.AfterFunc(bound, cancel)
+	timer := time.AfterFunc(timeout, cancel)
 	stream, err := client.Open(ctx, e.stages[stage].Target.Address, open)
 	timer.Stop()
 	if err != nil {
 		cancel()
-		e.openFailed(stage, err)
+		e.failOpen(stage, err)
 		return nil
 	}
 	if stage == 0 {
-		e.started.Store(true)
+		e.mayHaveRun.Store(true)
 	}
-	if !e.add(stage, &ownedStream{Stream: stream, cancel: cancel}) {
+	if !e.addStream(stage, &ownedStream{Stream: stream, cancel: cancel}) {
 		cancel()
 		return nil
 	}
 	return stream
 }
 
-func (e *epoch) openFailed(stage int, err error) {
-	f, started := openFault(stage, err)
-	if started && stage == 0 {
-		e.started.Store(true)
+func (e *epoch) failOpen(stage int, err error) {
+	f, mayHaveRun := newOpenFault(stage, err)
+	if mayHaveRun && stage == 0 {
+		e.mayHaveRun.Store(true)
 	}
 	e.fail(f)
 }
 
-// watch reads a stage that yields no tokens until its stream ends.
+// watch reads the stream of a stage that sends no tokens until the stream ends.
 func (e *epoch) watch(stage int, stream engine.Stream, requestID string) {
 	for {
 		event, err := stream.Recv()
 		if err != nil {
-			e.fail(streamFault(stage, err))
+			e.fail(newStreamFault(stage, err))
 			return
 		}
 		if event.RequestID != requestID || event.Epoch != e.number {
@@ -171,18 +172,19 @@
 		case engine.EventDone:
 			return
 		case engine.EventError:
-			e.fail(e.reported(stage, event))
+			e.fail(e.reportedFault(stage, event))
 			return
 		}
 	}
 }
 
-// reported returns the fault that an engine told of. An engine may blame another
-// stage: the one before it whose activations stopped.
-func (e *epoch) reported(stage int, event engine.Event) *fault {
-	blamed := event.Blame
-	if blamed < 0 || blamed >= len(e.stages) {
-		blamed = stage
+// reportedFault returns the fault that an engine reported. An engine may blame another
+// stage, namely the one before it if its activations stopped. A stage that does not
+// exist counts as the engine's own.
+func (e *epoch) reportedFault(stage int, event engine.Event) *fault {
+	failed := event.Blame
+	if failed < 0 || failed >= len(e.stages) {
+		failed = stage
 	}
-	return &fault{stage: blamed, kind: faultReported, cause: &reportedError{reporter: stage, message: event.Message}}
+	return &fault{stage: failed, kind: faultReported, cause: &reportedError{reporter: stage, message: event.Message}}
 }
--- a/internal/generation/errors.go
+++ b/internal/generation/errors.go
@@ -6,16 +6,16 @@
 )
 
 var (
-	errNoTokenInTime = errors.New("no token in time")
-	errTruncated     = errors.New("the engine ended the answer before its length")
-	errTooLong       = errors.New("the engine went on past the answer's length")
-	errWrongRequest  = errors.New("the engine answered for another request")
-	errFutureEpoch   = errors.New("the engine answered for an epoch that was not opened")
-	errTokenGap      = errors.New("the engine left out a token")
-	errTrace         = errors.New("the token was not made by the plan's stages")
+	errNoTokenInTime   = errors.New("no token in time")
+	errTruncated       = errors.New("the engine ended the response before its length")
+	errBeyondMaxTokens = errors.New("the engine sent more tokens than requested")
+	errWrongRequest    = errors.New("the engine sent an event of another request")
+	errFutureEpoch     = errors.New("the engine sent an event of an epoch that was not opened")
+	errTokenGap        = errors.New("the engine skipped a token")
+	errTraceMismatch   = errors.New("the token's trace does not match the stages")
 )
 
-// reportedError is a failure that an engine told of.
+// reportedError is a failure that an engine reported.
 type reportedError struct {
 	reporter int
 	message  string
--- a/internal/generation/fake_cluster_test.go
+++ b/internal/generation/fake_cluster_test.go
@@ -23,26 +23,27 @@
 	errFakeClosed = errors.New("closed")
 )
 
-// tokenText is what every engine answers for a position, so that a sink can tell
-// a token of its own request from any other.
+// tokenText returns the token that every engine generates for a position. It contains the
+// request id, so that a sink can detect a token of another request.
 func tokenText(requestID string, position int) string {
 	return fmt.Sprintf("%s/%d ", requestID, position)
 }
 
-// fakeCluster is engines in memory with faults to order. It is an engine.Client.
+// fakeCluster is a set of in-memory engines with injectable faults. It implements
+// engine.Client.
 type fakeCluster struct {
-	engine.Client // the methods that runs do not use
+	engine.Client // for the methods that runs do not use
 
-	// staleEvents makes each stream of a later epoch begin with events of the one
-	// before, and duplicates repeats each token.
+	// staleEvents makes each stream of a later epoch start with events of the previous
+	// epoch, and duplicates makes it repeat each token.
 	staleEvents, duplicates bool
-	// corrupt, when not nil, may change an event on its way.
+	// corrupt, if not nil, may change an event before it is sent.
 	corrupt func(target string, event *engine.Event)
 
-	mu      sync.Mutex // guards the fields below and the engines' and streams'
+	mu      sync.Mutex // guards the fields below and those of the engines and streams
 	engines map[string]*fakeEngine
 	opens   []fakeOpen
-	// started holds the ids of requests whose first stage some engine took.
+	// started has the ids of requests whose first stage was opened by an engine.
 	started map[string]bool
 }
 
@@ -54,14 +55,15 @@
 
 type fakeEngine struct {
 	name string
-	// dead engines refuse connections; hung ones answer nothing; stalled ones send
-	// heartbeats and make no tokens; mute ones open streams that bring nothing;
-	// refuse counts opens to refuse as leaving, busy those to refuse for a slot.
+	// A dead engine refuses connections, a hung one does not respond, a stalled one
+	// sends heartbeats but generates no tokens, and a mute one opens streams but sends
+	// nothing on them. refuse is the number of opens to refuse because the engine is
+	// leaving, busy the number to refuse because it has no free slot.
 	dead, hung, stalled, mute bool
 	refuse, busy              int
-	// onOpen runs, without the lock, when the engine is asked to open a stage.
+	// onOpen is called, without the lock, for each open of a stage.
 	onOpen func(open engine.StageOpen)
-	// stages are the present epochs by request.
+	// stages has the current stage of each request.
 	stages map[string]*fakeStream
 }
 
@@ -73,36 +75,36 @@
 	return c
 }
 
-// update changes an engine under the lock.
+// update changes an engine while it holds the lock.
 func (c *fakeCluster) update(name string, change func(e *fakeEngine)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(c.engines[name])
 }
 
-// kill breaks an engine's streams and refuses new ones.
+// kill breaks an engine's streams and makes it refuse new ones.
 func (c *fakeCluster) kill(name string) {
 	c.update(name, func(e *fakeEngine) {
 		e.dead = true
-		e.restartLocked()
+		e.dropStagesLocked()
 	})
 }
 
-// restartLocked loses all stages.
-func (e *fakeEngine) restartLocked() {
+// dropStagesLocked breaks and removes all stages.
+func (e *fakeEngine) dropStagesLocked() {
 	for _, stream := range e.stages {
 		stream.breakLocked()
 	}
 	clear(e.stages)
 }
 
-// hang makes an engine answer nothing, on old connections and new ones.
+// hang makes an engine stop responding, on existing and new connections.
 func (c *fakeCluster) hang(name string) {
 	c.silence(name)
 	c.update(name, func(e *fakeEngine) { e.hung = true })
 }
 
-// silence makes an engine's open streams go silent; new ones work.
+// silence makes an engine's open streams go silent. New streams work.
 func (c *fakeCluster) silence(name string) {
 	c.update(name, func(e *fakeEngine) {
 		for _, stream := range e.stages {
@@ -131,12 +133,13 @@
 	if err != nil {
 		return nil, err
 	}
-	go stream.work()
+	go stream.serve()
 	return stream, nil
 }
 
 var errHung = errors.New("no answer")
 
+// accept opens the stage at the engine, or returns why the engine does not open it.
 func (c *fakeCluster) accept(address string, open engine.StageOpen) (*fakeStream, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,12 +156,12 @@
 		e.busy--
 		return nil, &engine.OpenError{Address: address, Sent: true, Status: 409, Busy: true, Cause: errors.New("busy")}
 	}
-	if before := e.stages[open.RequestID]; before != nil {
-		before.breakLocked()
+	if previous := e.stages[open.RequestID]; previous != nil {
+		previous.breakLocked()
 	}
 	stream := &fakeStream{
 		cluster: c, engine: e, open: open, silent: e.mute,
-		events: make(chan engine.Event, 1024), closed: make(chan struct{}), broken: make(chan struct{}), gone: make(chan struct{}),
+		events: make(chan engine.Event, 1024), closed: make(chan struct{}), broken: make(chan struct{}), ended: make(chan struct{}),
 	}
 	e.stages[open.RequestID] = stream
 	if open.Index == 0 {
@@ -176,7 +179,7 @@
 	e := c.engines[address]
 	hung := e.hung
 	if stream := e.stages[requestID]; !hung && stream != nil && stream.open.Epoch <= epoch {
-		stream.leaveLocked()
+		stream.endLocked()
 	}
 	c.mu.Unlock()
 	if hung {
@@ -186,7 +189,7 @@
 	return nil
 }
 
-// active counts the stages that living engines still hold.
+// active returns the number of stages at engines that are neither dead nor hung.
 func (c *fakeCluster) active() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -199,6 +202,7 @@
 	return count
 }
 
+// opensOf returns the calls of Open for a target.
 func (c *fakeCluster) opensOf(target string) []engine.StageOpen {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -211,6 +215,7 @@
 	return found
 }
 
+// pause waits for d or until ctx is done.
 func pause(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/generation/fake_stream_test.go
+++ b/internal/generation/fake_stream_test.go
@@ -7,17 +7,17 @@
 	"geraniumcroft/internal/engine"
 )
 
-// fakeStream is one stage at a fake engine, and both ends of its connection.
+// fakeStream is one stage at a fake engine, with both ends of its connection.
 type fakeStream struct {
 	cluster *fakeCluster
 	engine  *fakeEngine
 	open    engine.StageOpen
 	events  chan engine.Event
-	// closed is the router's doing, broken a reset that the router sees, and gone
-	// the end of the engine's work.
-	closed, broken, gone            chan struct{}
-	closeOnce, breakOnce, leaveOnce sync.Once
-	silent                          bool // guarded by the cluster's mu
+	// closed is closed when the router closes the stream, broken on a reset that the
+	// router sees, and ended when the engine's work ends.
+	closed, broken, ended         chan struct{}
+	closeOnce, breakOnce, endOnce sync.Once
+	silent                        bool // guarded by the cluster's mu
 }
 
 // Recv implements engine.Stream.
@@ -38,31 +38,33 @@
 	}
 }
 
-// Close implements engine.Stream. An engine sees it unless the connection is silent.
+// Close implements engine.Stream. The engine detects it unless the connection is silent.
 func (s *fakeStream) Close() {
 	s.closeOnce.Do(func() { close(s.closed) })
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	if !s.silent {
-		s.leaveLocked()
+		s.endLocked()
 	}
 }
 
+// breakLocked resets the connection and ends the engine's work on the stage.
 func (s *fakeStream) breakLocked() {
 	s.breakOnce.Do(func() { close(s.broken) })
-	s.leaveOnce.Do(func() { close(s.gone) })
+	s.endOnce.Do(func() { close(s.ended) })
 }
 
-// leaveLocked ends the engine's work on the stage.
-func (s *fakeStream) leaveLocked() {
-	s.leaveOnce.Do(func() { close(s.gone) })
+// endLocked ends the engine's work on the stage and removes the stage.
+func (s *fakeStream) endLocked() {
+	s.endOnce.Do(func() { close(s.ended) })
 	if s.engine.stages[s.open.RequestID] == s {
 		delete(s.engine.stages, s.open.RequestID)
 	}
 }
 
-// work is the engine's side: heartbeats, and tokens when it is the last stage.
-func (s *fakeStream) work() {
+// serve is the engine's side of the stream. It sends heartbeats, and tokens if it is the
+// last stage.
+func (s *fakeStream) serve() {
 	s.send(engine.Event{Kind: engine.EventReady})
 	if s.cluster.staleEvents && s.open.Epoch > 1 {
 		s.sendStale(len(s.open.Committed))
@@ -77,18 +79,19 @@
 	s.send(engine.Event{Kind: engine.EventDone})
 }
 
+// generate sends the tokens that are not committed yet.
 func (s *fakeStream) generate() {
 	position := len(s.open.Committed)
-	beat := time.Now()
+	lastHeartbeat := time.Now()
 	for position < s.open.MaxTokens {
 		if !s.sleep(fakeTokenTime) {
 			return
 		}
-		if time.Since(beat) >= fakeHeartbeat {
+		if time.Since(lastHeartbeat) >= fakeHeartbeat {
 			s.send(engine.Event{Kind: engine.EventHeartbeat})
-			beat = time.Now()
+			lastHeartbeat = time.Now()
 		}
-		if !s.pipelineStands() {
+		if !s.pipelineReady() {
 			continue
 		}
 		s.send(s.token(position, s.open.Epoch))
@@ -98,7 +101,7 @@
 		position++
 	}
 	s.send(engine.Event{Kind: engine.EventDone, Finish: finishLength})
-	s.finish()
+	s.endAllStages()
 }
 
 func (s *fakeStream) token(position int, epoch uint32) engine.Event {
@@ -109,18 +112,18 @@
 	return event
 }
 
-// sendStale sends what an older epoch left on the way: the next token, which must
-// not be taken from it, an error and an end.
+// sendStale sends delayed events of the previous epoch: the next token, which must not
+// be committed, an error and a done event.
 func (s *fakeStream) sendStale(position int) {
-	old := s.open.Epoch - 1
-	late := s.token(position, old)
-	late.Text = "stale"
-	s.send(late)
-	s.send(engine.Event{Kind: engine.EventError, Epoch: old, Message: "late"})
-	s.send(engine.Event{Kind: engine.EventDone, Epoch: old, Finish: "stop"})
+	oldEpoch := s.open.Epoch - 1
+	staleToken := s.token(position, oldEpoch)
+	staleToken.Text = "stale"
+	s.send(staleToken)
+	s.send(engine.Event{Kind: engine.EventError, Epoch: oldEpoch, Message: "late"})
+	s.send(engine.Event{Kind: engine.EventDone, Epoch: oldEpoch, Finish: "stop"})
 }
 
-// send fills in the event's names and puts it on the connection.
+// send sets the event's request and, if it is 0, its epoch, and sends it.
 func (s *fakeStream) send(event engine.Event) {
 	event.RequestID = s.open.RequestID
 	if event.Epoch == 0 {
@@ -140,8 +143,8 @@
 	}
 }
 
-// pipelineStands reports whether every stage of this epoch is in work.
-func (s *fakeStream) pipelineStands() bool {
+// pipelineReady reports whether all stages of this epoch are open and working.
+func (s *fakeStream) pipelineReady() bool {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	for _, hop := range s.open.Hops {
@@ -154,26 +157,26 @@
 	return true
 }
 
-// finish ends the whole generation at every engine of it.
-func (s *fakeStream) finish() {
+// endAllStages ends all stages of this epoch at their engines.
+func (s *fakeStream) endAllStages() {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	for _, hop := range s.open.Hops {
 		stage := s.cluster.engines[hop.Target].stages[s.open.RequestID]
 		if stage != nil && stage.open.Epoch == s.open.Epoch {
-			stage.leaveLocked()
+			stage.endLocked()
 		}
 	}
 }
 
-// sleep reports false when the stage's work has ended.
+// sleep waits for d. It returns false if the stage's work ends before that.
 func (s *fakeStream) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-s.gone:
+	case <-s.ended:
 		return false
 	}
 }
--- a/internal/generation/fault.go
+++ b/internal/generation/fault.go
@@ -23,7 +23,7 @@
 // Unwrap returns the cause.
 func (f *fault) Unwrap() error { return f.cause }
 
-// balanceResult is what the fault says of its target.
+// balanceResult returns the result that the balancer records for the target.
 func (f *fault) balanceResult() balance.Result {
 	switch f.kind {
 	case faultRefused:
@@ -44,9 +44,9 @@
 	return outcome.ReasonTargetFailed
 }
 
-// openFault says what a failed open means; started reports whether the engine may
-// have begun.
-func openFault(stage int, err error) (f *fault, started bool) {
+// newOpenFault returns the fault for a failed open. started reports whether the engine
+// may have started.
+func newOpenFault(stage int, err error) (f *fault, mayHaveRun bool) {
 	var open *engine.OpenError
 	if !errors.As(err, &open) {
 		return &fault{stage: stage, kind: faultOpen, cause: err}, true
@@ -60,13 +60,15 @@
 	return &fault{stage: stage, kind: faultOpen, cause: err}, open.Sent
 }
 
-// isRefusal reports whether the status says that the engine did not begin.
+// isRefusal reports whether the status means that the engine did not start.
 func isRefusal(status int) bool {
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError ||
 		status == http.StatusServiceUnavailable
 }
 
-func streamFault(stage int, err error) *fault {
+// newStreamFault returns the fault for a stream that ended with an error.
+// newStreamFault returns the fault for a stream that ended with an error.
+func newStreamFault(stage int, err error) *fault {
 	var broken *engine.StreamError
 	if errors.As(err, &broken) && broken.Silent {
 		return &fault{stage: stage, kind: faultSilent, cause: err}
--- a/internal/generation/job.go
+++ b/internal/generation/job.go
@@ -11,27 +11,29 @@
 	Model     string
 	Version   string
 	Adapter   string
-	// Layers is how many layers the model has, which every placement must cover; 0
-	// takes the number from the first placement.
+	// Layers is the number of layers of the model, which each placement must cover. If
+	// it is 0, the number is taken from the first placement.
 	Layers int
 	// Prompt is not modified.
 	Prompt []string
-	// MaxTokens bounds the answer; 0 leaves it to the engine.
+	// MaxTokens bounds the tokens of the response. If it is 0, the engine decides.
 	MaxTokens int
-	// Priority is the engines' scheduling priority.
+	// Priority is the scheduling priority in the engines.
 	Priority int
-	// Deadline bounds the whole run; zero is unbounded.
+	// Deadline bounds the whole run. The zero time means no deadline.
 	Deadline time.Time
-	// Idempotent says that the request may be sent again as a whole. A run continues
-	// over failures either way, see the package comment; the failure of a request
-	// that is not idempotent and may have run never advises a retry.
+	// Idempotent reports whether the request may be sent again as a whole. A run
+	// continues after failures in both cases, see the package comment. If a request that
+	// is not idempotent may have run, its failure has no RetryAfter.
 	Idempotent bool
-	// FirstPlacement is the placement to start with. The run releases it.
+	// FirstPlacement is the placement of the first epoch. The run releases it.
 	FirstPlacement Placement
-	// NextPlacement returns new stages after a failure (without the excluded targets) or a
-	// preemption. It may wait in admission; the run holds no placement meanwhile.
+	// NextPlacement returns another placement, without the excluded targets, after a
+	// failure or a preemption. It may wait in admission. The run holds no placement
+	// while it calls NextPlacement.
 	NextPlacement func(ctx context.Context, exclude []string) (Placement, error)
-	// Preempt, when something is received, makes the run give up its placement,
-	// keep its KV cache and ask Replace for another. It may be nil.
+	// Preempt makes the run, for each value received, release its placement, ask the
+	// engines to keep its KV cache, and get another placement from NextPlacement. It may
+	// be nil.
 	Preempt <-chan struct{}
 }
--- a/internal/generation/kv.go
+++ b/internal/generation/kv.go
@@ -5,20 +5,21 @@
 	"geraniumcroft/internal/plan"
 )
 
-// kvHolders knows which targets hold KV cache of the run, so that a stage that
-// moves can import it instead of replaying.
+// kvHolders records which targets hold KV cache of the run, so that a stage on a new
+// target can import the cache instead of replaying.
 type kvHolders struct {
 	stages []plan.Stage
-	// avoid is set after an epoch with an import failed: the source may be what is
-	// wrong, and a replay needs nobody else.
-	avoid bool
+	// importDisabled is set after an epoch with an import failed. The source of the
+	// import may be the cause, and a replay needs no other target.
+	importDisabled bool
 }
 
-// keep records that the stages have worked on a token.
-func (h *kvHolders) keep(stages []plan.Stage) { h.stages = stages }
+// set records that the targets of these stages hold the KV cache. It is called after
+// an epoch that committed a token.
+func (h *kvHolders) set(stages []plan.Stage) { h.stages = stages }
 
-// drop forgets a target that failed; importing from it could hang.
-func (h *kvHolders) drop(target string) {
+// remove removes a failed target, because an import from it could hang.
+func (h *kvHolders) remove(target string) {
 	kept := make([]plan.Stage, 0, len(h.stages))
 	for _, stage := range h.stages {
 		if stage.Target.Name != target {
@@ -28,9 +29,9 @@
 	h.stages = kept
 }
 
-// source returns the address to import a stage's KV cache from, empty when the
-// target holds it itself or nobody does.
-func (h *kvHolders) source(target string, layers config.LayerRange) string {
+// importSource returns the address to import the KV cache of the target's stage from. It is
+// empty if the target itself or no target holds the cache, or if imports are disabled.
+func (h *kvHolders) importSource(target string, layers config.LayerRange) string {
 	address := ""
 	for _, stage := range h.stages {
 		if !stage.Layers.Contains(layers) {
@@ -41,7 +42,7 @@
 		}
 		address = stage.Target.Address
 	}
-	if h.avoid {
+	if h.importDisabled {
 		return ""
 	}
 	return address
--- a/internal/generation/owned_stream.go
+++ b/internal/generation/owned_stream.go
@@ -6,7 +6,8 @@
 	"geraniumcroft/internal/engine"
 )
 
-// ownedStream frees the context of its open when it is closed.
+// ownedStream is a stream that cancels the context it was opened with when it is
+// closed.
 type ownedStream struct {
 	engine.Stream
 	cancel context.CancelFunc
--- a/internal/generation/placement.go
+++ b/internal/generation/placement.go
@@ -5,10 +5,11 @@
 	"geraniumcroft/internal/plan"
 )
 
-// Placement is stages with a slot in hand on each of their targets.
+// Placement is a set of stages with a reserved slot on each of their targets.
 type Placement interface {
-	// Stages cover the model's layers once and in order.
+	// Stages returns the stages, which cover the model's layers once and in order.
 	Stages() []plan.Stage
-	// Release gives back the slots. Targets that are not in failed did their work.
+	// Release releases the slots. Targets that are not in failed have completed their
+	// work.
 	Release(failed map[string]balance.Result)
 }
--- a/internal/generation/preemption_test.go
+++ b/internal/generation/preemption_test.go
@@ -9,9 +9,9 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// A bulk draft is preempted while it waits for a replacement, holding nothing.
-// The preemption must not be lost when it comes later, on the new placement: the
-// run gives that up at once, waits again and still delivers each token once.
+// A bulk run is preempted while it waits for another placement and holds no slots. The
+// preemption must not be lost: it applies to the next placement, which the run releases
+// at once. It then waits again and still delivers each token once.
 func TestPreemptionWhileRecovering(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, twoHalves...)
@@ -22,20 +22,20 @@
 			}
 			return nil
 		}
-		sink := at("q", 5, func() { r.cluster.kill("a1") })
+		sink := actAfterToken("q", 5, func() { r.cluster.kill("a1") })
 		job := r.job("q", 12, r.stages("a1:0-6", "b1:6-12"))
 		job.Preempt = preempt
-		result := runWhole(t, r, job, sink)
+		result := runToCompletion(t, r, job, sink)
 		if stats := r.runner.Stats(); result.Epochs != 3 || stats.Preemptions != 1 || len(r.excluded) != 2 {
 			t.Errorf("%d epochs, %+v, excluded %v", result.Epochs, stats, r.excluded)
 		}
 	})
 }
 
-// An urgent request takes a draft's slots. The draft's engines keep its KV cache;
-// it resumes elsewhere later and imports from them instead of replaying. When the
-// import fails, the next epoch replays: the source may be what is wrong.
-func TestPreemptedDraftImportsItsKV(t *testing.T) {
+// An urgent request preempts a run. The run's engines keep its KV cache. It resumes on
+// other engines later, which import the cache instead of replaying. If the import fails,
+// the next epoch replays, because the source of the import may be the cause.
+func TestPreemptedRunImportsKVCache(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, "w1:0-12", "w2:0-12", "w3:0-12")
 		preempt := make(chan struct{}, 1)
@@ -53,7 +53,7 @@
 		r.cluster.update("w1", func(e *fakeEngine) {
 			e.onOpen = func(open engine.StageOpen) {
 				if open.Epoch > 1 {
-					t.Error("resumed at the target that was given up")
+					t.Error("resumed at the target that was released by the preemption")
 				}
 			}
 		})
@@ -62,20 +62,20 @@
 		job.NextPlacement = func(_ context.Context, exclude []string) (Placement, error) {
 			return r.choose(append(exclude, "w1"))
 		}
-		result := runWhole(t, r, job, at("q", 5, func() { preempt <- struct{}{} }))
+		result := runToCompletion(t, r, job, actAfterToken("q", 5, func() { preempt <- struct{}{} }))
 		opens := r.cluster.opens
 		if result.Epochs != 3 || opens[1].open.ImportKVFrom != "w1" || opens[2].open.ImportKVFrom != "" {
 			t.Errorf("%d epochs, opens %+v", result.Epochs, opens)
 		}
 		if !opens[0].open.KeepKV {
-			t.Error("the engine was not asked to keep KV cache")
+			t.Error("the engine was not asked to keep its KV cache")
 		}
 	})
 }
 
-// A draft is preempted again before its second engine made a token. That engine
-// has no KV cache of it worth importing; the third imports from the first.
-func TestImportComesFromAnEngineThatMadeTokens(t *testing.T) {
+// A run is preempted again before its second engine generates a token. That engine has no
+// KV cache that is worth importing, so the third engine imports it from the first.
+func TestImportSourceHasGeneratedTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, "w1:0-12", "w2:0-12", "w3:0-12")
 		preempt := make(chan struct{}, 1)
@@ -90,15 +90,15 @@
 			next = next[1:]
 			return placement, nil
 		}
-		runWhole(t, r, job, at("q", 5, func() { preempt <- struct{}{} }))
+		runToCompletion(t, r, job, actAfterToken("q", 5, func() { preempt <- struct{}{} }))
 		if source := r.cluster.opensOf("w3")[0].ImportKVFrom; source != "w1" {
 			t.Errorf("w3 imports from %q", source)
 		}
 	})
 }
 
-// A draft is preempted over and over. It ends after a bounded number of epochs;
-// the caller is told unknown, because it ran in part.
+// A run is preempted repeatedly. It ends after a bounded number of epochs with the
+// outcome unknown, because it ran in part.
 func TestPreemptionsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, twoHalves...)
@@ -115,33 +115,33 @@
 		if result.Epochs != 4 {
 			t.Errorf("%d epochs", result.Epochs)
 		}
-		if wrong := r.verdict(sink, result, err, 12); wrong != nil {
-			t.Error(wrong)
+		if checkErr := r.check(sink, result, err, 12); checkErr != nil {
+			t.Error(checkErr)
 		}
 	})
 }
 
-// A stream goes silent and the draft is preempted at the same moment. A silence
-// alone keeps the slots for a new proof; the urgent request that waits for them
-// must get them all the same.
-func TestPreemptionAtTheMomentOfASilence(t *testing.T) {
+// A stream goes silent and the run is preempted at the same time. For a silent stream
+// alone, the run keeps its slots and reconnects. The urgent request that waits for the
+// slots must get them nevertheless.
+func TestPreemptionDuringSilence(t *testing.T) {
 	r := newRig(t, twoHalves...)
 	first := r.stages("a1:0-6", "b1:6-12")
 	state := newRun(t.Context(), r.runner, r.job("q", 12, first), &checkedSink{id: "q"})
 	e := newEpoch(t.Context(), 1, first.Stages())
 	e.fail(&fault{stage: 0, kind: faultSilent, cause: errHung})
 	e.preempt()
-	if failure := state.next(e); failure != nil {
+	if failure := state.prepareNext(e); failure != nil {
 		t.Fatal(failure)
 	}
 	if len(r.released) != 1 || state.placement == first {
-		t.Error("the slots were kept")
+		t.Error("the slots were not released")
 	}
 }
 
-// A second preemption comes while the slots are being given up for the first. It
-// asks for what is done already, and must not take the next placement as well.
-func TestReleaseSatisfiesPreemptionsUntilThen(t *testing.T) {
+// A second preemption arrives while the slots are being released for the first one. The
+// release satisfies it as well, and it must not apply to the next placement.
+func TestReleaseClearsPendingPreemption(t *testing.T) {
 	r := newRig(t, twoHalves...)
 	preempt := make(chan struct{}, 1)
 	job := r.job("q", 12, r.stages("a1:0-6", "b1:6-12"))
@@ -150,6 +150,6 @@
 	preempt <- struct{}{}
 	state.release(nil)
 	if len(preempt) != 0 {
-		t.Error("the preemption waits for the next placement")
+		t.Error("the preemption is still pending after the release")
 	}
 }
--- a/internal/generation/protocol_test.go
+++ b/internal/generation/protocol_test.go
@@ -9,9 +9,9 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// An engine sends what it must not, once, from token 5 on: the event is not
-// handed to the caller, the violation is counted, and the answer comes whole from
-// another engine. Each case would otherwise reach the caller as a wrong answer.
+// An engine violates the protocol at token 5. The event is not passed to the caller, the
+// violation is counted if it breaks an invariant, and another engine completes the
+// response. Otherwise the caller would get a wrong response in each of these cases.
 func TestWrongEventsNeverReachTheCaller(t *testing.T) {
 	onToken := func(change func(e *engine.Event)) func(*engine.Event) {
 		return func(e *engine.Event) {
@@ -45,8 +45,8 @@
 			}
 			sink := &checkedSink{id: "q"}
 			result, err := r.runner.Run(t.Context(), r.job("q", 12, r.stages("a1:0-6", "b1:6-12")), sink)
-			if err != nil || result.Tokens != 12 || sink.wrong != nil || result.Epochs != 2 {
-				t.Errorf("%s: %+v, %v, %v", name, result, err, sink.wrong)
+			if err != nil || result.Tokens != 12 || sink.tokenErr != nil || result.Epochs != 2 {
+				t.Errorf("%s: %+v, %v, %v", name, result, err, sink.tokenErr)
 			}
 			for _, each := range invariant.All {
 				want := uint64(0)
@@ -62,9 +62,9 @@
 	}
 }
 
-// An engine goes on after the last token that was asked for. The caller gets no
-// more than that, and the answer counts as whole.
-func TestTokensPastTheLengthAreNotTaken(t *testing.T) {
+// An engine continues after the last requested token. The caller gets no more tokens than
+// requested, and the response is complete.
+func TestTokensBeyondMaxTokensAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, twoHalves...)
 		var last engine.Event
@@ -89,8 +89,8 @@
 	})
 }
 
-// A placement that leaves out layers, or runs some of them twice, is refused
-// before any engine is asked; the caller is told not-run, which is true.
+// A placement that omits layers or runs some of them twice is refused before any stage
+// is opened, so the outcome not-run is true.
 func TestPlacementThatDoesNotCoverIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, "a1:0-6", "b1:6-12", "w1:0-12")
--- a/internal/generation/random_test.go
+++ b/internal/generation/random_test.go
@@ -11,47 +11,49 @@
 	"pgregory.net/rapid"
 )
 
-// mixedEngines hold ranges that do not line up, each layer on at least four engines.
+// mixedEngines hold overlapping layer ranges that do not align. Each layer is on at least
+// four engines.
 var mixedEngines = []string{
 	"a1:0-6", "a2:0-6", "a3:0-7", "b1:5-12", "b2:6-12", "b3:6-12",
 	"w1:0-12", "w2:0-12", "c1:0-4", "c2:4-9", "c3:8-12",
 }
 
-type faultOrder struct {
+// injectedFault is a fault that is injected at a time after the start.
+type injectedFault struct {
 	after  time.Duration
 	kind   string
 	engine string
 	run    int
 }
 
-// scenario is what one randomised run does; all of it is drawn beforehand.
+// scenario describes one randomised run. All of it is drawn before the run.
 type scenario struct {
 	tokens []int
-	// deadlines are the callers' bounds, 0 for none.
-	deadlines          []time.Duration
-	orders             []faultOrder
-	stale, duplicates  bool
-	replaceTakes       time.Duration
-	firstChoicesBefore int
+	// deadlines has the timeout of each caller, 0 for none.
+	deadlines         []time.Duration
+	faults            []injectedFault
+	stale, duplicates bool
+	placementDelay    time.Duration
+	priorPlacements   int
 }
 
 const (
-	orderKill    = "kill"
-	orderHang    = "hang"
-	orderSilence = "silence"
-	orderStall   = "stall"
-	orderRefuse  = "refuse"
-	orderBusy    = "busy"
-	orderPreempt = "preempt"
-	orderTwice   = "kill two"
+	injectKill    = "kill"
+	injectHang    = "hang"
+	injectSilence = "silence"
+	injectStall   = "stall"
+	injectRefuse  = "refuse"
+	injectBusy    = "busy"
+	injectPreempt = "preempt"
+	injectKillTwo = "kill two"
 )
 
 func drawScenario(t *rapid.T) scenario {
-	kinds := []string{orderKill, orderHang, orderSilence, orderStall, orderRefuse, orderBusy, orderPreempt, orderTwice}
+	kinds := []string{injectKill, injectHang, injectSilence, injectStall, injectRefuse, injectBusy, injectPreempt, injectKillTwo}
 	s := scenario{
 		stale: rapid.Bool().Draw(t, "stale"), duplicates: rapid.Bool().Draw(t, "duplicates"),
-		replaceTakes:       time.Duration(rapid.IntRange(0, 300).Draw(t, "replaceTakes")) * time.Millisecond,
-		firstChoicesBefore: rapid.IntRange(0, 20).Draw(t, "choices"),
+		placementDelay:  time.Duration(rapid.IntRange(0, 300).Draw(t, "replaceTakes")) * time.Millisecond,
+		priorPlacements: rapid.IntRange(0, 20).Draw(t, "choices"),
 	}
 	for range rapid.IntRange(1, 3).Draw(t, "runs") {
 		s.tokens = append(s.tokens, rapid.IntRange(1, 150).Draw(t, "tokens"))
@@ -61,7 +63,7 @@
 	after := 0
 	for range rapid.IntRange(0, 5).Draw(t, "orders") {
 		after += rapid.IntRange(0, 1200).Draw(t, "after")
-		s.orders = append(s.orders, faultOrder{
+		s.faults = append(s.faults, injectedFault{
 			after: time.Duration(after) * time.Millisecond, kind: rapid.SampledFrom(kinds).Draw(t, "kind"),
 			engine: rapid.SampledFrom(mixedEngines).Draw(t, "engine"), run: rapid.IntRange(0, len(s.tokens)-1).Draw(t, "run"),
 		})
@@ -69,25 +71,25 @@
 	return s
 }
 
-func (r *rig) obey(o faultOrder, preempt []chan struct{}) {
+func (r *rig) inject(o injectedFault, preempt []chan struct{}) {
 	name := o.engine[:2]
 	switch o.kind {
-	case orderKill:
+	case injectKill:
 		r.cluster.kill(name)
-	case orderTwice:
+	case injectKillTwo:
 		r.cluster.kill(name)
 		r.cluster.kill(map[byte]string{'a': "b1", 'b': "a1", 'w': "a2", 'c': "b2"}[name[0]])
-	case orderHang:
+	case injectHang:
 		r.cluster.hang(name)
-	case orderSilence:
+	case injectSilence:
 		r.cluster.silence(name)
-	case orderStall:
+	case injectStall:
 		r.cluster.update(name, func(e *fakeEngine) { e.stalled = true })
-	case orderRefuse:
+	case injectRefuse:
 		r.cluster.update(name, func(e *fakeEngine) { e.refuse += 2 })
-	case orderBusy:
+	case injectBusy:
 		r.cluster.update(name, func(e *fakeEngine) { e.busy += 20 })
-	case orderPreempt:
+	case injectPreempt:
 		select {
 		case preempt[o.run] <- struct{}{}:
 		default:
@@ -95,25 +97,27 @@
 	}
 }
 
-// mend makes the engines work again, so that a run whose layers are all lost can
-// go on and the ends of the test do not depend on luck. A hung engine is started
-// anew; no cancel could reach what it held.
-func (r *rig) mend() {
+// repairEngines ends all faults, so that a run without engines for some layers can
+// continue and the result of the test does not depend on chance. A hung engine is
+// restarted, because no cancel could reach its stages.
+func (r *rig) repairEngines() {
 	r.cluster.mu.Lock()
 	defer r.cluster.mu.Unlock()
 	for _, e := range r.cluster.engines {
 		if e.hung {
-			e.restartLocked()
+			e.dropStagesLocked()
 		}
 		e.dead, e.hung, e.stalled, e.refuse, e.busy = false, false, false, 0, 0
 	}
 }
 
-func (s scenario) play(t *testing.T) (wrong []error, failed int) {
+// run executes the scenario. It returns the problems found and the number of runs that
+// failed.
+func (s scenario) run(t *testing.T) (problems []error, failed int) {
 	r := newRig(t, mixedEngines...)
 	r.cluster.staleEvents, r.cluster.duplicates = s.stale, s.duplicates
-	r.onReplace = func(ctx context.Context) error { return pause(ctx, s.replaceTakes) }
-	for range s.firstChoicesBefore {
+	r.onReplace = func(ctx context.Context) error { return pause(ctx, s.placementDelay) }
+	for range s.priorPlacements {
 		placement, _ := r.choose(nil)
 		placement.Release(nil)
 	}
@@ -135,52 +139,53 @@
 		}
 		runs.Go(func() { results[i], errs[i] = r.runner.Run(ctx, job, sinks[i]) })
 	}
-	var orders sync.WaitGroup
-	for _, o := range s.orders {
-		orders.Go(func() {
+	var injectors sync.WaitGroup
+	for _, o := range s.faults {
+		injectors.Go(func() {
 			if pause(ctx, o.after) == nil {
-				r.obey(o, preempt)
+				r.inject(o, preempt)
 			}
 		})
 	}
-	orders.Go(func() {
+	injectors.Go(func() {
 		_ = pause(ctx, 10*time.Second)
-		r.mend()
+		r.repairEngines()
 	})
 	runs.Wait()
-	orders.Wait()
+	injectors.Wait()
 	r.runner.Wait()
 	for i := range s.tokens {
-		if err := r.verdict(sinks[i], results[i], errs[i], s.tokens[i]); err != nil {
-			wrong = append(wrong, fmt.Errorf("run %d: %w", i, err))
+		if err := r.check(sinks[i], results[i], errs[i], s.tokens[i]); err != nil {
+			problems = append(problems, fmt.Errorf("run %d: %w", i, err))
 		}
 		if errs[i] != nil && s.deadlines[i] == 0 {
-			wrong = append(wrong, fmt.Errorf("run %d failed although the engines were mended: %w", i, errs[i]))
+			problems = append(problems, fmt.Errorf("run %d failed although the engines were repaired: %w", i, errs[i]))
 		}
 		if errs[i] != nil {
 			failed++
 		}
 	}
-	return wrong, failed
+	return problems, failed
 }
 
-// Engines die, hang, go silent, stall, refuse and two die at once, drafts are
-// preempted, old epochs answer late, in random order. Each caller must get every
-// token once and in order, or a truthful failure; nothing may stay open or held.
+// Engines fail, also two at the same time, hang, go silent, stall and refuse, runs are
+// preempted, and events of old epochs arrive late, all in random order. Each caller must
+// get all tokens once and in order, or a failure with a true outcome. Afterwards no stage
+// may be open and no slot reserved.
 func TestRandomFaults(t *testing.T) {
 	runs, failures := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawScenario(rt)
-		var wrong []error
+		var problems []error
 		var failed int
-		synctest.Test(t, func(t *testing.T) { wrong, failed = s.play(t) })
-		if len(wrong) > 0 {
-			rt.Fatalf("%+v: %v", s, wrong)
+		synctest.Test(t, func(t *testing.T) { problems, failed = s.run(t) })
+		if len(problems) > 0 {
+			rt.Fatalf("%+v: %v", s, problems)
 		}
 		runs, failures = runs+len(s.tokens), failures+failed
 	})
 	t.Logf("%d runs, %d ended with a failure", runs, failures)
 	if failures == 0 {
-		t.Error("no run failed, so no failure was looked at")
+		t.Error("no run failed, so no failure was checked")
 	}
 }
--- a/internal/generation/replace.go
+++ b/internal/generation/replace.go
@@ -12,39 +12,40 @@
 	"geraniumcroft/internal/sleep"
 )
 
-// replace asks for a placement. When the exclusions leave no target for some
-// layers, they are lifted after a pause: a target that failed may have come back,
-// and the alternative is to give the request up.
+// replace gets another placement. If the exclusions leave no target for some layers,
+// they are removed after a pause: a target that failed may work again, and otherwise
+// the request would fail.
 func (r *run) replace() *outcome.Failure {
-	err := r.place()
-	if noTarget(err) && len(r.excluded) > 0 {
-		r.wait()
+	err := r.nextPlacement()
+	if isNoTarget(err) && len(r.excluded) > 0 {
+		r.waitRetryPause()
 		clear(r.excluded)
-		err = r.place()
+		err = r.nextPlacement()
 	}
 	if err == nil {
 		return nil
 	}
-	if failure := r.ended(); failure != nil {
+	if failure := r.checkEnded(); failure != nil {
 		return failure
 	}
 	var refused *outcome.Failure
 	if !errors.As(err, &refused) {
-		return r.fail(outcome.ReasonInternal, "no other engines could be had").WithCause(err)
+		return r.newFailure(outcome.ReasonInternal, "no other engines could be had").WithCause(err)
 	}
-	return r.fail(refused.Reason, refused.Detail).WithRetryAfter(r.retryAfter(refused)).WithCause(err)
+	return r.newFailure(refused.Reason, refused.Detail).WithRetryAfter(r.retryAfter(refused)).WithCause(err)
 }
 
-// retryAfter is the refusal's advice, but none where a retry could run a request
-// twice that must not be.
+// retryAfter returns the refusal's RetryAfter, but 0 if a retry could run a request
+// twice that is not idempotent.
 func (r *run) retryAfter(refused *outcome.Failure) time.Duration {
-	if r.started && !r.job.Idempotent {
+	if r.mayHaveRun && !r.job.Idempotent {
 		return 0
 	}
 	return refused.RetryAfter
 }
 
-func (r *run) place() error {
+// nextPlacement gets the next placement without the excluded targets.
+func (r *run) nextPlacement() error {
 	placement, err := r.job.NextPlacement(r.ctx, slices.Sorted(maps.Keys(r.excluded)))
 	if err != nil {
 		return err
@@ -53,18 +54,20 @@
 	return nil
 }
 
-func noTarget(err error) bool {
+// isNoTarget reports whether the error says that no target holds some layers.
+func isNoTarget(err error) bool {
 	var failure *outcome.Failure
 	return errors.As(err, &failure) && failure.Reason == outcome.ReasonNoTarget
 }
 
-func (r *run) wait() {
-	sleep.For(r.ctx, r.pause)
-	r.pause = min(2*r.pause, r.runner.settings.MaxRetryPause)
+// waitRetryPause waits for the retry pause, which doubles each time up to MaxRetryPause.
+func (r *run) waitRetryPause() {
+	sleep.For(r.ctx, r.retryPause)
+	r.retryPause = min(2*r.retryPause, r.runner.settings.MaxRetryPause)
 }
 
-// release gives the slots back, once. A preemption that was asked for until now
-// is satisfied by it; one that comes later is for the next placement.
+// release releases the slots once. This also satisfies a preemption that is already
+// pending. A later one applies to the next placement.
 func (r *run) release(failed map[string]balance.Result) {
 	if r.placement == nil {
 		return
@@ -77,18 +80,18 @@
 	}
 }
 
-// checkPlacement refuses stages that do not cover the model's layers once and in
-// order.
+// checkPlacement returns a failure if the stages do not cover the model's layers once
+// and in order.
 func (r *run) checkPlacement() *outcome.Failure {
 	stages := r.placement.Stages()
 	if len(stages) == 0 {
-		return r.fail(outcome.ReasonInternal, "the plan has no stages")
+		return r.newFailure(outcome.ReasonInternal, "the plan has no stages")
 	}
 	if r.layers == 0 {
 		r.layers = stages[len(stages)-1].Layers.To
 	}
 	if err := (plan.Plan{Stages: stages}).Check(r.layers); err != nil {
-		return r.fail(outcome.ReasonInternal, "the plan does not cover the model").WithCause(err)
+		return r.newFailure(outcome.ReasonInternal, "the plan does not cover the model").WithCause(err)
 	}
 	return nil
 }
--- a/internal/generation/result.go
+++ b/internal/generation/result.go
@@ -1,14 +1,14 @@
 package generation
 
-// finishLength is the end of an answer that has all the tokens it was allowed.
+// finishLength is the finish reason of a response that has as many tokens as allowed.
 const finishLength = "length"
 
-// Result describes how far a run came; it is whole when Run returned no error.
+// Result describes the response of a run. It is complete if Run returned no error.
 type Result struct {
-	// Tokens counts the tokens that the sink took.
+	// Tokens is the number of tokens that the sink accepted.
 	Tokens int
-	// Finish is "stop" or "length".
+	// Finish is the finish reason, "stop" or "length".
 	Finish string
-	// Epochs counts the sets of stages that were opened; 1 without a failure.
+	// Epochs is the number of epochs. It is 1 if there was no failure or preemption.
 	Epochs int
 }
--- a/internal/generation/rig_test.go
+++ b/internal/generation/rig_test.go
@@ -16,7 +16,7 @@
 	"geraniumcroft/internal/plan"
 )
 
-// rig is a runner before a fake cluster, with a planner in the router's place.
+// rig is a runner with a fake cluster, and with a planner instead of the router.
 type rig struct {
 	cluster *fakeCluster
 	runner  *Runner
@@ -25,17 +25,18 @@
 	targets map[string]*config.Target
 
 	mu sync.Mutex // guards the fields below
-	// held counts the placements that are not released.
-	held int
-	// excluded lists what each Replace was told to do without, released the results.
+	// unreleased is the number of placements that are not released.
+	unreleased int
+	// excluded has the excluded targets of each call of NextPlacement, released the results
+	// of each release.
 	excluded [][]string
 	released []map[string]balance.Result
-	// onReplace, when not nil, runs before each replacement.
+	// onReplace, if not nil, is called before each new placement.
 	onReplace func(ctx context.Context) error
 }
 
-// newRig takes engines as "name:from-to"; the model has 12 layers. The engines
-// end with the test, so that only what a run leaves behind can outlive it.
+// newRig returns a rig with engines given as "name:from-to". The model has 12 layers. The
+// engines end with the test, so that only a leak of a run can outlive it.
 func newRig(t testing.TB, engines ...string) *rig {
 	r := &rig{targets: map[string]*config.Target{}, inv: invariant.NewRegistry(nil)}
 	var names []string
@@ -65,7 +66,7 @@
 	return r
 }
 
-// stages takes stages as "name:from-to".
+// stages returns a placement of stages given as "name:from-to".
 func (r *rig) stages(specs ...string) Placement {
 	var stages []plan.Stage
 	for _, spec := range specs {
@@ -82,24 +83,24 @@
 func (r *rig) placement(stages []plan.Stage) Placement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.held++
+	r.unreleased++
 	return &rigPlacement{rig: r, stages: stages}
 }
 
-// choose takes any plan without the excluded targets.
+// choose returns a placement of any plan without the excluded targets.
 func (r *rig) choose(exclude []string) (Placement, error) {
-	without := map[string]bool{}
+	excluded := map[string]bool{}
 	for _, name := range exclude {
-		without[name] = true
+		excluded[name] = true
 	}
-	chosen, ok := r.chooser.Choose(plan.Wish{Urgency: config.Normal, Usable: func(string) bool { return true }, Exclude: without})
+	chosen, ok := r.chooser.Choose(plan.Wish{Urgency: config.Normal, Usable: func(string) bool { return true }, Exclude: excluded})
 	if !ok {
 		return nil, outcome.Refuse(outcome.ReasonNoTarget, "no targets").WithRetryAfter(time.Second)
 	}
 	return r.placement(chosen.Stages), nil
 }
 
-func (r *rig) replace(ctx context.Context, exclude []string) (Placement, error) {
+func (r *rig) nextPlacement(ctx context.Context, exclude []string) (Placement, error) {
 	r.mu.Lock()
 	r.excluded = append(r.excluded, exclude)
 	onReplace := r.onReplace
@@ -113,27 +114,27 @@
 }
 
 func (r *rig) job(id string, tokens int, first Placement) Job {
-	return Job{RequestID: id, Model: "m", Version: "1", Prompt: []string{"p"}, MaxTokens: tokens, FirstPlacement: first, NextPlacement: r.replace}
+	return Job{RequestID: id, Model: "m", Version: "1", Prompt: []string{"p"}, MaxTokens: tokens, FirstPlacement: first, NextPlacement: r.nextPlacement}
 }
 
-// verdict says what is wrong after a run: what the sink saw, what is still held,
-// and whether the failure, if any, is true.
-func (r *rig) verdict(sink *checkedSink, result Result, err error, want int) error {
+// check returns what is wrong after a run: with the tokens that the sink received, with
+// slots and stages that were not released, or with the outcome of a failure.
+func (r *rig) check(sink *checkedSink, result Result, err error, want int) error {
 	r.runner.Wait()
 	r.mu.Lock()
-	held := r.held
+	unreleased := r.unreleased
 	r.mu.Unlock()
 	switch {
-	case sink.wrong != nil:
-		return sink.wrong
-	case held != 0:
-		return fmt.Errorf("%d placements are not released", held)
+	case sink.tokenErr != nil:
+		return sink.tokenErr
+	case unreleased != 0:
+		return fmt.Errorf("%d placements are not released", unreleased)
 	case r.cluster.active() != 0:
-		return fmt.Errorf("%d stages are still in work", r.cluster.active())
+		return fmt.Errorf("%d stages are still open", r.cluster.active())
 	case r.inv.Total() != 0:
 		return fmt.Errorf("invariants: %+v", r.inv.Report().Recent)
 	case result.Tokens != sink.next:
-		return fmt.Errorf("result of %d tokens, the sink took %d", result.Tokens, sink.next)
+		return fmt.Errorf("result has %d tokens, the sink received %d", result.Tokens, sink.next)
 	case err == nil && sink.next != want:
 		return fmt.Errorf("complete with %d of %d tokens", sink.next, want)
 	case err != nil:
@@ -142,6 +143,7 @@
 	return nil
 }
 
+// checkFailure checks that the outcome of a failure is true.
 func (r *rig) checkFailure(sink *checkedSink, err error) error {
 	var failure *outcome.Failure
 	if !errors.As(err, &failure) {
@@ -151,7 +153,7 @@
 	started := r.cluster.started[sink.id]
 	r.cluster.mu.Unlock()
 	if failure.Outcome == outcome.NotRun && (started || sink.next > 0) {
-		return fmt.Errorf("said not-run of a request that ran: %w", err)
+		return fmt.Errorf("outcome not-run for a request that ran: %w", err)
 	}
 	return nil
 }
@@ -171,22 +173,22 @@
 		panic("released twice")
 	}
 	p.released = true
-	p.rig.held--
+	p.rig.unreleased--
 	p.rig.released = append(p.rig.released, failed)
 }
 
 // checkedSink expects each token once and in order.
 type checkedSink struct {
-	id    string
-	next  int
-	wrong error
-	// onToken, when not nil, runs after each token was taken.
+	id       string
+	next     int
+	tokenErr error
+	// onToken, if not nil, is called after each token.
 	onToken func(position int) error
 }
 
 func (s *checkedSink) Token(position int, text string) error {
 	if position != s.next || text != tokenText(s.id, position) {
-		s.wrong = fmt.Errorf("sink took token %d %q when %d was due", position, text, s.next)
+		s.tokenErr = fmt.Errorf("sink received token %d %q, want token %d", position, text, s.next)
 	}
 	s.next++
 	if s.onToken != nil {
--- a/internal/generation/run.go
+++ b/internal/generation/run.go
@@ -7,7 +7,7 @@
 	"geraniumcroft/internal/engine"
 )
 
-// run is the state of one generation across its epochs. It belongs to the
+// run is the state of one generation across its epochs. It is used only by the
 // goroutine that called Run.
 type run struct {
 	ctx    context.Context
@@ -21,27 +21,28 @@
 	committed []string
 	finish    string
 	sinkErr   error
-	// started says that some layer of the request may have run.
-	started bool
+	// mayHaveRun is set when some layer of the request may have run.
+	mayHaveRun bool
 
-	holders   kvHolders
-	suspected map[string]bool
-	// unproven are targets of which it is not known whether they answer at all: the
-	// next epoch gives them little time.
-	unproven map[string]bool
-	excluded map[string]bool
-	faults   int
-	// busy counts the epochs that an engine without a free slot ended.
-	busy  int
-	pause time.Duration
-	// failedAt is when the present recovery began; zero when there is none.
+	holders     kvHolders
+	reconnected map[string]bool
+	// unconfirmed has the targets for which it is unknown whether they respond at all.
+	// The next epoch opens them with ReconnectTimeout.
+	unconfirmed       map[string]bool
+	excluded          map[string]bool
+	consecutiveFaults int
+	// busyEpochs is the number of epochs that ended because an engine had no free slot.
+	busyEpochs int
+	retryPause time.Duration
+	// failedAt is the time of the failure that the run is recovering from. It is zero if
+	// there is none.
 	failedAt time.Time
 }
 
 func newRun(ctx context.Context, r *Runner, j Job, sink Sink) *run {
 	return &run{
 		ctx: ctx, runner: r, job: j, sink: sink, placement: j.FirstPlacement, layers: j.Layers,
-		suspected: map[string]bool{}, unproven: map[string]bool{}, excluded: map[string]bool{}, pause: r.settings.RetryPause,
+		reconnected: map[string]bool{}, unconfirmed: map[string]bool{}, excluded: map[string]bool{}, retryPause: r.settings.RetryPause,
 	}
 }
 
@@ -49,7 +50,7 @@
 	return Result{Tokens: len(r.committed), Finish: r.finish, Epochs: int(r.epochs)}
 }
 
-// loop runs epochs until the answer is whole or cannot become so.
+// loop runs epochs until the response is complete or cannot be completed.
 func (r *run) loop() error {
 	for {
 		if failure := r.checkPlacement(); failure != nil {
@@ -57,25 +58,25 @@
 			return failure
 		}
 		e := r.startEpoch()
-		whole := r.consume(e)
+		complete := r.consume(e)
 		e.close()
 		e.wait()
-		r.started = r.started || e.started.Load()
-		if whole || r.onlyEndLost() {
+		r.mayHaveRun = r.mayHaveRun || e.mayHaveRun.Load()
+		if complete || r.completeWithoutDone() {
 			r.release(nil)
 			return nil
 		}
 		r.runner.cancelStages(r.job.RequestID, e.number, e.stages)
-		if failure := r.next(e); failure != nil {
+		if failure := r.prepareNext(e); failure != nil {
 			r.release(nil)
 			return failure
 		}
 	}
 }
 
-// onlyEndLost reports whether all tokens are committed although the epoch ended
-// before the engine said so; nothing is owed any more.
-func (r *run) onlyEndLost() bool {
+// completeWithoutDone reports whether all tokens are committed although the epoch ended
+// before the done event arrived. The response is then complete.
+func (r *run) completeWithoutDone() bool {
 	if r.job.MaxTokens == 0 || len(r.committed) < r.job.MaxTokens {
 		return false
 	}
@@ -83,17 +84,18 @@
 	return true
 }
 
-// startEpoch opens all stages but the last in goroutines of their own.
+// startEpoch starts the next epoch. It opens all stages but the last, each in its own
+// goroutine.
 func (r *run) startEpoch() *epoch {
 	r.epochs++
 	e := newEpoch(r.ctx, r.epochs, r.placement.Stages())
 	if r.job.Preempt != nil {
-		e.work.Go(func() { r.watchPreempt(e) })
+		e.goroutines.Go(func() { r.watchPreempt(e) })
 	}
 	for stage := range e.stages[:e.last()] {
-		open, bound := r.stageOpen(e, stage), r.openBound(e, stage)
-		e.work.Go(func() {
-			if stream := e.open(r.runner.client, stage, open, bound); stream != nil {
+		open, timeout := r.stageOpen(e, stage), r.openTimeout(e, stage)
+		e.goroutines.Go(func() {
+			if stream := e.open(r.runner.client, stage, open, timeout); stream != nil {
 				e.watch(stage, stream, open.RequestID)
 			}
 		})
@@ -109,9 +111,10 @@
 	}
 }
 
-// openBound is short for a target that must prove first that it answers.
-func (r *run) openBound(e *epoch, stage int) time.Duration {
-	if r.unproven[e.stages[stage].Target.Name] {
+// openTimeout returns the timeout for opening a stage. It is short if it is unknown
+// whether the target responds.
+func (r *run) openTimeout(e *epoch, stage int) time.Duration {
+	if r.unconfirmed[e.stages[stage].Target.Name] {
 		return r.runner.settings.ReconnectTimeout
 	}
 	return r.runner.settings.OpenTimeout
@@ -119,8 +122,8 @@
 
 func (r *run) stageOpen(e *epoch, stage int) engine.StageOpen {
 	count := len(r.committed)
-	source := r.holders.source(e.hops[stage].Target, e.hops[stage].Layers)
-	e.imported = e.imported || source != ""
+	importSource := r.holders.importSource(e.hops[stage].Target, e.hops[stage].Layers)
+	e.imported = e.imported || importSource != ""
 	return engine.StageOpen{
 		RequestID: r.job.RequestID,
 		Epoch:     e.number,
@@ -131,10 +134,10 @@
 		Hops:      e.hops,
 		Index:     stage,
 		Prompt:    r.job.Prompt,
-		// The run only appends, so the engines' part of the slice stays as it is.
+		// The run only appends to the slice, so the part that is passed here never changes.
 		Committed:    r.committed[:count:count],
 		MaxTokens:    r.job.MaxTokens,
 		KeepKV:       true,
-		ImportKVFrom: source,
+		ImportKVFrom: importSource,
 	}
 }
--- a/internal/generation/runner.go
+++ b/internal/generation/runner.go
@@ -14,24 +14,25 @@
 	settings Settings
 	inv      *invariant.Registry
 	counters counters
-	// cancelSlots bounds the cancels under way; background counts them.
+	// cancelSlots bounds the number of cancels in progress, and cancels waits for them.
 	cancelSlots chan struct{}
-	background  sync.WaitGroup
-	// acceptOldEpochs takes the epoch fence out; tests plant this fault.
-	acceptOldEpochs bool
+	cancels     sync.WaitGroup
+	// ignoreEpochFence disables the check for events of old epochs. Tests set it to show
+	// that the invariants detect the fault.
+	ignoreEpochFence bool
 }
 
-// New returns a runner that talks to engines by client.
+// New returns a runner that uses the client to reach the engines.
 func New(client engine.Client, s Settings, inv *invariant.Registry) *Runner {
 	s = s.WithDefaults()
 	return &Runner{client: client, settings: s, inv: inv, cancelSlots: make(chan struct{}, s.MaxCancels)}
 }
 
-// Run executes the job and returns when the sink has its last token or the job
-// cannot go on. The error is an *outcome.Failure. When Run returns, every stream
-// is closed, every placement released and every goroutine of the run ended; only
-// cancels of old epochs may still be under way, bounded by CancelTimeout, because
-// a dead engine must not hold up an answer that is whole.
+// Run executes the job and returns when the sink has the last token or the job cannot
+// continue. The error is an *outcome.Failure. When Run returns, all streams are closed,
+// all placements are released and all goroutines of the run have ended. Only cancels of
+// old epochs may still be in progress, for at most CancelTimeout, because a dead engine
+// must not delay a complete response.
 func (r *Runner) Run(ctx context.Context, j Job, sink Sink) (Result, error) {
 	r.counters.running.Add(1)
 	defer r.counters.running.Add(-1)
@@ -45,11 +46,11 @@
 	return state.result(), err
 }
 
-// Wait returns when no cancel of an old epoch is under way any more.
-func (r *Runner) Wait() { r.background.Wait() }
+// Wait waits until no cancel of an old epoch is in progress.
+func (r *Runner) Wait() { r.cancels.Wait() }
 
 // Stats returns the runner's counters.
 func (r *Runner) Stats() Stats { return r.counters.stats() }
 
-// Dump returns the runner's state for the process's dump.
+// Dump returns the runner's state for the dump of the process.
 func (r *Runner) Dump() any { return r.Stats() }
--- a/internal/generation/settings.go
+++ b/internal/generation/settings.go
@@ -19,40 +19,41 @@
 	DefaultMaxCancels        = 256
 )
 
-// Settings bound what a run may take. A zero field takes its default.
+// Settings are the timeouts and limits of runs. A zero field takes its default.
 type Settings struct {
-	// OpenTimeout bounds the opening of one stage.
+	// OpenTimeout bounds opening one stage.
 	OpenTimeout time.Duration
-	// ReconnectTimeout bounds the opening of a stage whose last stream went silent, or
-	// which had as much time already and did not open.
+	// ReconnectTimeout bounds opening a stage whose last stream went silent, or which was
+	// not opened in the epoch before although this time had passed.
 	ReconnectTimeout time.Duration
-	// FirstTokenTimeout bounds the wait for an epoch's first token, replay included.
+	// FirstTokenTimeout bounds the wait for an epoch's first token, including replay.
 	FirstTokenTimeout time.Duration
-	// InterTokenTimeout bounds the wait for each token after it.
+	// InterTokenTimeout bounds the wait for each later token.
 	InterTokenTimeout time.Duration
-	// CancelTimeout bounds the cancel of an old epoch.
+	// CancelTimeout bounds one cancel of an old epoch.
 	CancelTimeout time.Duration
-	// RetryPause is waited before excluded targets are tried again; it doubles up to
-	// MaxRetryPause.
+	// RetryPause is the pause before excluded targets are tried again. It doubles each
+	// time up to MaxRetryPause.
 	RetryPause    time.Duration
 	MaxRetryPause time.Duration
-	// MaxRecoveries bounds the failures in a row that one run gets over without a
-	// token in between. With the pauses between them a range of layers may be without
-	// any engine for some ten seconds; the deadline bounds the wait as well.
+	// MaxRecoveries bounds the consecutive failures that a run recovers from without a
+	// token in between. With the pauses between them, a range of layers may be without
+	// an engine for about ten seconds. The deadline bounds this time as well.
 	MaxRecoveries int
-	// MaxEpochs bounds failures and preemptions together.
+	// MaxEpochs bounds the epochs of a run, except those that ended because an engine
+	// had no free slot. It thus bounds failures and preemptions together.
 	MaxEpochs int
-	// MaxCancels bounds the cancels of old epochs under way on this VM.
+	// MaxCancels bounds the cancels of old epochs in progress on this VM.
 	MaxCancels int
-	// OnRecovered, when not nil, is told how long each recovery took, from the moment
-	// that a stage failed to the next token.
+	// OnRecovered, if not nil, is called with the duration of each recovery, from the
+	// failure of a stage to the next token.
 	OnRecovered func(took time.Duration)
-	// OnStaleEvent, when not nil, is told of each event of an older epoch that was
-	// dropped; it must not block.
+	// OnStaleEvent, if not nil, is called for each event of an older epoch that was
+	// dropped. It must not block.
 	OnStaleEvent func()
 }
 
-// WithDefaults returns s with its zero fields filled in.
+// WithDefaults returns s with its zero fields set to the defaults.
 func (s Settings) WithDefaults() Settings {
 	s.OpenTimeout = cmp.Or(s.OpenTimeout, DefaultOpenTimeout)
 	s.ReconnectTimeout = cmp.Or(s.ReconnectTimeout, DefaultReconnectTimeout)
--- a/internal/generation/silence_test.go
+++ b/internal/generation/silence_test.go
@@ -10,23 +10,23 @@
 	"geraniumcroft/internal/engine"
 )
 
-// The connection to the first stage is forgotten by something on the way: no
-// event comes and no reset. The run notices after the silence bound and opens the
-// same stage on a new connection; the engine works, so it keeps its place.
-func TestStageSilentIsProvenAgainAtItsTarget(t *testing.T) {
+// A middlebox drops the connection state of the first stage's stream: neither events nor
+// a reset arrive. The run detects this after the silence timeout and opens the same
+// stage on a new connection. The engine works, so it is not replaced.
+func TestSilentStageIsReconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, twoHalves...)
-		sink := at("q", 5, func() { r.cluster.silence("a1") })
-		result := runWhole(t, r, r.job("q", 200, r.stages("a1:0-6", "b1:6-12")), sink)
+		sink := actAfterToken("q", 5, func() { r.cluster.silence("a1") })
+		result := runToCompletion(t, r, r.job("q", 200, r.stages("a1:0-6", "b1:6-12")), sink)
 		if result.Epochs != 2 || len(r.excluded) != 0 || len(r.cluster.opensOf("a1")) != 2 {
 			t.Errorf("%d epochs, excluded %v, %d opens", result.Epochs, r.excluded, len(r.cluster.opensOf("a1")))
 		}
 	})
 }
 
-// The engine itself hangs: its streams go silent and new connections bring no
-// answer. The new proof fails within its short bound, and only then the target is
-// excluded; the caller waits for the silence and the proof, not for the open bound.
+// The engine hangs: its streams go silent and it does not respond on new connections. The
+// reconnect fails after ReconnectTimeout, and only then the target is excluded. The caller
+// waits for the silence timeout and ReconnectTimeout, not for OpenTimeout.
 func TestStageSilentTwiceIsExcluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, twoHalves...)
@@ -41,7 +41,7 @@
 			}
 			return nil
 		}}
-		result := runWhole(t, r, r.job("q", 12, r.stages("a1:0-6", "b1:6-12")), sink)
+		result := runToCompletion(t, r, r.job("q", 12, r.stages("a1:0-6", "b1:6-12")), sink)
 		if result.Epochs != 3 || !slices.Equal(r.excluded[0], []string{"b1"}) {
 			t.Errorf("%d epochs, excluded %v", result.Epochs, r.excluded)
 		}
@@ -51,9 +51,9 @@
 	})
 }
 
-// A stage goes silent and its engine, which is leaving, takes no new connection.
-// A close cannot reach the old stage there. The run moves on, and its cancel, on a
-// connection of its own, frees what the engine works on for nobody.
+// A stage goes silent and its engine, which is leaving, refuses to open it again. Closing
+// the silent stream does not reach the engine. The run continues on another engine, and
+// its cancel, on its own connection, ends the old stage.
 func TestSilentStageIsCancelledAtItsEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, twoHalves...)
@@ -64,17 +64,17 @@
 				}
 			}
 		})
-		sink := at("q", 5, func() { r.cluster.silence("a1") })
-		runWhole(t, r, r.job("q", 200, r.stages("a1:0-6", "b1:6-12")), sink)
+		sink := actAfterToken("q", 5, func() { r.cluster.silence("a1") })
+		runToCompletion(t, r, r.job("q", 200, r.stages("a1:0-6", "b1:6-12")), sink)
 		if !slices.Equal(r.excluded[0], []string{"a1"}) || r.released[0]["a1"] != balance.ResultNeutral {
 			t.Errorf("excluded %v, released %v", r.excluded, r.released)
 		}
 	})
 }
 
-// Both engines of a draft hang at the same moment, as when a rack loses its switch.
-// The run learns of them one after the other, but gives each only the short bound
-// of a new proof: the second had not opened either while the first was proven.
+// Both engines of a run hang at the same time, for example because a rack lost its switch.
+// The run detects them one after the other, but waits only ReconnectTimeout for each,
+// because the second one was not opened either while the run reconnected to the first.
 func TestTwoHungStagesCostOneProofEach(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, twoHalves...)
@@ -90,20 +90,20 @@
 			}
 			return nil
 		}}
-		runWhole(t, r, r.job("q", 12, r.stages("a1:0-6", "b1:6-12")), sink)
+		runToCompletion(t, r, r.job("q", 12, r.stages("a1:0-6", "b1:6-12")), sink)
 		if took := next.Sub(hung); took > fakeIdle+2*DefaultReconnectTimeout+100*time.Millisecond {
 			t.Errorf("recovered after %v of virtual time", took)
 		}
 	})
 }
 
-// Every connection to an engine goes silent, also the new ones, though they open.
-// One new proof is all that it gets; the caller is answered by another engine.
-func TestSilentAgainAfterTheProofIsExcluded(t *testing.T) {
+// All connections to an engine go silent, including new ones, although they open. The run
+// reconnects once, then another engine completes the response.
+func TestSilentAfterReconnectIsExcluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, twoHalves...)
 		r.cluster.update("b1", func(e *fakeEngine) { e.mute = true })
-		result := runWhole(t, r, r.job("q", 12, r.stages("a1:0-6", "b1:6-12")), &checkedSink{id: "q"})
+		result := runToCompletion(t, r, r.job("q", 12, r.stages("a1:0-6", "b1:6-12")), &checkedSink{id: "q"})
 		if result.Epochs != 3 || !slices.Equal(r.excluded[0], []string{"b1"}) {
 			t.Errorf("%d epochs, excluded %v", result.Epochs, r.excluded)
 		}
