--- a/internal/generation/epoch.go
+++ b/internal/generation/epoch.go
@@ -25,7 +25,7 @@
 	// imported is set when a stage is asked to import KV cache, progressed when a token
 	// is committed. Both are used by the run's goroutine only.
 	imported, progressed bool
-	// mayHaveRun is set when the first stage may have mayHaveRun. The other stages have no
+	// mayHaveRun is set when the first stage may have started. The other stages have no
 	// input before that, so while it is not set no layer has run.
 	mayHaveRun atomic.Bool
 
--- a/internal/generation/fault.go
+++ b/internal/generation/fault.go
@@ -44,7 +44,7 @@
 	return outcome.ReasonTargetFailed
 }
 
-// newOpenFault returns the fault for a failed open. started reports whether the engine
+// newOpenFault returns the fault for a failed open. mayHaveRun reports whether the engine
 // may have started.
 func newOpenFault(stage int, err error) (f *fault, mayHaveRun bool) {
 	var open *engine.OpenError
--- a/internal/generation/recover.go
+++ b/internal/generation/recover.go
@@ -130,7 +130,7 @@
 	r.failedAt = time.Time{}
 }
 
-// newFailure returns a newFailure with the outcome NotRun if no layer can have run, else
+// newFailure returns a failure with the outcome NotRun if no layer can have run, else
 // Unknown.
 func (r *run) newFailure(reason outcome.Reason, detail string) *outcome.Failure {
 	if !r.mayHaveRun && len(r.committed) == 0 {
--- a/internal/generation/run.go
+++ b/internal/generation/run.go
@@ -24,7 +24,8 @@
 	// mayHaveRun is set when some layer of the request may have run.
 	mayHaveRun bool
 
-	holders     kvHolders
+	holders kvHolders
+	// reconnected has the targets that the run has reconnected to, which it does once.
 	reconnected map[string]bool
 	// unconfirmed has the targets for which it is unknown whether they respond at all.
 	// The next epoch opens them with ReconnectTimeout.
