--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -19,7 +19,7 @@
 func (r *Router) Call(ctx context.Context, request CallRequest) (CallResult, error) {
 	e, failure := r.begin(request.Metadata, config.ClassCall)
 	if failure != nil {
-		return CallResult{}, r.refused(request.Metadata, failure)
+		return CallResult{}, r.recordRefusal(request.Metadata, failure)
 	}
 	ctx, cancel := withDeadline(ctx, e)
 	defer cancel()
@@ -32,19 +32,19 @@
 }
 
 func (r *Router) call(ctx context.Context, e *entry, request CallRequest) (CallResult, *outcome.Failure) {
-	kept, failure := r.takeClaim(ctx, e)
+	stored, failure := r.takeClaim(ctx, e)
 	if failure != nil {
 		return CallResult{}, failure
 	}
-	if kept != nil {
-		return CallResult{Status: kept.Status, ContentType: kept.ContentType, Body: kept.Body, Replayed: true}, nil
+	if stored != nil {
+		return CallResult{Status: stored.Status, ContentType: stored.ContentType, Body: stored.Body, Replayed: true}, nil
 	}
 	result, failure := r.runCall(ctx, e, request)
 	var answer *claim.Answer
 	if failure == nil {
 		answer = &claim.Answer{Status: result.Status, ContentType: result.ContentType, Body: result.Body}
 	}
-	return result, r.settleClaim(ctx, e, failure, answer)
+	return result, r.finishClaim(ctx, e, failure, answer)
 }
 
 func (r *Router) runCall(ctx context.Context, e *entry, request CallRequest) (CallResult, *outcome.Failure) {
@@ -52,24 +52,24 @@
 	if err != nil {
 		return CallResult{}, asFailure(err)
 	}
-	e.enter(PhaseRunning)
+	e.setPhase(PhaseRunning)
 	started := time.Now()
 	response, err := r.Dispatcher.Call(ctx, r.job(e, request, slot))
 	if err != nil {
 		return CallResult{}, asFailure(err)
 	}
-	r.learn(e, time.Since(started))
+	r.recordDuration(e, time.Since(started))
 	return CallResult{Status: response.Status, ContentType: response.Header.Get("Content-Type"), Body: response.Body}, nil
 }
 
 func (r *Router) job(e *entry, request CallRequest, slot *balance.Slot) dispatch.Job {
 	return dispatch.Job{
 		Call: service.Call{
-			RequestID: e.id.RequestID, Path: e.profile.Path, Body: request.Body, ContentType: request.ContentType,
-			Idempotent: e.profile.Idempotent, IdempotencyKey: e.id.IdempotencyKey,
+			RequestID: e.meta.RequestID, Path: e.profile.Path, Body: request.Body, ContentType: request.ContentType,
+			Idempotent: e.profile.Idempotent, IdempotencyKey: e.meta.IdempotencyKey,
 		},
 		Urgency:   e.profile.Urgency,
-		SendGuard: e.boundary,
+		SendGuard: e.sendGuard,
 		FirstSlot: slot,
 		NextSlot: func(exclude []string) (*balance.Slot, error) {
 			return r.Balancer.Pick(r.query(e, exclude))
@@ -102,20 +102,21 @@
 	return slot, err
 }
 
-// admissionCost is what admission needs to know of a request besides its profile.
+// admissionCost is what admission needs to know about a request in addition to its profile.
 type admissionCost struct {
 	tokens int
 	resume bool
 }
 
-// admit waits for the entry's turn; try takes capacity as a request of the
-// urgency that it is given.
+// admit waits until admission starts the request. try takes capacity for a request of the
+// given urgency, and reports whether it got it.
 func (r *Router) admit(ctx context.Context, e *entry, cost admissionCost, try func(config.Urgency) bool) error {
-	e.enter(PhaseQueued)
+	e.setPhase(PhaseQueued)
 	queued := time.Now()
 	request := r.admissionRequest(e, cost)
 	err := r.Admission.Admit(ctx, request, func() bool {
-		// A request that waited while the VM was paused waits until it has caught up.
+		// After this VM was paused, queued requests do not start before its configuration is
+		// confirmed again.
 		return !r.Gate.Stale() && try(request.EffectiveUrgency())
 	})
 	r.Observer.Queued(e.profile.Urgency, time.Since(queued))
@@ -124,14 +125,15 @@
 
 func (r *Router) admissionRequest(e *entry, cost admissionCost) *admission.Request {
 	return &admission.Request{
-		ID: e.id.RequestID, Workspace: e.profile.Workspace, Profile: e.profile.Name, Pool: e.pool,
+		ID: e.meta.RequestID, Workspace: e.profile.Workspace, Profile: e.profile.Name, Pool: e.pool,
 		Urgency: e.profile.Urgency, Weight: r.workspaceWeight(e.profile.Workspace), Cost: max(1, cost.tokens),
-		Arrival: e.id.Arrival, Deadline: e.deadline, Expected: r.estimates.of(e.profile.Name),
+		Arrival: e.meta.Arrival, Deadline: e.deadline, Expected: r.estimates.get(e.profile.Name),
 		MaxQueueWait: time.Duration(e.profile.Limits.MaxQueueWait), Resume: cost.resume,
 	}
 }
 
-func (r *Router) learn(e *entry, took time.Duration) {
-	r.estimates.learn(e.profile.Name, took)
+// recordDuration records how long the request ran, for later estimates.
+func (r *Router) recordDuration(e *entry, took time.Duration) {
+	r.estimates.recordDuration(e.profile.Name, took)
 	r.Admission.Finished(e.pool, took)
 }
--- a/internal/router/dump.go
+++ b/internal/router/dump.go
@@ -1,6 +1,6 @@
 package router
 
-// Dump is a router's state on request.
+// Dump is a snapshot of a router's state.
 type Dump struct {
 	Gate           GateState     `json:"gate"`
 	InHand         []InHandEntry `json:"inHand"`
@@ -10,10 +10,11 @@
 	Targets        any           `json:"targets"`
 }
 
-// Dump returns the router's state. It takes only short locks of its own, none of
-// which is held while a request waits, so it answers while everything is stuck.
+// Dump returns the router's state. It takes only the locks of its parts, each for a short
+// time. None of them is held while a request waits, so Dump returns even if all requests
+// are blocked.
 func (r *Router) Dump() Dump {
-	entries, failures := r.inHand.dump()
+	entries, failures := r.registry.dump()
 	return Dump{
 		Gate:           r.Gate.State(),
 		InHand:         entries,
--- a/internal/router/entry.go
+++ b/internal/router/entry.go
@@ -11,50 +11,52 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// entry is one request in hand.
+// entry is one request in progress.
 type entry struct {
-	id      Metadata
+	meta    Metadata
 	profile *config.Profile
 	pool    string
-	// model is what serves a generation.
-	model    config.ModelRef
-	deadline time.Time
-	boundary *dispatch.SendGuard
-	// preempt takes a signal to give the engines back; it is nil for requests that
-	// are never preempted.
+	// model is the model that serves a generation.
+	model     config.ModelRef
+	deadline  time.Time
+	sendGuard *dispatch.SendGuard
+	// preempt receives a signal to release the engines. It is nil for requests that are never
+	// preempted.
 	preempt chan struct{}
 
 	tokens atomic.Int64
-	// pace belongs to the goroutine that runs the generation.
-	pace paceMeter
+	// gap is used only by the goroutine that runs the generation.
+	gap gapMeter
 
 	mu    sync.Mutex // guards the fields below
-	stage Phase
+	phase Phase
 	since time.Time
 	ended bool
 }
 
-func (e *entry) enter(s Phase) {
+// setPhase records that the request has entered a phase.
+func (e *entry) setPhase(p Phase) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.stage, e.since = s, time.Now()
+	e.phase, e.since = p, time.Now()
 }
 
-func (e *entry) at() (Phase, time.Time) {
+// currentPhase returns the phase of the request and when it was entered.
+func (e *entry) currentPhase() (Phase, time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.stage, e.since
+	return e.phase, e.since
 }
 
-// end closes the entry with its outcome. The two checks are the promise to the
-// caller: one outcome, and "not run" only for what was not sent.
+// end ends the request with its outcome. It checks the two guarantees to the caller: one
+// outcome, and "not run" only for a request that was not sent.
 func (e *entry) end(o outcome.Outcome, invariants *invariant.Registry) {
-	e.boundary.Close()
+	e.sendGuard.Close()
 	e.mu.Lock()
-	again := e.ended
+	alreadyEnded := e.ended
 	e.ended = true
 	e.mu.Unlock()
-	invariants.Check(!again, invariant.OneOutcome, "request %s ended twice", e.id.RequestID)
-	truthful := o != outcome.NotRun || !e.boundary.MayHaveRun()
-	invariants.Check(truthful, invariant.NoDispatchAfterOutcome, "request %s was sent and told as not run", e.id.RequestID)
+	invariants.Check(!alreadyEnded, invariant.OneOutcome, "request %s ended twice", e.meta.RequestID)
+	truthful := o != outcome.NotRun || !e.sendGuard.MayHaveRun()
+	invariants.Check(truthful, invariant.NoDispatchAfterOutcome, "request %s was sent but is reported as not run", e.meta.RequestID)
 }
--- a/internal/router/estimates.go
+++ b/internal/router/estimates.go
@@ -10,28 +10,30 @@
 	maxEstimates = 4096
 )
 
-// estimates keeps a moving average of the time that each profile's requests take
-// once they run, so that admission can refuse what cannot meet its deadline, and the
-// paces of engines.
+// estimates has a moving average of the time that the requests of each profile run, so
+// that admission can refuse requests that cannot meet their deadlines. It also has the
+// detector of slow engines.
 type estimates struct {
 	mu   sync.Mutex // guards the field below
 	took map[string]time.Duration
 
-	// paces has a lock of its own.
-	paces *paces
+	// slowDetector has its own lock.
+	slowDetector *slowDetector
 }
 
 func newEstimates() *estimates {
-	return &estimates{took: map[string]time.Duration{}, paces: newPaces()}
+	return &estimates{took: map[string]time.Duration{}, slowDetector: newSlowDetector()}
 }
 
-func (e *estimates) of(profile string) time.Duration {
+// get returns the average of the profile, 0 if there is none yet.
+func (e *estimates) get(profile string) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.took[profile]
 }
 
-func (e *estimates) learn(profile string, took time.Duration) {
+// recordDuration updates the average of the profile. At most maxEstimates profiles are kept.
+func (e *estimates) recordDuration(profile string, took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	old, known := e.took[profile]
--- a/internal/router/world_test.go
+++ b/internal/router/fleet_test.go
@@ -23,57 +23,58 @@
 	"geraniumcroft/internal/service"
 )
 
-const worldLayers = 8
+const fleetLayers = 8
 
-// world is several routers before the same stand-ins, without a network, so that
-// it runs in virtual time.
-type world struct {
+// fleet is several routers that share simulated engines, services and a store. It uses no
+// network, so that it runs in virtual time.
+type fleet struct {
 	store      *platformsim.Store
 	fabric     *enginesim.Fabric
 	engines    map[string]*enginesim.Engine
 	services   *memoryServices
-	vms        []*worldVM
+	vms        []*fleetVM
 	snapshot   *config.Snapshot
 	violations *invariant.Registry
 	stop       context.CancelFunc
 	work       sync.WaitGroup
 }
 
-// worldVM is one router of the world.
-type worldVM struct {
+// fleetVM is one router of the fleet.
+type fleetVM struct {
 	*Router
 	source   *config.StaticSource
 	balancer *balance.Balancer
 	runner   *generation.Runner
 }
 
-func newWorld(vms int) *world {
+func newFleet(vms int) *fleet {
 	ctx, stop := context.WithCancel(context.Background())
-	w := &world{
+	f := &fleet{
 		store: platformsim.NewStore(), fabric: enginesim.NewFabric(nil), engines: map[string]*enginesim.Engine{},
 		services: newMemoryServices(), violations: invariant.NewRegistry(nil), stop: stop,
 	}
-	w.configure()
+	f.configure()
 	for number := range vms {
-		w.addVM(ctx, fmt.Sprintf("entry-%d", number))
+		f.addVM(ctx, fmt.Sprintf("entry-%d", number))
 	}
-	return w
+	return f
 }
 
-func (w *world) configure() {
+// configure builds the engines and the configuration.
+func (f *fleet) configure() {
 	s := config.NewSnapshot()
 	s.Version = 1
-	model := &config.Model{Name: "m", Layers: worldLayers, Versions: []string{"1"}}
+	model := &config.Model{Name: "m", Layers: fleetLayers, Versions: []string{"1"}}
 	s.Models["m"] = model
 	s.Workspaces["w"] = &config.Workspace{Name: "w"}
 	ranges := []config.LayerRange{{From: 0, To: 5}, {From: 0, To: 4}, {From: 4, To: 8}, {From: 3, To: 8}}
 	for i, held := range ranges {
 		e := enginesim.New(enginesim.Options{
 			Name: fmt.Sprintf("e%d", i), Model: model, Version: "1", Layers: held, Slots: 3,
-			LayerTokensPerSecond: 1000, Fabric: w.fabric,
+			LayerTokensPerSecond: 1000, Fabric: f.fabric,
 		})
 		e.Attach(fmt.Sprintf("10.0.0.%d:1", i))
-		w.engines[e.Name()] = e
+		f.engines[e.Name()] = e
 		target := e.Target()
 		s.Targets[target.Name] = target
 	}
@@ -90,31 +91,31 @@
 		p.Workspace = "w"
 		s.Profiles[p.Name] = p
 	}
-	w.snapshot = s
+	f.snapshot = s
 }
 
-func (w *world) addVM(ctx context.Context, name string) {
-	source := config.NewStaticSource(w.snapshot)
-	balancer := balance.New(balance.Settings{}, w.violations)
-	client := enginesim.NewDirectClient(w.fabric)
+func (f *fleet) addVM(ctx context.Context, name string) {
+	source := config.NewStaticSource(f.snapshot)
+	balancer := balance.New(balance.Settings{}, f.violations)
+	client := enginesim.NewDirectClient(f.fabric)
 	plans := NewPlanCache(name, balancer, zap.NewNop())
 	gate := &Gate{}
 	gate.SetLoaded()
-	vm := &worldVM{source: source, balancer: balancer, runner: generation.New(client, generation.Settings{}, w.violations)}
+	vm := &fleetVM{source: source, balancer: balancer, runner: generation.New(client, generation.Settings{}, f.violations)}
 	vm.Router = New(Options{
-		VM: name, ConfigSource: source, Admission: admission.New(admission.Settings{}, w.violations), Balancer: balancer,
-		Plans: plans, Runner: vm.runner, Dispatcher: dispatch.New(w.services, dispatch.DefaultSettings(), w.violations, nil),
-		Claims: claim.New(w.store, name, claim.Settings{}, w.violations), Gate: gate, Observer: noObserver{},
-		Invariants: w.violations, Logger: zap.NewNop(), Limits: DefaultLimits(),
+		VM: name, ConfigSource: source, Admission: admission.New(admission.Settings{}, f.violations), Balancer: balancer,
+		Plans: plans, Runner: vm.runner, Dispatcher: dispatch.New(f.services, dispatch.DefaultSettings(), f.violations, nil),
+		Claims: claim.New(f.store, name, claim.Settings{}, f.violations), Gate: gate, Observer: noObserver{},
+		Invariants: f.violations, Logger: zap.NewNop(), Limits: DefaultLimits(),
 	})
-	balancer.Update(w.snapshot)
-	plans.Update(w.snapshot)
-	w.vms = append(w.vms, vm)
-	w.work.Go(func() { w.report(ctx, vm, client) })
+	balancer.Update(f.snapshot)
+	plans.Update(f.snapshot)
+	f.vms = append(f.vms, vm)
+	f.work.Go(func() { f.report(ctx, vm, client) })
 }
 
-// report gives the VM load reports, as the watcher does.
-func (w *world) report(ctx context.Context, vm *worldVM, client *enginesim.DirectClient) {
+// report passes load reports of the engines to the VM's balancer, as the watcher does.
+func (f *fleet) report(ctx context.Context, vm *fleetVM, client *enginesim.DirectClient) {
 	for ctx.Err() == nil {
 		for name, target := range vm.source.Current().Targets {
 			if report, err := client.Load(ctx, target.Address); err == nil && target.Kind == config.KindEngine {
@@ -128,16 +129,16 @@
 	}
 }
 
-// setState puts a change of a target's state in force on one VM after another.
-func (w *world) setState(name string, state config.TargetState, lag time.Duration) {
-	next := *w.snapshot
+// setState changes a target's state. The change takes effect on one VM after another.
+func (f *fleet) setState(name string, state config.TargetState, lag time.Duration) {
+	next := *f.snapshot
 	next.Version++
-	next.Targets = maps.Clone(w.snapshot.Targets)
+	next.Targets = maps.Clone(f.snapshot.Targets)
 	changed := *next.Targets[name]
 	changed.State = state
 	next.Targets[name] = &changed
-	w.snapshot = &next
-	for _, vm := range w.vms {
+	f.snapshot = &next
+	for _, vm := range f.vms {
 		vm.source.Set(&next)
 		vm.balancer.Update(&next)
 		vm.Plans.Update(&next)
@@ -145,32 +146,32 @@
 	}
 }
 
-// close ends the world after its last request.
-func (w *world) close() {
-	w.stop()
-	for _, e := range w.engines {
+// close stops the fleet after its last request.
+func (f *fleet) close() {
+	f.stop()
+	for _, e := range f.engines {
 		e.Close()
 	}
-	for _, vm := range w.vms {
+	for _, vm := range f.vms {
 		vm.runner.Wait()
 	}
-	w.work.Wait()
+	f.work.Wait()
 }
 
-// memoryServices is a service.Client over instances in memory. It records what
+// memoryServices is a service.Client for in-memory instances. It counts how often each call
 // ran, by the body of the call.
 type memoryServices struct {
-	// sendsTwice and forgets are planted faults: a transport that resends, and a
-	// service whose declaration that it did not run a call is untrue.
-	sendsTwice bool
-	forgets    bool
+	// sendsTwice and falseNotRun disable safeguards: the transport sends each call twice, and a
+	// service declares that it did not run a call although it did.
+	sendsTwice  bool
+	falseNotRun bool
 
 	mu     sync.Mutex // guards the fields below
 	ran    map[string]int
 	faults map[string][]serviceFault
 }
 
-// serviceFault is what happens to one call.
+// serviceFault is a fault of one call.
 type serviceFault uint8
 
 const (
@@ -187,7 +188,8 @@
 	return &memoryServices{ran: map[string]int{}, faults: map[string][]serviceFault{}}
 }
 
-func (m *memoryServices) order(address string, f serviceFault) {
+// injectFault adds a fault of the next call at the address.
+func (m *memoryServices) injectFault(address string, f serviceFault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults[address] = append(m.faults[address], f)
@@ -209,6 +211,7 @@
 	return engine.LoadReport{}, errors.New("no report")
 }
 
+// execute runs a call unless its fault prevents that. It returns the fault, if any.
 func (m *memoryServices) execute(address, body string) (fault serviceFault, faulty bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -216,7 +219,7 @@
 		m.faults[address] = next[1:]
 		fault, faulty = next[0], true
 	}
-	if m.sendsTwice || m.forgets && fault == faultNotRun {
+	if m.sendsTwice || m.falseNotRun && fault == faultNotRun {
 		m.ran[body]++
 	}
 	if !faulty || fault == faultResetAfter || fault == faultSilentAfter || fault == faultStatus500 {
@@ -225,6 +228,7 @@
 	return fault, faulty
 }
 
+// timesRun returns how often a call with the body ran.
 func (m *memoryServices) timesRun(body string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/router/gate.go
+++ b/internal/router/gate.go
@@ -9,65 +9,66 @@
 
 const stoppingRetryAfter = time.Second
 
-// StaleAfter is the age of the newest proof from which a VM may have been paused
-// for so long that its peers hold it dead. A proof rests on an answer of a peer or
-// the store that is at most 3 s old, and peers wait for more than 5 s after the
-// last one.
+// StaleAfter is the age of the newest confirmation of the configuration from which this VM
+// may have been paused for so long that its peers consider it dead. A confirmation is
+// based on a response of a peer or the store that is at most 3 s old, and peers wait for
+// more than 5 s after the last one.
 const StaleAfter = 2 * time.Second
 
-// Gate says whether this VM takes new requests. The zero value takes none: a VM
-// that has not yet read the configuration in force must not serve an older one.
+// Gate decides whether this VM accepts new requests. It is safe for concurrent use. The
+// zero value accepts none, because a VM that has not yet read the configuration in force
+// must not serve an older one.
 type Gate struct {
-	loaded   atomic.Bool
-	draining atomic.Bool
-	stopped  atomic.Bool
-	isolated atomic.Bool
-	proven   atomic.Pointer[time.Time]
+	loaded      atomic.Bool
+	draining    atomic.Bool
+	stopped     atomic.Bool
+	isolated    atomic.Bool
+	confirmedAt atomic.Pointer[time.Time]
 }
 
-// ConfirmConfig says that this VM has, as far as store or peers can tell, the
-// configuration in force now. Once it was called, it has to be called again before
+// ConfirmConfig records that this VM now has the configuration in force, as far as the
+// store or the peers show. After its first call, it must be called again each time before
 // StaleAfter has passed.
 func (g *Gate) ConfirmConfig() {
 	now := time.Now()
-	g.proven.Store(&now)
+	g.confirmedAt.Store(&now)
 }
 
-// Stale reports whether the last proof is too old. A VM that is frozen and wakes
-// would otherwise serve what was in force when it fell asleep, although changes
-// were accepted without it: a drained target would get new work. The clock that
-// counts may have stood still with the VM, so the longer of the monotonic and the
-// wall time counts.
+// Stale reports whether the last confirmation of the configuration is older than
+// StaleAfter. A VM that was frozen and continues would otherwise serve the configuration
+// that was in force before, although changes were accepted without it: a drained target,
+// for example, would get new requests. The monotonic clock may have stopped together with
+// the VM, so the longer of the monotonic and the wall time counts.
 func (g *Gate) Stale() bool {
-	proven := g.proven.Load()
-	if proven == nil {
+	confirmedAt := g.confirmedAt.Load()
+	if confirmedAt == nil {
 		return false
 	}
 	now := time.Now()
-	monotonic := now.Sub(*proven)
-	wall := now.Round(0).Sub(proven.Round(0))
+	monotonic := now.Sub(*confirmedAt)
+	wall := now.Round(0).Sub(confirmedAt.Round(0))
 	return max(monotonic, wall) > StaleAfter
 }
 
-// SetLoaded tells that the configuration in force has been read.
+// SetLoaded records that the configuration in force has been read.
 func (g *Gate) SetLoaded() { g.loaded.Store(true) }
 
-// SetIsolated tells whether this VM reaches neither the store nor any peer.
+// SetIsolated sets whether this VM reaches neither the store nor any peer.
 func (g *Gate) SetIsolated(isolated bool) { g.isolated.Store(isolated) }
 
-// BeginDrain makes Ready false while requests are still taken, so that the
-// balancer learns of the stop before anything is refused.
+// BeginDrain makes Ready return false while requests are still accepted, so that the load
+// balancer detects the shutdown before any request is refused.
 func (g *Gate) BeginDrain() { g.draining.Store(true) }
 
-// Stop refuses new requests from now on; those in hand go on.
+// Stop makes the gate refuse new requests. Requests in progress continue.
 func (g *Gate) Stop() { g.stopped.Store(true) }
 
-// Ready is what the balancer asks.
+// Ready reports whether the load balancer should send new requests to this VM.
 func (g *Gate) Ready() bool {
 	return g.loaded.Load() && !g.draining.Load() && !g.stopped.Load() && !g.isolated.Load() && !g.Stale()
 }
 
-// Check returns why a new request is refused, or nil.
+// Check returns the failure with which a new request is refused, or nil if it is accepted.
 func (g *Gate) Check() *outcome.Failure {
 	switch {
 	case g.stopped.Load():
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// State describes the gate, for the dump.
+// State returns the gate's state, for the dump.
 func (g *Gate) State() GateState {
 	return GateState{Loaded: g.loaded.Load(), Draining: g.draining.Load(), Stopped: g.stopped.Load(), Isolated: g.isolated.Load(), Stale: g.Stale(), Ready: g.Ready()}
 }
--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -17,16 +17,16 @@
 	"geraniumcroft/internal/plan"
 )
 
-// planAttempts bounds how often a plan is chosen anew because another request
-// took one of its slots in between.
+// planAttempts bounds how often a plan is chosen again because another request took one of
+// its slots in the meantime.
 const planAttempts = 3
 
-// Generate serves a generation; tokens go to the sink in order, each once. The
+// Generate serves a generation. Tokens are passed to the sink in order, each once. The
 // error is an *outcome.Failure.
 func (r *Router) Generate(ctx context.Context, request GenerateRequest, sink TokenSink) (GenerateResult, error) {
 	e, failure := r.begin(request.Metadata, config.ClassGeneration)
 	if failure != nil {
-		return GenerateResult{}, r.refused(request.Metadata, failure)
+		return GenerateResult{}, r.recordRefusal(request.Metadata, failure)
 	}
 	ctx, cancel := withDeadline(ctx, e)
 	defer cancel()
@@ -42,38 +42,41 @@
 	if failure := r.checkGeneration(e, request); failure != nil {
 		return GenerateResult{}, failure
 	}
-	kept, failure := r.takeClaim(ctx, e)
+	stored, failure := r.takeClaim(ctx, e)
 	if failure != nil {
 		return GenerateResult{}, failure
 	}
-	if kept != nil {
-		return replay(kept, sink)
+	if stored != nil {
+		return replay(stored, sink)
 	}
-	observed := newObservedSink(e, sink, r.Observer, r.keptAnswerBound(e))
+	observed := newObservedSink(e, sink, r.Observer, r.maxStoredAnswer(e))
 	result, failure := r.runGeneration(ctx, e, request, observed)
-	return result, r.settleClaim(ctx, e, failure, observed.answer(failure))
+	return result, r.finishClaim(ctx, e, failure, observed.answer(failure))
 }
 
-func (r *Router) keptAnswerBound(e *entry) int {
-	if !e.keyed() {
+// maxStoredAnswer returns the maximum size of the answer that is stored with the claim, 0
+// if the request has no claim.
+func (r *Router) maxStoredAnswer(e *entry) int {
+	if !e.needsClaim() {
 		return 0
 	}
 	return r.Limits.MaxKeptAnswer
 }
 
+// checkGeneration refuses requests that exceed the limits on tokens.
 func (r *Router) checkGeneration(e *entry, request GenerateRequest) *outcome.Failure {
-	if len(request.Prompt) > lowest(e.profile.Limits.MaxPromptTokens, r.Limits.MaxPromptTokens) {
+	if len(request.Prompt) > minBound(e.profile.Limits.MaxPromptTokens, r.Limits.MaxPromptTokens) {
 		return outcome.Refuse(outcome.ReasonTooLarge, "the prompt is longer than the profile allows")
 	}
-	if request.MaxTokens > lowest(e.profile.Limits.MaxTokens, r.Limits.MaxTokens) {
+	if request.MaxTokens > minBound(e.profile.Limits.MaxTokens, r.Limits.MaxTokens) {
 		return outcome.Refuse(outcome.ReasonTooLarge, "more tokens are asked for than the profile allows")
 	}
 	return nil
 }
 
-// replay hands out a kept answer token by token.
-func replay(kept *claim.Answer, sink TokenSink) (GenerateResult, *outcome.Failure) {
-	pieces := strings.SplitAfter(string(kept.Body), " ")
+// replay passes a stored answer to the sink, token by token.
+func replay(stored *claim.Answer, sink TokenSink) (GenerateResult, *outcome.Failure) {
+	pieces := strings.SplitAfter(string(stored.Body), " ")
 	if last := len(pieces) - 1; pieces[last] == "" {
 		pieces = pieces[:last]
 	}
@@ -89,7 +92,7 @@
 	ref := e.model
 	tokens := request.MaxTokens
 	if tokens == 0 {
-		tokens = lowest(e.profile.Limits.MaxTokens, r.Limits.MaxTokens)
+		tokens = minBound(e.profile.Limits.MaxTokens, r.Limits.MaxTokens)
 	}
 	first, err := r.placeGeneration(ctx, e, ref, request.Prompt, admissionCost{tokens: len(request.Prompt) + tokens})
 	if err != nil {
@@ -99,27 +102,27 @@
 }
 
 func (r *Router) execute(ctx context.Context, e *entry, job generation.Job, sink generation.Sink) (GenerateResult, *outcome.Failure) {
-	e.enter(PhaseRunning)
+	e.setPhase(PhaseRunning)
 	started := time.Now()
-	e.boundary.BeginSend()
+	e.sendGuard.BeginSend()
 	done, err := r.Runner.Run(ctx, job, sink)
 	result := GenerateResult{Tokens: done.Tokens, Finish: done.Finish, Epochs: done.Epochs}
 	if failure := asFailure(err); failure != nil {
 		if failure.Outcome == outcome.NotRun {
-			e.boundary.MarkNotRun()
+			e.sendGuard.MarkNotRun()
 		}
 		return result, failure
 	}
-	r.learn(e, time.Since(started))
+	r.recordDuration(e, time.Since(started))
 	return result, nil
 }
 
 func (r *Router) generationJob(e *entry, ref config.ModelRef, prompt []string, tokens int, first *placement) generation.Job {
 	current := first.plan
 	return generation.Job{
-		RequestID: e.id.RequestID, Model: ref.Model, Version: ref.Version, Adapter: ref.Adapter,
+		RequestID: e.meta.RequestID, Model: ref.Model, Version: ref.Version, Adapter: ref.Adapter,
 		Prompt: prompt, MaxTokens: tokens, Idempotent: e.profile.Idempotent, Priority: int(e.profile.Urgency), Deadline: e.deadline,
-		Layers: r.Plans.Layers(ref), FirstPlacement: first.measure(e, r.estimates.paces),
+		Layers: r.Plans.Layers(ref), FirstPlacement: first.startMeasuring(e, r.estimates.slowDetector),
 		Preempt: e.preempt,
 		NextPlacement: func(ctx context.Context, exclude []string) (generation.Placement, error) {
 			remaining := max(1, tokens-int(e.tokens.Load()))
@@ -128,16 +131,16 @@
 				return nil, err
 			}
 			current = next.plan
-			e.enter(PhaseRunning)
-			return next.measure(e, r.estimates.paces), nil
+			e.setPhase(PhaseRunning)
+			return next.startMeasuring(e, r.estimates.slowDetector), nil
 		},
 	}
 }
 
-// placeGeneration waits in admission for a plan with a slot on each target.
+// placeGeneration waits in admission for a plan and a slot on each of its targets.
 func (r *Router) placeGeneration(ctx context.Context, e *entry, ref config.ModelRef, prompt []string, cost admissionCost) (*placement, error) {
 	if !r.Plans.Covered(ref, nil) {
-		return nil, noEngines()
+		return nil, noEnginesFailure()
 	}
 	prefixes := engine.PrefixHashes(ref.Model, ref.Version, ref.Adapter, prompt)
 	var placed *placement
@@ -149,11 +152,11 @@
 	return placed, err
 }
 
-// replaceStages waits in admission for stages in place of the current ones. The
-// surviving stages are asked for first, as their KV cache is still valid.
+// replaceStages waits in admission for stages in place of the current ones. It tries to
+// keep the surviving stages first, because their KV cache is still valid.
 func (r *Router) replaceStages(ctx context.Context, e *entry, ref config.ModelRef, current plan.Plan, tokens int, exclude []string) (*placement, error) {
 	if !r.Plans.Covered(ref, exclude) {
-		return nil, noEngines()
+		return nil, noEnginesFailure()
 	}
 	var placed *placement
 	err := r.admit(ctx, e, admissionCost{tokens: tokens, resume: true}, func(u config.Urgency) bool {
@@ -166,6 +169,8 @@
 	return placed, err
 }
 
+// tryRepair replaces the excluded targets of the current plan and reserves the slots. It
+// returns nil if that is not possible now.
 func (r *Router) tryRepair(u config.Urgency, ref config.ModelRef, current plan.Plan, exclude []string) *placement {
 	repaired, ok := r.Plans.Repair(ref, current, u, asSet(exclude))
 	if !ok {
@@ -175,7 +180,7 @@
 	return placed
 }
 
-func noEngines() *outcome.Failure {
+func noEnginesFailure() *outcome.Failure {
 	return outcome.Refuse(outcome.ReasonNoTarget, "no engines that can take work hold all layers of the model").WithRetryAfter(time.Second)
 }
 
@@ -187,7 +192,8 @@
 	return set
 }
 
-// tryPlan chooses a plan and takes its slots, all or none.
+// tryPlan chooses a plan and reserves all of its slots. It returns nil if that is not
+// possible now.
 func (r *Router) tryPlan(u config.Urgency, ref config.ModelRef, exclude []string, prefer map[string]bool) *placement {
 	excluded := asSet(exclude)
 	for range planAttempts {
@@ -204,6 +210,8 @@
 	return nil
 }
 
+// reserve reserves a slot on each target of the plan. If a target has no free slot, it
+// reserves none and returns the name of that target.
 func (r *Router) reserve(chosen plan.Plan, u config.Urgency) (placed *placement, full string) {
 	p := &placement{plan: chosen, slots: make(map[string]*balance.Slot, len(chosen.Stages))}
 	for _, stage := range chosen.Stages {
@@ -217,22 +225,22 @@
 	return p, ""
 }
 
-// onStarved makes room for an urgent request by preempting one bulk generation.
-// It loses no token: the generation keeps its KV cache where it can and resumes.
+// onStarved preempts one bulk generation of the pool, so that an urgent request can start.
+// The generation loses no tokens: it keeps its KV cache if possible, and resumes later.
 func (r *Router) onStarved(pool string, _ *admission.Request) {
-	victim := r.inHand.preemptible(pool)
-	if victim == nil {
+	preempted := r.registry.preemptible(pool)
+	if preempted == nil {
 		return
 	}
 	select {
-	case victim.preempt <- struct{}{}:
+	case preempted.preempt <- struct{}{}:
 		r.Observer.Preempted()
 	default:
 	}
 }
 
-// chooseModel spreads requests over the profile's models by weight; the same
-// request always gets the same one.
+// chooseModel distributes the requests over the profile's models by weight. The same request
+// always gets the same model.
 func chooseModel(refs []config.ModelRef, requestID string) config.ModelRef {
 	total := 0
 	for _, ref := range refs {
--- a/internal/router/limits_test.go
+++ b/internal/router/limits_test.go
@@ -11,12 +11,11 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// A workspace, or a profile, has as many requests in hand as it may have; the one
-// in hand is with a service that keeps silent. The next caller is told not-run at
-// once, with the time after which to come back, and no target hears of it. What
-// the limit does not cover goes on. When the request in hand has ended, whatever
-// its outcome, the next one is answered.
-func TestLimitsOnRequestsInHand(t *testing.T) {
+// A workspace, or a profile, has reached its limit of requests in progress, because a service
+// does not respond. The next request gets the outcome not-run at once, with a RetryAfter, and
+// is not sent to a target. Requests that the limit does not apply to are served. When the
+// request in progress has ended, with any outcome, the next one is served.
+func TestLimitsOnRequestsInProgress(t *testing.T) {
 	cases := []struct {
 		name    string
 		set     func(*config.Snapshot)
@@ -38,85 +37,89 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(1)
-				defer w.close()
-				c.set(w.snapshot)
-				ended := w.occupy()
+				f := newFleet(1)
+				defer f.close()
+				c.set(f.snapshot)
+				ended := f.occupy()
 				for _, profile := range c.refused {
-					w.wantLimited(t, profile)
+					f.wantLimited(t, profile)
 				}
 				for _, profile := range c.served {
-					w.wantServed(t, profile, "beside it")
+					f.wantServed(t, profile, "beside it")
 				}
 				if failure := <-ended; failure == nil || failure.Outcome != outcome.Unknown {
-					t.Fatalf("the request in hand ended as %v, want unknown", failure)
+					t.Fatalf("the request in progress ended as %v, want unknown", failure)
 				}
 				for _, profile := range c.refused {
-					w.wantServed(t, profile, "after it")
+					f.wantServed(t, profile, "after it")
 				}
 			})
 		})
 	}
 }
 
-// The same limit holds for generations: they and calls of one workspace count
-// together, and a refused one opens no stage.
+// The limit includes generations: generations and calls of one workspace count together, and
+// a refused generation opens no stage.
 func TestWorkspaceLimitCoversGenerations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(1)
-		defer w.close()
-		w.snapshot.Workspaces["w"].MaxInFlight = 1
-		ended := w.occupy()
+		f := newFleet(1)
+		defer f.close()
+		f.snapshot.Workspaces["w"].MaxInFlight = 1
+		ended := f.occupy()
 		sink := &recordingSink{}
-		request := GenerateRequest{Metadata: limitIdentity("draft", "while full"), Prompt: []string{"a "}, MaxTokens: 2}
-		_, err := w.vms[0].Generate(t.Context(), request, sink)
+		request := GenerateRequest{Metadata: limitMetadata("draft", "while full"), Prompt: []string{"a "}, MaxTokens: 2}
+		_, err := f.vms[0].Generate(t.Context(), request, sink)
 		wantLimit(t, err)
-		for name, e := range w.engines {
+		for name, e := range f.engines {
 			if e.Counts().Opens != 0 {
 				t.Errorf("engine %s opened a stage for a refused request", name)
 			}
 		}
 		<-ended
-		request.Metadata = limitIdentity("draft", "when free")
-		if _, err := w.vms[0].Generate(t.Context(), request, sink); err != nil || len(sink.tokens) != 2 {
+		request.Metadata = limitMetadata("draft", "when free")
+		if _, err := f.vms[0].Generate(t.Context(), request, sink); err != nil || len(sink.tokens) != 2 {
 			t.Errorf("tokens %v, error %v", sink.tokens, err)
 		}
 	})
 }
 
-// occupy has one call in hand until its deadline, as its service does not answer.
-func (w *world) occupy() <-chan *outcome.Failure {
-	w.services.order("s0", faultSilentAfter)
-	w.services.order("s1", faultSilentAfter)
+// occupy keeps one call in progress until its deadline, because its service does not respond.
+// The channel receives its failure.
+func (f *fleet) occupy() <-chan *outcome.Failure {
+	f.services.injectFault("s0", faultSilentAfter)
+	f.services.injectFault("s1", faultSilentAfter)
 	ended := make(chan *outcome.Failure, 1)
 	go func() {
-		_, err := w.callWith(context.Background(), "hold", "in hand")
+		_, err := f.callWith(context.Background(), "hold", "in hand")
 		ended <- asFailure(err)
 	}()
 	time.Sleep(10 * time.Millisecond)
 	synctest.Wait()
-	w.services.cancelOrders()
+	f.services.clearFaults()
 	return ended
 }
 
-func (w *world) callWith(ctx context.Context, profile, body string) (CallResult, error) {
-	return w.vms[0].Call(ctx, CallRequest{Metadata: limitIdentity(profile, body), Body: []byte(body)})
+func (f *fleet) callWith(ctx context.Context, profile, body string) (CallResult, error) {
+	return f.vms[0].Call(ctx, CallRequest{Metadata: limitMetadata(profile, body), Body: []byte(body)})
 }
 
-func limitIdentity(profile, body string) Metadata {
+// limitMetadata returns the metadata of a request with this profile and body.
+func limitMetadata(profile, body string) Metadata {
 	return Metadata{RequestID: profile + " " + body, Profile: profile, Arrival: time.Now(), BodyBytes: int64(len(body))}
 }
 
-func (w *world) wantLimited(t *testing.T, profile string) {
+// wantLimited expects that a call is refused because of the limit and does not run.
+func (f *fleet) wantLimited(t *testing.T, profile string) {
 	t.Helper()
 	body := "refused " + profile
-	_, err := w.callWith(t.Context(), profile, body)
+	_, err := f.callWith(t.Context(), profile, body)
 	wantLimit(t, err)
-	if ran := w.services.timesRun(body); ran != 0 {
-		t.Errorf("%s: refused, and ran %d times", profile, ran)
+	if ran := f.services.timesRun(body); ran != 0 {
+		t.Errorf("%s: refused, but ran %d times", profile, ran)
 	}
 }
 
+// wantLimit expects a refusal because of the limit, with a RetryAfter.
 func wantLimit(t *testing.T, err error) {
 	t.Helper()
 	var failure *outcome.Failure
@@ -128,23 +131,24 @@
 		t.Errorf("outcome %s, reason %s", failure.Outcome, failure.Reason)
 	}
 	if failure.RetryAfter <= 0 {
-		t.Error("the caller is not told when to come back")
+		t.Error("the refusal has no RetryAfter")
 	}
 }
 
-func (w *world) wantServed(t *testing.T, profile, when string) {
+// wantServed expects that a call is served and runs once.
+func (f *fleet) wantServed(t *testing.T, profile, when string) {
 	t.Helper()
 	body := profile + " " + when
-	answer, err := w.callWith(t.Context(), profile, body)
+	answer, err := f.callWith(t.Context(), profile, body)
 	if err != nil || string(answer.Body) != body {
 		t.Errorf("%s: answer %q, error %v", body, answer.Body, err)
 	}
-	if ran := w.services.timesRun(body); ran != 1 {
+	if ran := f.services.timesRun(body); ran != 1 {
 		t.Errorf("%s: ran %d times", body, ran)
 	}
 }
 
-func (m *memoryServices) cancelOrders() {
+func (m *memoryServices) clearFaults() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	clear(m.faults)
--- a/internal/router/observed_sink.go
+++ b/internal/router/observed_sink.go
@@ -8,54 +8,55 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// observedSink measures tokens on their way to the caller and keeps the text
-// where a keyed request's answer must be given again.
+// observedSink measures the tokens that are passed to the caller, and stores the text if the
+// answer must be replayed for the same idempotency key.
 type observedSink struct {
-	entry    *entry
-	next     TokenSink
-	observer Observer
-	last     time.Time
-	bound    int
-	kept     []byte
-	overflow bool
+	entry     *entry
+	next      TokenSink
+	observer  Observer
+	lastToken time.Time
+	maxStored int
+	stored    []byte
+	overflow  bool
 }
 
-func newObservedSink(e *entry, next TokenSink, observer Observer, keepBound int) *observedSink {
-	return &observedSink{entry: e, next: next, observer: observer, bound: keepBound}
+func newObservedSink(e *entry, next TokenSink, observer Observer, maxBytes int) *observedSink {
+	return &observedSink{entry: e, next: next, observer: observer, maxStored: maxBytes}
 }
 
 // Token implements generation.Sink.
 func (s *observedSink) Token(position int, text string) error {
 	now := time.Now()
-	if s.last.IsZero() {
-		s.observer.FirstToken(s.entry.profile.Urgency, now.Sub(s.entry.id.Arrival))
+	if s.lastToken.IsZero() {
+		s.observer.FirstToken(s.entry.profile.Urgency, now.Sub(s.entry.meta.Arrival))
 	} else {
-		s.observer.BetweenTokens(s.entry.profile.Urgency, now.Sub(s.last))
+		s.observer.BetweenTokens(s.entry.profile.Urgency, now.Sub(s.lastToken))
 	}
-	s.last = now
+	s.lastToken = now
 	s.entry.tokens.Add(1)
-	s.entry.pace.came(now)
-	s.keep(text)
+	s.entry.gap.tokenReceived(now)
+	s.store(text)
 	err := s.next.Token(position, text)
-	s.entry.pace.taken(time.Now())
+	s.entry.gap.tokenAccepted(time.Now())
 	return err
 }
 
-func (s *observedSink) keep(text string) {
-	if s.bound == 0 || s.overflow {
+// store stores the text unless the answer exceeds maxStored.
+func (s *observedSink) store(text string) {
+	if s.maxStored == 0 || s.overflow {
 		return
 	}
-	if len(s.kept)+len(text) > s.bound {
-		s.kept, s.overflow = nil, true
+	if len(s.stored)+len(text) > s.maxStored {
+		s.stored, s.overflow = nil, true
 		return
 	}
-	s.kept = append(s.kept, text...)
+	s.stored = append(s.stored, text...)
 }
 
-// answer returns the whole answer if it was kept.
+// answer returns the complete answer, or nil if it is incomplete or was not stored.
 func (s *observedSink) answer(failure *outcome.Failure) *claim.Answer {
-	if failure != nil || s.bound == 0 || s.overflow {
+	if failure != nil || s.maxStored == 0 || s.overflow {
 		return nil
 	}
-	return &claim.Answer{Status: http.StatusOK, ContentType: "text/plain", Body: s.kept}
+	return &claim.Answer{Status: http.StatusOK, ContentType: "text/plain", Body: s.stored}
 }
--- a/internal/router/options.go
+++ b/internal/router/options.go
@@ -14,9 +14,9 @@
 	"geraniumcroft/internal/invariant"
 )
 
-// Options are the parts that a Router is put together from.
+// Options are the dependencies of a Router.
 type Options struct {
-	// VM is this VM's name; it seeds choices so that VMs do not act alike.
+	// VM is this VM's name. It seeds random choices so that they differ between VMs.
 	VM           string
 	DataCentre   string
 	ConfigSource config.Source
@@ -25,8 +25,8 @@
 	Plans        *PlanCache
 	Runner       *generation.Runner
 	Dispatcher   *dispatch.Dispatcher
-	// Claims may be nil where no platform is configured; keyed requests that may
-	// not be repeated are then refused.
+	// Claims may be nil if no platform is configured. Requests that need a claim are then
+	// refused.
 	Claims     *claim.Claims
 	Gate       *Gate
 	Authorize  Authorizer
@@ -36,18 +36,19 @@
 	Limits     Limits
 }
 
-// Limits bound what any request may use, whatever its profile says.
+// Limits bound the resources of each request, independent of its profile.
 type Limits struct {
 	MaxBodyBytes    int64
 	MaxTokens       int
 	MaxPromptTokens int
-	// Deadline applies where a profile has none.
+	// Deadline is the time limit of requests whose profile has none.
 	Deadline time.Duration
-	// MaxKeptAnswer bounds the answer that is kept with an idempotency key.
+	// MaxKeptAnswer is the maximum size in bytes of an answer that is stored with an
+	// idempotency key.
 	MaxKeptAnswer int
 }
 
-// DefaultLimits returns the limits that hold where the settings say nothing.
+// DefaultLimits returns the limits that apply if the settings have none.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxBodyBytes:    1 << 20,
@@ -58,10 +59,10 @@
 	}
 }
 
-// Authorizer checks a bearer key against a workspace's key digests.
+// Authorizer reports whether a bearer key has one of a workspace's key digests.
 type Authorizer func(key string, digests []string) bool
 
-// Observer takes the measurements of requests; it must not block.
+// Observer receives the measurements of requests. Its methods must not block.
 type Observer interface {
 	Queued(u config.Urgency, took time.Duration)
 	FirstToken(u config.Urgency, took time.Duration)
--- a/internal/router/stage.go
+++ b/internal/router/phase.go
@@ -1,9 +1,9 @@
 package router
 
-// Phase is how far a request in hand has come.
+// Phase is the progress of a request.
 type Phase string
 
-// The stages of a request, in order; a call skips those it does not need.
+// The phases of a request, in order. A request skips those that it does not need.
 const (
 	PhaseArrived  Phase = "arrived"
 	PhaseClaiming Phase = "claiming"
--- a/internal/router/placement.go
+++ b/internal/router/placement.go
@@ -9,13 +9,13 @@
 	"geraniumcroft/internal/plan"
 )
 
-// placement is a plan with a slot taken on each of its targets.
+// placement is a plan with a reserved slot on each of its targets.
 type placement struct {
 	plan plan.Plan
-	// pace measures the stream on these targets, and paces judges it; nil before
-	// the placement is used.
-	pace  *paceMeter
-	paces *paces
+	// gap measures the stream on these targets, and slowDetector evaluates it. Both are nil
+	// before the placement is used.
+	gap          *gapMeter
+	slowDetector *slowDetector
 
 	mu    sync.Mutex // guards the field below
 	slots map[string]*balance.Slot
@@ -24,20 +24,20 @@
 // Stages implements generation.Placement.
 func (p *placement) Stages() []plan.Stage { return p.plan.Stages }
 
-// Release implements generation.Placement. Targets that are not named in results
-// did their work, though perhaps far too slowly.
+// Release implements generation.Placement. Targets that are not in results have completed
+// their work, but may be slow.
 func (p *placement) Release(results map[string]balance.Result) {
 	p.mu.Lock()
 	slots := p.slots
 	p.slots = nil
 	p.mu.Unlock()
-	var worked []*config.Target
+	var completed []*config.Target
 	for name, slot := range slots {
 		if _, named := results[name]; !named {
-			worked = append(worked, slot.Target())
+			completed = append(completed, slot.Target())
 		}
 	}
-	slow := p.slowOnes(worked)
+	slow := p.slowTargets(completed)
 	for name, slot := range slots {
 		result, named := results[name]
 		switch {
@@ -51,32 +51,32 @@
 	}
 }
 
-// slowOnes takes the stream's pace and returns which of the targets are slow.
-func (p *placement) slowOnes(worked []*config.Target) map[string]bool {
-	if p.pace == nil {
+// slowTargets records the stream's gap and returns which of the targets are slow.
+func (p *placement) slowTargets(completed []*config.Target) map[string]bool {
+	if p.gap == nil {
 		return nil
 	}
-	pace, known := p.pace.mean()
+	gap, known := p.gap.mean()
 	if !known {
 		return nil
 	}
 	now := time.Now()
-	p.paces.add(worked, pace, now)
-	slow := map[string]bool{}
-	for _, t := range worked {
-		slow[t.Name] = p.paces.slow(t, worked, now)
+	p.slowDetector.add(completed, gap, now)
+	isSlow := map[string]bool{}
+	for _, t := range completed {
+		isSlow[t.Name] = p.slowDetector.isSlow(t, completed, now)
 	}
-	return slow
+	return isSlow
 }
 
-// measure begins to measure the entry's stream on this placement.
-func (p *placement) measure(e *entry, paces *paces) *placement {
-	e.pace.begin()
-	p.pace, p.paces = &e.pace, paces
+// startMeasuring starts to measure the entry's stream on this placement.
+func (p *placement) startMeasuring(e *entry, slowDetector *slowDetector) *placement {
+	e.gap.reset()
+	p.gap, p.slowDetector = &e.gap, slowDetector
 	return p
 }
 
-// undo gives back slots of a plan that could not be taken whole.
+// undo releases the slots of a plan that could not be reserved completely.
 func (p *placement) undo() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/router/plan_cache.go
+++ b/internal/router/plan_cache.go
@@ -13,33 +13,33 @@
 	"geraniumcroft/internal/plan"
 )
 
-// capacity is what the plan cache asks of the balancer.
+// capacity is what the plan cache needs from the balancer.
 type capacity interface {
-	// Usable reports whether the target may take new work, and why not.
+	// Usable reports whether the target may get new requests, and if not, why.
 	Usable(target string) (bool, string)
 	// HasRoom reports whether a request of the urgency would get a slot now.
 	HasRoom(target string, u config.Urgency) bool
 }
 
-// PlanCache holds the weighted plans of each model in use. Plans are computed
-// apart from requests, on a change of the configuration; requests read the
-// current ones with one atomic read.
+// PlanCache has the weighted plans of each model in use. Update computes them when the
+// configuration changes. Requests get the current plans with one atomic load. It is safe
+// for concurrent use.
 type PlanCache struct {
 	seed     uint64
 	capacity capacity
 	logger   *zap.Logger
-	plans    atomic.Pointer[plansAt]
+	plans    atomic.Pointer[planSnapshot]
 
 	mu sync.Mutex // serialises Update
 }
 
-// plansAt is the plans of one configuration version.
-type plansAt struct {
+// planSnapshot has the plans of one configuration version.
+type planSnapshot struct {
 	snapshot *config.Snapshot
 	byRef    map[config.ModelRef]*plannedModel
 }
 
-// plannedModel is what serves one model, version and adapter.
+// plannedModel has the plans of one model, version and adapter.
 type plannedModel struct {
 	layers  int
 	holders []*config.Target
@@ -47,29 +47,30 @@
 	set     *plan.Set
 }
 
-// NewPlanCache returns a cache without plans. The VM's name seeds the choices.
+// NewPlanCache returns a cache without plans. The VM's name seeds the choice of plans.
 func NewPlanCache(vm string, c capacity, logger *zap.Logger) *PlanCache {
 	cache := &PlanCache{seed: xxhash.Sum64String(vm), capacity: c, logger: logger}
-	cache.plans.Store(&plansAt{byRef: map[config.ModelRef]*plannedModel{}})
+	cache.plans.Store(&planSnapshot{byRef: map[config.ModelRef]*plannedModel{}})
 	return cache
 }
 
-// PoolOfModel names the pool in which a model's engines are queued for.
+// PoolOfModel returns the name of the pool in which requests for the model are queued.
 func PoolOfModel(ref config.ModelRef) string { return ref.Model + "@" + ref.Version }
 
-// Update computes the plans of the snapshot. Sets whose targets and model did
-// not change are kept with their choosers.
+// Update computes the plans of the snapshot. If the targets and the layers of a model did
+// not change, its plans and its chooser are kept.
 func (c *PlanCache) Update(snapshot *config.Snapshot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	old := c.plans.Load()
-	next := &plansAt{snapshot: snapshot, byRef: map[config.ModelRef]*plannedModel{}}
+	next := &planSnapshot{snapshot: snapshot, byRef: map[config.ModelRef]*plannedModel{}}
 	for _, ref := range refsInUse(snapshot) {
-		next.byRef[ref] = c.planned(old, snapshot, ref)
+		next.byRef[ref] = c.planModel(old, snapshot, ref)
 	}
 	c.plans.Store(next)
 }
 
+// refsInUse returns the models of all profiles, each once and without its weight.
 func refsInUse(snapshot *config.Snapshot) []config.ModelRef {
 	seen := map[config.ModelRef]bool{}
 	var refs []config.ModelRef
@@ -85,14 +86,16 @@
 	return refs
 }
 
-func (c *PlanCache) planned(old *plansAt, snapshot *config.Snapshot, ref config.ModelRef) *plannedModel {
+// planModel returns the plans of a model, the old ones if nothing changed. Without plans,
+// the model cannot be served.
+func (c *PlanCache) planModel(old *planSnapshot, snapshot *config.Snapshot, ref config.ModelRef) *plannedModel {
 	model := snapshot.Models[ref.Model]
 	if model == nil {
 		return &plannedModel{}
 	}
 	holders := holdersOf(snapshot, ref)
-	if before := old.byRef[ref]; before != nil && before.layers == model.Layers && slices.Equal(before.holders, holders) {
-		return before
+	if previous := old.byRef[ref]; previous != nil && previous.layers == model.Layers && slices.Equal(previous.holders, holders) {
+		return previous
 	}
 	next := &plannedModel{layers: model.Layers, holders: holders}
 	set, err := plan.Compute(plan.Input{Model: model, Version: ref.Version, Adapter: ref.Adapter, Targets: holders})
@@ -106,8 +109,8 @@
 	return next
 }
 
-// holdersOf returns the active engines that hold the model, version and adapter,
-// by name so that all VMs compute the same plans.
+// holdersOf returns the active engines that hold the model, version and adapter. They are
+// sorted by name so that all VMs compute the same plans.
 func holdersOf(snapshot *config.Snapshot, ref config.ModelRef) []*config.Target {
 	var holders []*config.Target
 	for _, target := range snapshot.Targets {
@@ -121,28 +124,28 @@
 	return holders
 }
 
-func (c *PlanCache) of(ref config.ModelRef) *plannedModel {
+func (c *PlanCache) get(ref config.ModelRef) *plannedModel {
 	ref.Weight = 0
 	return c.plans.Load().byRef[ref]
 }
 
-// Choose returns a plan whose targets all have room now. Targets in prefer are
-// said to hold part of the prompt's KV cache.
+// Choose returns a plan whose targets all have room now. The targets in prefer are those
+// that hold part of the prompt's KV cache, according to their reports.
 func (c *PlanCache) Choose(ref config.ModelRef, u config.Urgency, exclude, prefer map[string]bool) (plan.Plan, bool) {
-	planned := c.of(ref)
+	planned := c.get(ref)
 	if planned == nil || planned.chooser == nil {
 		return plan.Plan{}, false
 	}
-	return planned.chooser.Choose(plan.Wish{Urgency: u, Usable: c.room(u), Exclude: exclude, Prefer: prefer})
+	return planned.chooser.Choose(plan.Wish{Urgency: u, Usable: c.hasRoom(u), Exclude: exclude, Prefer: prefer})
 }
 
-// Repair replaces the failed targets of a plan and keeps the others.
+// Repair returns the plan with its failed targets replaced and the others kept.
 func (c *PlanCache) Repair(ref config.ModelRef, current plan.Plan, u config.Urgency, failed map[string]bool) (plan.Plan, bool) {
-	planned := c.of(ref)
+	planned := c.get(ref)
 	if planned == nil || planned.chooser == nil {
 		return plan.Plan{}, false
 	}
-	return planned.chooser.Repair(current, failed, c.room(u))
+	return planned.chooser.Repair(current, failed, c.hasRoom(u))
 }
 
 func (c *PlanCache) eligible(target string) bool {
@@ -152,20 +155,20 @@
 
 // Layers returns the number of layers of the model.
 func (c *PlanCache) Layers(ref config.ModelRef) int {
-	if planned := c.of(ref); planned != nil {
+	if planned := c.get(ref); planned != nil {
 		return planned.layers
 	}
 	return 0
 }
 
-func (c *PlanCache) room(u config.Urgency) func(string) bool {
+func (c *PlanCache) hasRoom(u config.Urgency) func(string) bool {
 	return func(target string) bool { return c.capacity.HasRoom(target, u) }
 }
 
-// Covered reports whether targets that may take work, busy or not, hold all
-// layers of the model. Without that waiting in the queue cannot help.
+// Covered reports whether the targets that may get new requests, busy or not, hold all
+// layers of the model. If not, waiting in the queue cannot help.
 func (c *PlanCache) Covered(ref config.ModelRef, exclude []string) bool {
-	planned := c.of(ref)
+	planned := c.get(ref)
 	if planned == nil || planned.chooser == nil {
 		return false
 	}
@@ -174,14 +177,13 @@
 	})
 }
 
-// covers reports whether the ranges of the targets that pass reach from layer 0
-// to the last one.
-func covers(layers int, targets []*config.Target, passes func(string) bool) bool {
+// covers reports whether the layer ranges of the usable targets together cover all layers.
+func covers(layers int, targets []*config.Target, usable func(string) bool) bool {
 	reached := 0
 	for reached < layers {
 		next := reached
 		for _, target := range targets {
-			if target.Layers.From <= reached && target.Layers.To > next && passes(target.Name) {
+			if target.Layers.From <= reached && target.Layers.To > next && usable(target.Name) {
 				next = target.Layers.To
 			}
 		}
@@ -193,7 +195,7 @@
 	return true
 }
 
-// PlanDump is one model's plans, for the dump.
+// PlanDump describes one model's plans, for the dump.
 type PlanDump struct {
 	Model      string  `json:"model"`
 	Version    string  `json:"version"`
@@ -203,7 +205,7 @@
 	Bound      float64 `json:"boundTokensPerSecond"`
 }
 
-// Dump describes the plans.
+// Dump returns a description of the plans, sorted by model, version and adapter.
 func (c *PlanCache) Dump() []PlanDump {
 	var dump []PlanDump
 	for ref, planned := range c.plans.Load().byRef {
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -7,7 +7,7 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// Record is how one request ended, for logs, metrics and the dump. It holds no
+// Record describes how one request ended, for logs, metrics and the dump. It contains no
 // body, key or token.
 type Record struct {
 	RequestID string          `json:"requestId"`
@@ -21,6 +21,6 @@
 	Took      time.Duration   `json:"tookNanoseconds"`
 	Tokens    int             `json:"tokens,omitempty"`
 	Epochs    int             `json:"epochs,omitempty"`
-	// Cause is for the log alone; it may be nil.
+	// Cause is only logged. It may be nil.
 	Cause error `json:"-"`
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -14,61 +14,63 @@
 // Router serves callers' requests. It is safe for concurrent use.
 type Router struct {
 	Options
-	inHand    *inHand
+	registry  *registry
 	estimates *estimates
 }
 
-// New returns a router and registers it as the one that preempts bulk
-// generations when urgent requests wait.
+// New returns a router. It registers the router's callbacks with admission, to preempt bulk
+// generations for urgent requests, and admission's with the balancer, to start queued
+// requests when slots become free.
 func New(o Options) *Router {
-	r := &Router{Options: o, inHand: newInHand(), estimates: newEstimates()}
+	r := &Router{Options: o, registry: newRegistry(), estimates: newEstimates()}
 	o.Admission.OnStarved(r.onStarved)
 	o.Balancer.OnFree(o.Admission.Wake)
 	return r
 }
 
-// Ready reports whether the balancer should send new requests to this VM.
+// Ready reports whether the load balancer should send new requests to this VM.
 func (r *Router) Ready() bool { return r.Gate.Ready() }
 
-// WakeQueues starts what waited for this VM to catch up with the configuration.
+// WakeQueues starts queued requests that waited until this VM's configuration was confirmed
+// again.
 func (r *Router) WakeQueues() {
-	for _, pool := range r.inHand.pools() {
+	for _, pool := range r.registry.pools() {
 		r.Admission.Wake(pool)
 	}
 }
 
-// InHand returns how many requests have arrived and not ended.
-func (r *Router) InHand() int { return r.inHand.count() }
+// InHand returns the number of requests that have arrived and not ended.
+func (r *Router) InHand() int { return r.registry.count() }
 
-// begin looks the request up and takes it in hand. Nothing has been spent on the
-// request yet, so the failure is NotRun unless the request carries a key that was
-// not looked up.
-func (r *Router) begin(id Metadata, class config.RequestClass) (*entry, *outcome.Failure) {
+// begin looks the request up and adds it to the registry. The request has not run yet, so
+// the outcome of a failure is NotRun, except if the request has an idempotency key whose
+// claim was not read.
+func (r *Router) begin(meta Metadata, class config.RequestClass) (*entry, *outcome.Failure) {
 	snapshot := r.ConfigSource.Current()
-	profile, ok := snapshot.Profiles[id.Profile]
+	profile, ok := snapshot.Profiles[meta.Profile]
 	if failure := r.Gate.Check(); failure != nil {
-		return nil, unread(id, profile, failure)
+		return nil, claimUnread(meta, profile, failure)
 	}
 	if !ok || profile.Class != class {
 		return nil, outcome.Refuse(outcome.ReasonUnknownProfile, "there is no such profile of this class")
 	}
 	workspace := snapshot.Workspaces[profile.Workspace]
-	if failure := r.checkCaller(id, profile, workspace); failure != nil {
+	if failure := r.checkCaller(meta, profile, workspace); failure != nil {
 		return nil, failure
 	}
-	e := r.newEntry(id, profile)
-	if limit := r.inHand.add(e, maxInFlight(workspace)); limit != "" {
+	e := r.newEntry(meta, profile)
+	if limit := r.registry.add(e, maxInFlight(workspace)); limit != "" {
 		failure := outcome.Refuse(outcome.ReasonWorkspaceLimit, "too many requests of this "+limit+" are in hand")
-		return nil, unread(id, profile, failure.WithRetryAfter(time.Second))
+		return nil, claimUnread(meta, profile, failure.WithRetryAfter(time.Second))
 	}
 	return e, nil
 }
 
-// unread turns the refusal of a keyed request whose claim was not read into
-// Unknown: this arrival did not run, but an earlier one with the same key, here or
-// on another VM, may have, and a crew that reads "not run" would ask anew.
-func unread(id Metadata, profile *config.Profile, refused *outcome.Failure) *outcome.Failure {
-	if id.IdempotencyKey == "" || profile != nil && profile.Idempotent {
+// claimUnread changes the outcome of a refusal to Unknown if the request needs a claim that
+// was not read. This request did not run, but an earlier one with the same key may have, on
+// this or another VM. A caller that gets "not run" would make the request again.
+func claimUnread(meta Metadata, profile *config.Profile, refused *outcome.Failure) *outcome.Failure {
+	if meta.IdempotencyKey == "" || profile != nil && profile.Idempotent {
 		return refused
 	}
 	unknown := *refused
@@ -77,38 +79,39 @@
 	return &unknown
 }
 
-func (r *Router) checkCaller(id Metadata, profile *config.Profile, workspace *config.Workspace) *outcome.Failure {
-	if workspace != nil && len(workspace.KeyDigests) > 0 && !r.Authorize(id.BearerKey.Reveal(), workspace.KeyDigests) {
-		if id.BearerKey.IsZero() {
+// checkCaller refuses a request without a valid bearer key or with a body that is too large.
+func (r *Router) checkCaller(meta Metadata, profile *config.Profile, workspace *config.Workspace) *outcome.Failure {
+	if workspace != nil && len(workspace.KeyDigests) > 0 && !r.Authorize(meta.BearerKey.Reveal(), workspace.KeyDigests) {
+		if meta.BearerKey.IsZero() {
 			return outcome.Refuse(outcome.ReasonUnauthorized, "the profile's workspace asks for a bearer key")
 		}
 		return outcome.Refuse(outcome.ReasonForbidden, "the key is not one of the profile's workspace")
 	}
-	if id.BodyBytes > lowest(profile.Limits.MaxBodyBytes, r.Limits.MaxBodyBytes) {
+	if meta.BodyBytes > minBound(profile.Limits.MaxBodyBytes, r.Limits.MaxBodyBytes) {
 		return outcome.Refuse(outcome.ReasonTooLarge, "the body is larger than the profile allows")
 	}
 	return nil
 }
 
-func (r *Router) newEntry(id Metadata, profile *config.Profile) *entry {
+func (r *Router) newEntry(meta Metadata, profile *config.Profile) *entry {
 	deadline := time.Duration(profile.Deadline)
 	if deadline <= 0 {
 		deadline = r.Limits.Deadline
 	}
-	if id.CallerTimeout > 0 {
-		deadline = min(deadline, id.CallerTimeout)
+	if meta.CallerTimeout > 0 {
+		deadline = min(deadline, meta.CallerTimeout)
 	}
 	e := &entry{
-		id:       id,
-		profile:  profile,
-		pool:     profile.Service,
-		deadline: id.Arrival.Add(deadline),
-		boundary: dispatch.NewSendGuard(id.RequestID, profile.Idempotent, r.Invariants),
-		stage:    PhaseArrived,
-		since:    id.Arrival,
+		meta:      meta,
+		profile:   profile,
+		pool:      profile.Service,
+		deadline:  meta.Arrival.Add(deadline),
+		sendGuard: dispatch.NewSendGuard(meta.RequestID, profile.Idempotent, r.Invariants),
+		phase:     PhaseArrived,
+		since:     meta.Arrival,
 	}
 	if profile.Class == config.ClassGeneration {
-		e.model = chooseModel(profile.Models, id.RequestID)
+		e.model = chooseModel(profile.Models, meta.RequestID)
 		e.pool = PoolOfModel(e.model)
 	}
 	if profile.Class == config.ClassGeneration && profile.Urgency == config.Bulk {
@@ -117,41 +120,43 @@
 	return e
 }
 
-// finish gives the request its one outcome and lets it go.
+// finish ends the request with its outcome and removes it from the registry.
 func (r *Router) finish(e *entry, failure *outcome.Failure, epochs int) {
 	record := Record{
-		RequestID: e.id.RequestID, Profile: e.profile.Name, Workspace: e.profile.Workspace,
-		Urgency: e.profile.Urgency, Outcome: outcome.Complete, Arrival: e.id.Arrival,
-		Took: time.Since(e.id.Arrival), Tokens: int(e.tokens.Load()), Epochs: epochs,
+		RequestID: e.meta.RequestID, Profile: e.profile.Name, Workspace: e.profile.Workspace,
+		Urgency: e.profile.Urgency, Outcome: outcome.Complete, Arrival: e.meta.Arrival,
+		Took: time.Since(e.meta.Arrival), Tokens: int(e.tokens.Load()), Epochs: epochs,
 	}
-	r.keep(&record, failure)
+	r.recordFailure(&record, failure)
 	e.end(record.Outcome, r.Invariants)
-	r.inHand.remove(e)
+	r.registry.remove(e)
 	r.Observer.Ended(record)
 }
 
-func (r *Router) keep(record *Record, failure *outcome.Failure) {
+// recordFailure sets the fields of the record from the failure and adds the record to the
+// recent failures. Without a failure it does nothing.
+func (r *Router) recordFailure(record *Record, failure *outcome.Failure) {
 	if failure == nil {
 		return
 	}
 	record.Outcome, record.Reason = failure.Outcome, failure.Reason
 	record.Detail, record.Cause = failure.Detail, failure.Cause
-	r.inHand.keepFailure(*record)
+	r.registry.addFailure(*record)
 }
 
-// refused records a request that was never in hand.
-func (r *Router) refused(id Metadata, failure *outcome.Failure) *outcome.Failure {
-	record := Record{RequestID: id.RequestID, Profile: id.Profile, Arrival: id.Arrival, Took: time.Since(id.Arrival)}
-	if profile := r.ConfigSource.Current().Profiles[id.Profile]; profile != nil {
+// recordRefusal records a request that was refused before it was added to the registry.
+func (r *Router) recordRefusal(meta Metadata, failure *outcome.Failure) *outcome.Failure {
+	record := Record{RequestID: meta.RequestID, Profile: meta.Profile, Arrival: meta.Arrival, Took: time.Since(meta.Arrival)}
+	if profile := r.ConfigSource.Current().Profiles[meta.Profile]; profile != nil {
 		record.Workspace, record.Urgency = profile.Workspace, profile.Urgency
 	}
-	r.keep(&record, failure)
+	r.recordFailure(&record, failure)
 	r.Observer.Ended(record)
 	return failure
 }
 
-// asFailure turns any error into a failure; one that nobody typed is Unknown,
-// which claims least.
+// asFailure returns the error as a failure. An error that is not a failure has the outcome
+// Unknown, which does not claim that a retry is safe.
 func asFailure(err error) *outcome.Failure {
 	if err == nil {
 		return nil
@@ -163,7 +168,7 @@
 	return outcome.Uncertain(outcome.ReasonInternal, "the request failed in a way that nobody foresaw").WithCause(err)
 }
 
-// withDeadline bounds the context by the request's deadline.
+// withDeadline returns a context that is done at the request's deadline.
 func withDeadline(ctx context.Context, e *entry) (context.Context, context.CancelFunc) {
 	return context.WithDeadline(ctx, e.deadline)
 }
@@ -175,8 +180,8 @@
 	return w.MaxInFlight
 }
 
-// lowest returns the lower of the bounds, of which 0 means none.
-func lowest[T int | int64](bounds ...T) T {
+// minBound returns the lowest of the bounds, of which 0 means no bound.
+func minBound[T int | int64](bounds ...T) T {
 	var low T
 	for _, bound := range bounds {
 		if bound > 0 && (low == 0 || bound < low) {
@@ -186,6 +191,7 @@
 	return low
 }
 
+// workspaceWeight returns the weight of the workspace, 1 if it has none.
 func (r *Router) workspaceWeight(name string) int {
 	if w := r.ConfigSource.Current().Workspaces[name]; w != nil && w.Weight > 0 {
 		return w.Weight
