--- a/internal/router/estimates.go
+++ b/internal/router/estimates.go
@@ -6,7 +6,9 @@
 )
 
 const (
+	// estimateGain is the weight of a new duration in the moving average.
 	estimateGain = 0.1
+	// maxEstimates is the maximum number of profiles with an average.
 	maxEstimates = 4096
 )
 
--- a/internal/router/gate.go
+++ b/internal/router/gate.go
@@ -7,6 +7,7 @@
 	"geraniumcroft/internal/outcome"
 )
 
+// stoppingRetryAfter is the RetryAfter of all refusals by the gate.
 const stoppingRetryAfter = time.Second
 
 // StaleAfter is the age of the newest confirmation of the configuration from which this VM
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -43,8 +43,8 @@
 func (r *Router) InHand() int { return r.registry.count() }
 
 // begin looks the request up and adds it to the registry. The request has not run yet, so
-// the outcome of a failure is NotRun, except if the request has an idempotency key whose
-// claim was not read.
+// the outcome of a failure is NotRun. It is Unknown if the gate or a limit on requests in
+// progress refuses a request that needs a claim, because the claim was not read.
 func (r *Router) begin(meta Metadata, class config.RequestClass) (*entry, *outcome.Failure) {
 	snapshot := r.ConfigSource.Current()
 	profile, ok := snapshot.Profiles[meta.Profile]
@@ -93,6 +93,7 @@
 	return nil
 }
 
+// newEntry returns the entry of a request, which is not yet in the registry.
 func (r *Router) newEntry(meta Metadata, profile *config.Profile) *entry {
 	deadline := time.Duration(profile.Deadline)
 	if deadline <= 0 {
@@ -173,6 +174,7 @@
 	return context.WithDeadline(ctx, e.deadline)
 }
 
+// maxInFlight returns the workspace's limit on requests in progress, 0 for no limit.
 func maxInFlight(w *config.Workspace) int {
 	if w == nil {
 		return 0
