--- a/internal/node/isolation.go
+++ b/internal/node/isolation.go
@@ -95,11 +95,11 @@
 		return
 	}
 	if !m.gate.Stale() {
-		m.gate.Prove()
+		m.gate.ConfirmConfig()
 		return
 	}
 	if m.catchUp() {
-		m.gate.Prove()
+		m.gate.ConfirmConfig()
 		m.onResume()
 	}
 }
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -105,7 +105,7 @@
 		},
 		gate:     n.gate,
 		catchUp:  n.catchUp,
-		onResume: n.router.Resume,
+		onResume: n.router.WakeQueues,
 	}
 	monitor.run(n.ctx)
 }
--- a/internal/relay/throttled.go
+++ b/internal/relay/throttled.go
@@ -35,6 +35,6 @@
 		wait = max(defaultRetryAfter, time.Until(throttled.Until))
 	}
 	jitter := 1 + throttledJitter*rand.Float64()
-	return outcome.Refuse(outcome.ReasonHeld, "all replicas have asked not to be sent requests now").
+	return outcome.Refuse(outcome.ReasonThrottled, "all replicas have asked not to be sent requests now").
 		WithRetryAfter(time.Duration(jitter * float64(wait))).WithCause(throttled)
 }
