--- a/internal/confstore/history_check_test.go
+++ b/internal/confstore/history_check_test.go
@@ -60,7 +60,7 @@
 	r := &checkedRun{fixture: newFixture(t)}
 	for i := range r.stores {
 		r.stores[i] = r.storeWith(fmt.Sprintf("vm-%d", i), Options{
-			CompactAfter: 6, RetainChanges: 4, ProposeTimeout: 60 * time.Millisecond, SettleTimeout: 30 * time.Millisecond,
+			CompactAfter: 6, RetainChanges: 4, ProposeTimeout: 60 * time.Millisecond, ResolveTimeout: 30 * time.Millisecond,
 		})
 	}
 	revision := r.withProfile(r.stores[0])
--- a/internal/confstore/options.go
+++ b/internal/confstore/options.go
@@ -14,8 +14,8 @@
 const (
 	// DefaultProposeTimeout bounds a proposal with all its attempts.
 	DefaultProposeTimeout = 5 * time.Second
-	// DefaultSettleTimeout bounds the reading back after the caller has gone.
-	DefaultSettleTimeout = 2 * time.Second
+	// DefaultResolveTimeout bounds the reading back after the caller has gone.
+	DefaultResolveTimeout = 2 * time.Second
 	// DefaultRecentChanges is how many changes are kept in memory for peers.
 	DefaultRecentChanges = 1024
 	// DefaultRecentBytes bounds the memory of those changes.
@@ -39,7 +39,7 @@
 	Logger     *zap.Logger
 
 	ProposeTimeout time.Duration
-	SettleTimeout  time.Duration
+	ResolveTimeout  time.Duration
 	RecentChanges  int
 	RecentBytes    int
 	RetainChanges  uint64
@@ -48,7 +48,7 @@
 
 func (o Options) withDefaults() Options {
 	o.ProposeTimeout = cmp.Or(o.ProposeTimeout, DefaultProposeTimeout)
-	o.SettleTimeout = cmp.Or(o.SettleTimeout, DefaultSettleTimeout)
+	o.ResolveTimeout = cmp.Or(o.ResolveTimeout, DefaultResolveTimeout)
 	o.RecentChanges = cmp.Or(o.RecentChanges, DefaultRecentChanges)
 	o.RecentBytes = cmp.Or(o.RecentBytes, DefaultRecentBytes)
 	o.RetainChanges = cmp.Or(o.RetainChanges, DefaultRetainChanges)
--- a/internal/confstore/writer.go
+++ b/internal/confstore/writer.go
@@ -49,7 +49,7 @@
 // settle goes on reading back for a while after the proposal's time is over,
 // also when the author has gone: what was sent has to be known.
 func (w *writer) settle(ctx context.Context, cause error) (config.Change, error) {
-	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), w.store.options.SettleTimeout)
+	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), w.store.options.ResolveTimeout)
 	defer cancel()
 	change, err := w.retry(bounded, func() (config.Change, error) {
 		found, err := w.decide(bounded)
