--- a/internal/claim/answer.go
+++ b/internal/claim/answer.go
@@ -1,9 +1,9 @@
 package claim
 
-// MaxKeptAnswer is the largest body, in bytes, that is kept for replay.
+// MaxKeptAnswer is the size in bytes of the largest body that is kept for replay.
 const MaxKeptAnswer = 16 << 10
 
-// Answer is a service's whole answer, kept for replay.
+// Answer is the complete response to a request, kept for replay.
 type Answer struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"contentType"`
--- a/internal/claim/claims.go
+++ b/internal/claim/claims.go
@@ -9,10 +9,11 @@
 	"geraniumcroft/internal/platform"
 )
 
-// ErrNotOwner is returned by Finish for a request that holds no claim here.
+// ErrNotOwner is returned by Finish for a request that holds no claim on this VM.
 var ErrNotOwner = errors.New("request holds no claim on this VM")
 
-// Claims decides about keyed requests on one VM. It is safe for concurrent use.
+// Claims claims idempotency keys for the requests of one VM and records how the
+// requests end. It is safe for concurrent use.
 type Claims struct {
 	table    platform.Table
 	vm       string
@@ -21,13 +22,13 @@
 	writer   writer
 	counters counters
 	cursor   sweepCursor
-	late     lateEnds
+	retries  endRetries
 
-	mu    sync.Mutex // guards owned
-	owned map[string]ownedClaim
+	mu    sync.Mutex            // guards owned
+	owned map[string]ownedClaim // by request id
 }
 
-// New returns the claims of the VM, kept in the table.
+// New returns the Claims of the VM named vm, which stores them in the table.
 func New(table platform.Table, vm string, settings Settings, inv *invariant.Registry) *Claims {
 	settings = settings.withDefaults()
 	c := &Claims{
--- a/internal/claim/claims_bench_test.go
+++ b/internal/claim/claims_bench_test.go
@@ -19,25 +19,27 @@
 )
 
 const (
-	benchCommitLatency = 2 * time.Millisecond
-	benchWritesASecond = 300
-	benchWriteBurst    = 10
+	benchCommitLatency   = 2 * time.Millisecond
+	benchWritesPerSecond = 300
+	benchWriteBurst      = 10
 )
 
-// limitedTable is a table with the platform's limits: each commit takes a latency,
-// and a transaction counts as one write against the rate. Writes over it wait.
+// limitedTable is a table with the latency and the rate limit of the platform. A
+// transaction counts as one write. Writes above the rate wait.
 type limitedTable struct {
 	*platformsim.Store
 	rate *rate.Limiter
 }
 
+// newLimitedTable returns an empty table.
 func newLimitedTable() *limitedTable {
 	return &limitedTable{
 		Store: platformsim.NewStore(),
-		rate:  rate.NewLimiter(benchWritesASecond, benchWriteBurst),
+		rate:  rate.NewLimiter(benchWritesPerSecond, benchWriteBurst),
 	}
 }
 
+// Commit implements platform.Table.
 func (l *limitedTable) Commit(ctx context.Context, txn platform.Txn) error {
 	if err := l.rate.Wait(ctx); err != nil {
 		return &platform.UnavailableError{Operation: "commit", Cause: err}
@@ -46,12 +48,13 @@
 	return l.Store.Commit(ctx, txn)
 }
 
-// BenchmarkClaims compares claims written one by one with grouped ones, on six VMs
-// over one table, at open-loop rates of keyed requests, each with a claim and an end.
-// Latency is that of the claim, from the request's intended arrival. "budget" keeps
-// the fleet within a third of the table's rate, as in production.
+// BenchmarkClaims compares single with grouped writes on six VMs that share a table. An
+// open loop generates keyed requests at a fixed rate, each with a claim and an end. The
+// latency is that of the claim, measured from the request's intended arrival. With
+// budget=true the clients limit the fleet to a third of the table's rate, as in
+// production.
 func BenchmarkClaims(b *testing.B) {
-	ways := []struct {
+	variants := []struct {
 		name     string
 		settings Settings
 	}{
@@ -64,17 +67,17 @@
 	}
 	for _, budget := range []bool{false, true} {
 		for _, perSecond := range []int{20, 100, 400, 1600} {
-			for _, way := range ways {
-				name := fmt.Sprintf("budget=%t/rate=%d/%s", budget, perSecond, way.name)
-				run := benchRun{vms: 6, settings: way.settings, perSecond: perSecond, budget: budget}
+			for _, variant := range variants {
+				name := fmt.Sprintf("budget=%t/rate=%d/%s", budget, perSecond, variant.name)
+				run := benchRun{vms: 6, settings: variant.settings, perSecond: perSecond, budget: budget}
 				b.Run(name, run.measure)
 			}
 		}
 	}
 }
 
-// BenchmarkClaimsOfLargeFleet shows what an even division of the budget among 320 VMs
-// carries.
+// BenchmarkClaimsOfLargeFleet measures which rates an even division of the budget among
+// 320 VMs sustains.
 func BenchmarkClaimsOfLargeFleet(b *testing.B) {
 	for _, perSecond := range []int{20, 100, 400} {
 		run := benchRun{vms: 320, perSecond: perSecond, budget: true}
@@ -90,6 +93,7 @@
 	budget    bool
 }
 
+// measure runs b.N requests at the case's rate and reports the metrics.
 func (r benchRun) measure(b *testing.B) {
 	table := newLimitedTable()
 	vms := r.fleet(b, table)
@@ -123,6 +127,7 @@
 	report(b, won, refused, commits, elapsed)
 }
 
+// fleet returns the claims of the VMs, which share the table.
 func (r benchRun) fleet(b *testing.B, table *limitedTable) []*Claims {
 	var vms []*Claims
 	for n := range r.vms {
@@ -137,7 +142,8 @@
 	return vms
 }
 
-// claimAndFinish reports whether the claim was won and when that was known.
+// claimAndFinish claims a key and finishes the request. It reports whether the claim
+// succeeded and when the decision was made.
 func claimAndFinish(v *Claims, n int) (run bool, decided time.Time) {
 	k, id := Key{Key: fmt.Sprint(n)}, fmt.Sprint("r", n)
 	decision := v.Claim(context.Background(), k, id, testDigest, time.Now().Add(testDeadline))
@@ -148,6 +154,8 @@
 	return decision.Run, decided
 }
 
+// report reports latency percentiles, the share of refused requests and the rate of
+// transactions.
 func report(b *testing.B, won []time.Duration, refused int, commits uint64, elapsed time.Duration) {
 	slices.Sort(won)
 	b.ReportMetric(0, "ns/op")
@@ -157,6 +165,7 @@
 	b.ReportMetric(float64(commits)/elapsed.Seconds(), "txn/s")
 }
 
+// milliseconds returns the percentile of the sorted durations.
 func milliseconds(sorted []time.Duration, percentile int) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/claim/claims_test.go
+++ b/internal/claim/claims_test.go
@@ -23,12 +23,13 @@
 	testDigest = [32]byte{1}
 )
 
-// vm is one VM's claims over its own client of the shared store.
+// vm is the Claims of one VM on its own client of the shared store.
 type vm struct {
 	*Claims
 	client *resilient.Client
 }
 
+// newVM returns the claims of the VM named name on a client of the store.
 func newVM(t *testing.T, store *platformsim.Store, name string, settings Settings) *vm {
 	t.Helper()
 	client := resilient.New(store, store, store, resilient.Settings{})
@@ -36,11 +37,13 @@
 	return &vm{Claims: New(client, name, settings, invariant.Strict()), client: client}
 }
 
+// claim claims testKey for the request.
 func (v *vm) claim(t *testing.T, requestID string) Decision {
 	t.Helper()
 	return v.Claim(t.Context(), testKey, requestID, testDigest, time.Now().Add(testDeadline))
 }
 
+// mustRun fails the test unless the decision is to run the request.
 func mustRun(t *testing.T, d Decision) {
 	t.Helper()
 	if !d.Run {
@@ -48,6 +51,7 @@
 	}
 }
 
+// mustFail fails the test unless the decision is a failure with the outcome and reason.
 func mustFail(t *testing.T, d Decision, o outcome.Outcome, reason outcome.Reason) {
 	t.Helper()
 	if d.Run || d.Replay != nil || d.Failure == nil || d.Failure.Outcome != o || d.Failure.Reason != reason {
@@ -55,7 +59,7 @@
 	}
 }
 
-// inVirtualTime runs a test over both writers.
+// inVirtualTime runs a test in virtual time, once with each writer.
 func inVirtualTime(t *testing.T, run func(t *testing.T, settings Settings)) {
 	t.Helper()
 	for _, ungrouped := range []bool{false, true} {
@@ -65,18 +69,18 @@
 	}
 }
 
-func TestDecisionByAnEarlierRequest(t *testing.T) {
+func TestDecisionByEarlierRequest(t *testing.T) {
 	small, large := &Answer{Status: 200, Body: []byte("held")}, &Answer{Body: make([]byte, MaxKeptAnswer+1)}
 	cases := []struct {
 		name   string
-		finish func(v *vm) error // nil: the owner works on, or died
+		finish func(v *vm) error // nil: the owner still runs the request, or crashed
 		wait   time.Duration
 		digest [32]byte
 		want   outcome.Outcome
 		reason outcome.Reason
 	}{
 		{name: "in progress", digest: testDigest, want: outcome.Unknown, reason: outcome.ReasonKeyInProgress},
-		{name: "owner died", wait: testDeadline + time.Second, digest: testDigest, want: outcome.Unknown, reason: outcome.ReasonKeySpent},
+		{name: "owner crashed", wait: testDeadline + time.Second, digest: testDigest, want: outcome.Unknown, reason: outcome.ReasonKeySpent},
 		{name: "other body", digest: [32]byte{2}, want: outcome.NotRun, reason: outcome.ReasonKeyReused},
 		{name: "too large", finish: finishWith(outcome.Complete, large), digest: testDigest, want: outcome.Unknown, reason: outcome.ReasonKeySpent},
 		{name: "unknown", finish: finishWith(outcome.Unknown, nil), digest: testDigest, want: outcome.Unknown, reason: outcome.ReasonKeySpent},
@@ -108,13 +112,15 @@
 	}
 }
 
+// finishWith returns a function that finishes request r1 with the outcome and answer.
 func finishWith(o outcome.Outcome, a *Answer) func(*vm) error {
 	return func(v *vm) error { return v.Finish(context.Background(), testKey, "r1", o, a) }
 }
 
-// The answer to the claim is lost after it was written. The caller's request runs,
-// as the row read back is this VM's; a copy at another VM does not.
-func TestLostAnswerToAClaim(t *testing.T) {
+// The response to a claim's write is lost after the row was written. The caller's
+// request runs, as the row that is read back is this VM's own. A copy of the request on
+// another VM does not run.
+func TestLostResponseToClaim(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, settings Settings) {
 		store := platformsim.NewStore()
 		first, second := newVM(t, store, "vm-1", settings), newVM(t, store, "vm-2", settings)
@@ -124,9 +130,10 @@
 	})
 }
 
-// The caller is told unknown: the claim's write is late and reading back fails too.
-// It retries at another VM, which refuses it not-run, and retries again. The first
-// VM's write lands at last, and changes nothing: not-run stays not-run, nothing runs.
+// A claim's write is delayed and reading it back fails, so the caller receives unknown.
+// The caller retries on another VM, which claims the key and ends the request as
+// not-run. Then the first VM's write is applied. It must have no effect: a further
+// retry still ends as not-run, and nothing runs.
 func TestLateClaimDoesNotRunAfterNotRun(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, settings Settings) {
 		store := platformsim.NewStore()
@@ -149,24 +156,25 @@
 	})
 }
 
-// The caller leaves while its request waits for a target. The request is refused, and
-// the tombstone is written all the same: a copy may still come.
-func TestTombstoneOfACallerWhoLeft(t *testing.T) {
+// The caller disconnects while its request waits for a target. The request is refused.
+// The tombstone must be written nevertheless, as a copy of the request may still arrive.
+func TestTombstoneIsWrittenAfterCallerDisconnects(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, settings Settings) {
 		v := newVM(t, platformsim.NewStore(), "vm-1", settings)
 		mustRun(t, v.claim(t, "r1"))
-		gone, leave := context.WithCancel(t.Context())
-		leave()
-		if err := v.Finish(gone, testKey, "r1", outcome.NotRun, nil); err != nil {
+		canceled, cancel := context.WithCancel(t.Context())
+		cancel()
+		if err := v.Finish(canceled, testKey, "r1", outcome.NotRun, nil); err != nil {
 			t.Fatal(err)
 		}
 		mustFail(t, v.claim(t, "r2"), outcome.NotRun, outcome.ReasonKeySpent)
 	})
 }
 
-// The request was not run, but the store goes out before the tombstone is written.
-// Finish fails, so that the caller is told unknown: another VM cannot know.
-func TestNotRunNeedsItsTombstone(t *testing.T) {
+// A request did not run, but the store becomes unavailable before the tombstone is
+// written. Finish must fail, so that the caller receives unknown: another VM can't
+// determine that the request did not run.
+func TestFinishFailsWithoutTombstone(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, settings Settings) {
 		store := platformsim.NewStore()
 		v := newVM(t, store, "vm-1", settings)
@@ -176,12 +184,12 @@
 			t.Fatalf("got %v, want unavailable", err)
 		}
 		if err := v.Finish(t.Context(), testKey, "r1", outcome.Complete, nil); !errors.Is(err, ErrNotOwner) {
-			t.Fatalf("a second end: got %v", err)
+			t.Fatalf("second Finish: got %v, want ErrNotOwner", err)
 		}
 	})
 }
 
-func TestRowsHoldNoKey(t *testing.T) {
+func TestRowsDoNotContainKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformsim.NewStore()
 		v := newVM(t, store, "vm-1", Settings{})
@@ -191,11 +199,11 @@
 			t.Fatalf("%d rows, %v", len(rows), err)
 		}
 		if strings.Contains(rows[0].Key+string(rows[0].Value), testKey.Key) {
-			t.Fatal("the key is stored in the clear")
+			t.Fatal("the key is stored in plain text")
 		}
 		moved := Key{Workspace: "limap", Profile: "ermits", Key: testKey.Key}
 		if moved.hash() == testKey.hash() {
-			t.Fatal("another workspace's key has the same row")
+			t.Fatal("a key of another workspace has the same row")
 		}
 	})
 }
--- a/internal/claim/counters.go
+++ b/internal/claim/counters.go
@@ -2,6 +2,7 @@
 
 import "sync/atomic"
 
+// counters holds the counters that State reports.
 type counters struct {
 	run      atomic.Uint64
 	replayed atomic.Uint64
--- a/internal/claim/decision.go
+++ b/internal/claim/decision.go
@@ -2,11 +2,12 @@
 
 import "geraniumcroft/internal/outcome"
 
-// Decision is what to do with a keyed request. Exactly one field is set.
+// Decision says how to proceed with a keyed request. Exactly one field is set.
 type Decision struct {
-	// Run: this VM owns the key. Dispatch the request and call Finish.
+	// Run means that this VM owns the key: the caller dispatches the request and calls
+	// Finish.
 	Run bool
-	// Replay is the answer kept from the key's request.
+	// Replay is the kept answer of the earlier request with the key.
 	Replay *Answer
 	// Failure ends the request.
 	Failure *outcome.Failure
--- a/internal/claim/end_retries.go
+++ b/internal/claim/end_retries.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	// maxLateEnds bounds the ends that wait for the table; with answers of
-	// MaxKeptAnswer that is about 6 MB.
-	maxLateEnds = 256
-	// retryEndsInterval is the time between two attempts to write them.
+	// maxEndRetries is the maximum number of end rows that wait for a retry. With
+	// answers of MaxKeptAnswer bytes they take about 6 MB.
+	maxEndRetries = 256
+	// retryEndsInterval is the time between two retries.
 	retryEndsInterval = time.Second
 )
 
-// lateEnds are end rows that could not be written. They are kept in memory, so that
-// a key does not stay unknown for an outage at the wrong moment; when this VM dies
-// first, it does.
-type lateEnds struct {
+// endRetries holds the end rows that could not be written, so that a key does not stay
+// unknown because the table was unavailable when its request ended. The rows are kept
+// in memory only: if this VM crashes before they are written, their keys stay unknown.
+type endRetries struct {
 	mu   sync.Mutex // guards rows
 	rows []newRow
 }
 
-// add drops the oldest row when there are too many.
-func (l *lateEnds) add(row newRow) {
+// add adds the row and drops the oldest one if there are maxEndRetries already.
+func (l *endRetries) add(row newRow) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.rows) == maxLateEnds {
+	if len(l.rows) == maxEndRetries {
 		l.rows = l.rows[1:]
 	}
 	l.rows = append(l.rows, row)
 }
 
-func (l *lateEnds) takeAll() []newRow {
+// takeAll removes and returns all rows.
+func (l *endRetries) takeAll() []newRow {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	rows := l.rows
@@ -44,13 +45,14 @@
 	return rows
 }
 
-func (l *lateEnds) len() int {
+// len returns the number of rows.
+func (l *endRetries) len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.rows)
 }
 
-// Run writes ends that could not be written before, until the context ends.
+// Run retries the end rows that could not be written, until the context ends.
 func (c *Claims) Run(ctx context.Context) {
 	for {
 		select {
@@ -62,8 +64,9 @@
 	}
 }
 
-// retryEnds tries each row once. It is safe after a write in doubt: the row is written
-// once, and by this VM alone, so one that is there is this one.
+// retryEnds tries to write each row once, unless the table is known to be unavailable.
+// This is safe after an ambiguous write: only this VM writes the row, and only once,
+// so an existing row is this one.
 func (c *Claims) retryEnds(ctx context.Context) {
 	if !healthy(c.table) {
 		return
@@ -72,17 +75,19 @@
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
 	var writes sync.WaitGroup
-	for _, row := range c.late.takeAll() {
+	for _, row := range c.retries.takeAll() {
 		writes.Go(func() { c.retryEnd(ctx, row) })
 	}
 	writes.Wait()
 }
 
+// retryEnd writes the row and queues it again if that fails. A refusal means that an
+// earlier attempt has written the row.
 func (c *Claims) retryEnd(ctx context.Context, row newRow) {
 	err := c.writer.write(ctx, row)
 	if err == nil || errors.Is(err, platform.ErrRefused) {
 		c.counters.finished.Add(1)
 		return
 	}
-	c.late.add(row)
+	c.retries.add(row)
 }
--- a/internal/claim/faulty_writers_test.go
+++ b/internal/claim/faulty_writers_test.go
@@ -9,8 +9,8 @@
 	"geraniumcroft/internal/platform"
 )
 
-// unconditionalWriter writes whatever stands in the table: its condition is on a row
-// that nobody writes.
+// unconditionalWriter overwrites existing rows: its condition is on a row that nobody
+// else writes.
 type unconditionalWriter struct {
 	table platform.Table
 }
@@ -25,7 +25,7 @@
 	})
 }
 
-// optimisticWriter takes a row whose write is in doubt for written.
+// optimisticWriter treats an ambiguous write as successful.
 type optimisticWriter struct {
 	inner writer
 }
--- a/internal/claim/finish.go
+++ b/internal/claim/finish.go
@@ -9,15 +9,17 @@
 	"geraniumcroft/internal/platform"
 )
 
-// Finish records how a claimed request ended; the answer may be nil and is kept
-// when it is small. It ends the claim on this VM whether or not it succeeds, so it is
-// called once, after the last moment at which the request could be dispatched.
+// Finish records how a claimed request ended. The answer may be nil; for a complete
+// request it is kept if its body has at most MaxKeptAnswer bytes. Finish releases the
+// claim on this VM even if it returns an error, so it is called once, when the request
+// can no longer be dispatched.
 //
-// After NotRun it writes a tombstone. Only when it returns nil may the caller be
-// told not-run; otherwise the request did not run, but a later one with the same key
-// cannot know that yet, and the caller must be told unknown. Run goes on trying.
+// For outcome.NotRun it writes a tombstone. The caller may receive not-run only if
+// Finish returns nil. Otherwise the caller must receive unknown: the request did not
+// run, but a later request with the same key can't determine that yet. Run retries
+// the write.
 func (c *Claims) Finish(ctx context.Context, k Key, requestID string, o outcome.Outcome, a *Answer) error {
-	claim, ok := c.disown(k, requestID)
+	claim, ok := c.removeOwned(k, requestID)
 	if !ok {
 		return ErrNotOwner
 	}
@@ -30,11 +32,12 @@
 	return nil
 }
 
+// writeEnd writes the end row and queues it for a retry if that fails.
 func (c *Claims) writeEnd(ctx context.Context, claim ownedClaim, requestID string, o outcome.Outcome, a *Answer) error {
 	record := endRecord{
 		RequestID: requestID,
 		State:     endStateOf(o),
-		KeepUntil: c.keepEndUntil(claim),
+		KeepUntil: c.endKeepUntil(claim),
 	}
 	if o == outcome.Complete && a != nil && len(a.Body) <= MaxKeptAnswer {
 		record.Answer = a
@@ -43,23 +46,23 @@
 	if err != nil {
 		return err
 	}
-	// The end is written also when the caller is gone and its context has ended: a
-	// copy of its request may still come.
+	// The end row is written even if the caller has disconnected and its context has
+	// ended, since a copy of its request may still arrive.
 	ctx = platform.WithLane(context.WithoutCancel(ctx), platform.LaneUrgent)
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
 	row := newRow{key: claim.key.endRow(), value: value}
 	err = c.writer.write(ctx, row)
 	if err != nil {
-		c.late.add(row)
+		c.retries.add(row)
 	}
 	return err
 }
 
-// keepEndUntil keeps the end at least as long as its claim, and a tombstone longer
-// than any copy of the request can still be on its way: a copy that found neither
-// row would run after its caller was told not-run.
-func (c *Claims) keepEndUntil(claim ownedClaim) time.Time {
+// endKeepUntil returns the time until which the end row is kept: at least as long as
+// its claim row, and for a tombstone longer than any copy of the request can be in
+// flight. A copy that found neither row would run after the caller received not-run.
+func (c *Claims) endKeepUntil(claim ownedClaim) time.Time {
 	until := time.Now().Add(c.settings.Retention)
 	if claim.keepUntil.After(until) {
 		return claim.keepUntil
--- a/internal/claim/group_state.go
+++ b/internal/claim/group_state.go
@@ -1,11 +1,14 @@
 package claim
 
-// GroupState is what the dump shows of the grouping of writes.
+// GroupState is the state of the grouped writes in the dump.
 type GroupState struct {
-	Queued  int    `json:"queued"`
-	Sending int    `json:"sending"`
-	Groups  uint64 `json:"groups"`
-	Rows    uint64 `json:"rows"`
+	// Queued is the number of rows that wait for a group.
+	Queued int `json:"queued"`
+	// Sending is the number of groups in flight.
+	Sending int `json:"sending"`
+	// Groups and Rows count the groups formed so far and the rows in them.
+	Groups uint64 `json:"groups"`
+	Rows   uint64 `json:"rows"`
 }
 
 func (w *groupWriter) dump() *GroupState {
--- a/internal/claim/group_test.go
+++ b/internal/claim/group_test.go
@@ -14,8 +14,9 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// A caller's time runs out while its claim waits behind a slow group. It is told
-// unknown, and the claim is never sent: the caller's retry finds the key free and runs.
+// A request's deadline passes while its claim waits behind a slow group. The caller
+// receives unknown and the claim must never be sent, so that the caller's retry can
+// claim the key and run.
 func TestAbandonedClaimIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformsim.NewStore()
@@ -30,8 +31,9 @@
 	})
 }
 
-// A long line of bulk claims waits for a slow table, and has filled its part of the
-// queue. An urgent claim is written next, and not refused for the queue.
+// Many bulk claims wait for a slow table and have filled the part of the queue that they
+// may use. An urgent claim must not be refused because of the queue length, and it must
+// be written before the waiting bulk claims.
 func TestUrgentClaimGoesAheadOfBulk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformsim.NewStore()
@@ -52,32 +54,33 @@
 			synctest.Wait()
 		}
 		if refused.Load() == 0 {
-			t.Fatal("the bulk claims do not fill their part of the queue")
+			t.Fatal("no bulk claim was refused, so the queue was not full")
 		}
 		urgent := WithUrgency(t.Context(), config.Urgent)
 		mustRun(t, v.Claim(urgent, testKey, "urgent", testDigest, time.Now().Add(testDeadline)))
 		if won.Load() > 2 {
-			t.Fatalf("%d bulk claims went first", won.Load())
+			t.Fatalf("%d bulk claims were written before the urgent one, want at most 2", won.Load())
 		}
 		bulk.Wait()
 	})
 }
 
-// Copies of one request reach one VM in the same moment and wait for the same group.
-// One runs. Were both in one transaction, each would hold the other's condition, both
-// would be told that they won, and the request would run twice.
+// Copies of one request arrive on one VM at the same time and wait for the same group.
+// Exactly one may run. If two were in one transaction, both would meet their condition,
+// both would own the key, and the request would run twice.
 func TestCopiesInOneGroupRunOnce(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, settings Settings) {
 		store := platformsim.NewStore()
 		settings.Linger = time.Millisecond
 		v := newVM(t, store, "vm-1", settings)
 		if runs := claimAtOnce(t, v, 8, func(int) Key { return testKey }); runs != 1 {
-			t.Fatalf("%d copies run, want 1", runs)
+			t.Fatalf("%d copies ran, want 1", runs)
 		}
 	})
 }
 
-// A request whose key is taken is refused; the others of its group run.
+// A group contains a claim of a key that another VM owns. Only this claim may be refused;
+// the other requests of the group run.
 func TestRefusedRowDoesNotRefuseItsGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformsim.NewStore()
@@ -93,14 +96,15 @@
 			return key
 		})
 		if runs != claims-1 {
-			t.Fatalf("%d run, want %d", runs, claims-1)
+			t.Fatalf("%d requests ran, want %d", runs, claims-1)
 		}
 		if commits, _ := store.Counts(); commits != 3 {
-			t.Fatalf("%d transactions, want one for the first VM, and the group's twice", commits)
+			t.Fatalf("%d transactions, want one of the first VM and two of the group", commits)
 		}
 	})
 }
 
+// claimAtOnce claims count keys concurrently and returns how many claims succeeded.
 func claimAtOnce(t *testing.T, v *vm, count int, keyOf func(n int) Key) int {
 	t.Helper()
 	var (
--- a/internal/claim/group_writer.go
+++ b/internal/claim/group_writer.go
@@ -12,22 +12,22 @@
 	"geraniumcroft/internal/platform"
 )
 
-// errQueueFull is the cause when too many claims wait.
+// errQueueFull is the cause of a failed write when too many rows wait for a group.
 var errQueueFull = errors.New("too many claims wait for the table")
 
-// groupWriter writes many rows in one transaction. Each row stands for itself: one
-// that is refused is taken out and the rest are sent again.
+// groupWriter writes many rows in one transaction. The rows succeed or fail
+// independently: refused rows are removed from the group and the rest is sent again.
 type groupWriter struct {
 	table    platform.Table
 	settings Settings
 
 	mu    sync.Mutex // guards the fields below
 	queue []*pendingRow
-	// collecting says that the next group is waiting for more rows.
+	// collecting is true while a group collects rows and waits to be sent.
 	collecting bool
-	// sending counts the groups under way.
+	// sending is the number of groups in flight.
 	sending int
-	// groups and rows count what was formed.
+	// groups and rows count the groups formed so far and the rows in them.
 	groups uint64
 	rows   uint64
 }
@@ -36,9 +36,10 @@
 	return &groupWriter{table: table, settings: settings}
 }
 
+// write implements writer.
 func (w *groupWriter) write(ctx context.Context, row newRow) error {
 	if !healthy(w.table) {
-		return &platform.UnavailableError{Operation: "claim", Cause: errTableOut}
+		return &platform.UnavailableError{Operation: "claim", Cause: errTableUnavailable}
 	}
 	pending := &pendingRow{newRow: row, urgency: urgencyOf(ctx), done: make(chan error, 1)}
 	if !w.enqueue(pending) {
@@ -52,28 +53,32 @@
 	}
 }
 
+// enqueue adds the row to the queue. It returns false if the queue is full for the
+// row's urgency.
 func (w *groupWriter) enqueue(pending *pendingRow) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.queue) >= w.room(pending.urgency) {
+	if len(w.queue) >= w.queueLimit(pending.urgency) {
 		return false
 	}
-	w.queue = slices.Insert(w.queue, w.place(pending.urgency), pending)
-	w.collect()
+	w.queue = slices.Insert(w.queue, w.insertIndex(pending.urgency), pending)
+	w.startGroup()
 	return true
 }
 
-// room keeps the last quarter of the queue for urgent rows, so that a flood of others
-// cannot have them refused.
-func (w *groupWriter) room(urgency config.Urgency) int {
+// queueLimit returns the queue length from which on rows of the urgency are refused.
+// The last quarter of the queue is reserved for urgent rows, so that a burst of other
+// rows does not cause urgent ones to be refused.
+func (w *groupWriter) queueLimit(urgency config.Urgency) int {
 	if urgency == config.Urgent {
 		return w.settings.MaxQueued
 	}
 	return w.settings.MaxQueued - w.settings.MaxQueued/4
 }
 
-// place is behind all rows that are at least as urgent.
-func (w *groupWriter) place(urgency config.Urgency) int {
+// insertIndex returns the index in the queue behind all rows that are at least as
+// urgent. The mutex is held.
+func (w *groupWriter) insertIndex(urgency config.Urgency) int {
 	at := len(w.queue)
 	for at > 0 && w.queue[at-1].urgency < urgency {
 		at--
@@ -81,8 +86,9 @@
 	return at
 }
 
-// abandon gives up a row. One that no group has taken was not and will not be sent;
-// any other may be written yet.
+// abandon is called when the context of a waiting row has ended. A row that is still
+// in the queue is removed and never sent. A row in a group may still be written, so
+// its result is ambiguous.
 func (w *groupWriter) abandon(ctx context.Context, pending *pendingRow) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,9 +99,9 @@
 	return &platform.AmbiguousError{Cause: ctx.Err()}
 }
 
-// collect starts the next group unless one is collecting or too many are under
-// way. The mutex is held.
-func (w *groupWriter) collect() {
+// startGroup starts the next group unless the queue is empty, a group is already
+// collecting, or Settings.MaxInFlight groups are in flight. The mutex is held.
+func (w *groupWriter) startGroup() {
 	if len(w.queue) == 0 || w.collecting || w.sending >= w.settings.MaxInFlight {
 		return
 	}
@@ -105,9 +111,9 @@
 
 // run collects and sends one group.
 //
-// The group is formed at the last moment, when the table's rate budget lets it be
-// sent. Formed before, it would wait for its turn while later claims formed groups of
-// their own behind it, and each claim would wait for several turns in place of one.
+// The group is formed only when the table's rate limit permits its transaction. If it
+// were formed earlier, it would wait for its turn while later claims formed further
+// groups behind it, and each claim would wait for several turns instead of one.
 func (w *groupWriter) run() {
 	ctx := platform.WithLane(context.Background(), platform.LaneUrgent)
 	ctx, cancel := context.WithTimeout(ctx, w.settings.Timeout)
@@ -115,20 +121,22 @@
 	if w.settings.Linger > 0 {
 		time.Sleep(w.settings.Linger)
 	}
-	ctx, err := takeTurn(ctx, w.table)
-	group := w.take()
+	ctx, err := waitForTurn(ctx, w.table)
+	group := w.takeGroup()
 	if err != nil {
-		finish(group, err)
+		resolveAll(group, err)
 	} else {
 		w.send(ctx, group)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.sending--
-	w.collect()
+	w.startGroup()
 }
 
-func takeTurn(ctx context.Context, table platform.Table) (context.Context, error) {
+// waitForTurn waits until the table's rate limit permits one write, if the table has
+// a rate limit. The returned context carries the permit.
+func waitForTurn(ctx context.Context, table platform.Table) (context.Context, error) {
 	taker, ok := table.(platform.TurnTaker)
 	if !ok {
 		return ctx, nil
@@ -136,49 +144,51 @@
 	return taker.Turn(ctx)
 }
 
-// take removes the next group from the queue, and lets the one after it collect.
+// takeGroup removes the next group from the queue and starts the group after it.
 //
-// A key stands in a group only once: two creations of one row hold each other's
-// condition within a transaction, both would be told that they won, and the key's
-// request would run twice. The second waits for a later group and is refused there.
-func (w *groupWriter) take() []*pendingRow {
+// A row key occurs at most once in a group. Two creations of the same row in one
+// transaction would both meet their condition, both writers would own the key, and its
+// request would run twice. The second creation stays in the queue for a later group and
+// is refused there.
+func (w *groupWriter) takeGroup() []*pendingRow {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var group, left []*pendingRow
+	var group, deferred []*pendingRow
 	keys := map[string]bool{}
 	size := 0
 	for _, pending := range w.queue {
 		full := len(group) == w.settings.MaxGroup || size+len(pending.value) > w.settings.MaxGroupBytes
 		if keys[pending.key] || (full && len(group) > 0) {
-			left = append(left, pending)
+			deferred = append(deferred, pending)
 			continue
 		}
 		keys[pending.key] = true
 		size += len(pending.value)
 		group = append(group, pending)
 	}
-	w.queue = left
+	w.queue = deferred
 	w.collecting = false
 	w.sending++
 	w.groups++
 	w.rows += uint64(len(group))
-	w.collect()
+	w.startGroup()
 	return group
 }
 
-// send commits the group, without the rows that are refused. Each round ends at
-// least one row, so the rounds are bounded by the group's size.
+// send commits the group. If rows are refused, it commits the others again without
+// them. Each round resolves at least one row, so there are at most as many rounds as
+// rows.
 func (w *groupWriter) send(ctx context.Context, group []*pendingRow) {
 	for len(group) > 0 {
 		err := w.table.Commit(ctx, createTxn(rowsOf(group)))
 		var refused *platform.RefusedError
 		if !errors.As(err, &refused) {
-			finish(group, err)
+			resolveAll(group, err)
 			return
 		}
-		rest := dropRefused(group, refused)
+		rest := resolveRefused(group, refused)
 		if len(rest) == len(group) {
-			finish(group, err)
+			resolveAll(group, err)
 			return
 		}
 		group = rest
--- a/internal/claim/health.go
+++ b/internal/claim/health.go
@@ -6,16 +6,18 @@
 	"geraniumcroft/internal/platform"
 )
 
-// errTableOut is the cause when the table is known to be out.
-var errTableOut = errors.New("the table is out")
+// errTableUnavailable is the cause of a failed write while the table is known to be
+// unavailable.
+var errTableUnavailable = errors.New("table is unavailable")
 
-// healthReporter is implemented by tables that know whether they are up.
+// healthReporter is implemented by tables that detect whether they are available.
 type healthReporter interface {
 	Healthy() bool
 }
 
-// healthy lets a claim fail at once instead of waiting behind groups that were sent
-// before the table was known to be out.
+// healthy reports whether the table is available, as far as that is known. It lets a
+// claim fail immediately instead of waiting behind groups that were sent before the
+// outage was detected.
 func healthy(table platform.Table) bool {
 	reporter, ok := table.(healthReporter)
 	return !ok || reporter.Healthy()
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -26,17 +26,17 @@
 	historySeeds    = 40
 )
 
-// attemptInput is one arrival of a keyed request at some VM.
+// attemptInput is one arrival of a keyed request on a VM.
 type attemptInput struct {
 	key int
 }
 
-// attemptOutput is what became of it.
+// attemptOutput is the result of an attempt.
 type attemptOutput struct {
-	// executed says that the target ran it.
+	// executed is true if the target ran the request.
 	executed bool
-	// told is what its caller was told.
-	told outcome.Outcome
+	// reported is the outcome that the caller received.
+	reported outcome.Outcome
 }
 
 // keyState is the specification's state of one key.
@@ -45,8 +45,8 @@
 	notRun   bool
 }
 
-// claimModel says what callers may see: a key is executed at most once, complete is
-// only said of a key that was executed, and not-run is final.
+// claimModel specifies what callers may observe: a key is executed at most once,
+// complete is reported only for a key that was executed, and not-run is final.
 var claimModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make([][]porcupine.Operation, historyKeys)
@@ -60,6 +60,8 @@
 	Step: func(state, _, output any) (bool, any) { return stepClaim(state.(keyState), output.(attemptOutput)) },
 }
 
+// stepClaim applies one attempt to the state of its key. It returns false if the
+// specification does not permit the output.
 func stepClaim(state keyState, output attemptOutput) (bool, any) {
 	if output.executed {
 		if state.executed || state.notRun {
@@ -67,7 +69,7 @@
 		}
 		state.executed = true
 	}
-	switch output.told {
+	switch output.reported {
 	case outcome.Complete:
 		return state.executed, state
 	case outcome.NotRun:
@@ -78,7 +80,7 @@
 	}
 }
 
-// history collects what concurrent callers saw.
+// history collects the attempts of concurrent callers and their results.
 type history struct {
 	mu  sync.Mutex // guards ops
 	ops []porcupine.Operation
@@ -97,8 +99,9 @@
 	h.ops = append(h.ops, op)
 }
 
-// runHistory lets clients send keyed requests to random VMs over a table with random
-// faults, in virtual time, and returns what they saw.
+// runHistory simulates clients that send keyed requests to random VMs while the table
+// has random faults, in virtual time. It returns the history of their attempts. plant,
+// unless nil, modifies the claims of each VM before the run.
 func runHistory(t *testing.T, seed uint64, settings Settings, plant func(*Claims)) []porcupine.Operation {
 	t.Helper()
 	var collected history
@@ -125,12 +128,13 @@
 		}
 		clients.Wait()
 		stop()
-		time.Sleep(time.Hour) // late writes land before the bubble ends
+		time.Sleep(time.Hour) // delayed writes are applied before the synctest bubble ends
 	})
 	return collected.ops
 }
 
-// randomFaults loses, delays, refuses or slows about a third of the operations.
+// randomFaults affects about a third of the operations: it loses the response, delays
+// the write, makes the table unavailable, or slows the operation.
 func randomFaults(seed uint64) platformsim.Chooser {
 	random := rand.New(rand.NewPCG(seed, 0))
 	return func(platformsim.Operation) platformsim.Action {
@@ -150,6 +154,7 @@
 	}
 }
 
+// runClient makes the attempts of one client.
 func runClient(t *testing.T, seed uint64, client int, vms []*Claims, into *history) {
 	random := rand.New(rand.NewPCG(seed, uint64(client+1)))
 	for attempt := range historyAttempts {
@@ -162,53 +167,54 @@
 	}
 }
 
-// runAttempt does what the router does with a keyed request. Of those that it may
-// run it refuses some, and dies before the end of some.
+// runAttempt handles a keyed request as the router does. Of the requests that it may
+// run it refuses some as not-run, and for some it simulates a crash of the VM before
+// the end is recorded.
 func runAttempt(t *testing.T, random *rand.Rand, v *Claims, key int, id string) attemptOutput {
 	k := Key{Workspace: "w", Profile: "p", Key: fmt.Sprint(key)}
 	decision := v.Claim(t.Context(), k, id, testDigest, time.Now().Add(testDeadline))
 	switch {
 	case decision.Replay != nil:
-		return attemptOutput{told: outcome.Complete}
+		return attemptOutput{reported: outcome.Complete}
 	case decision.Failure != nil:
-		return attemptOutput{told: decision.Failure.Outcome}
+		return attemptOutput{reported: decision.Failure.Outcome}
 	}
 	switch random.IntN(4) {
 	case 0:
 		if v.Finish(t.Context(), k, id, outcome.NotRun, nil) != nil {
-			return attemptOutput{told: outcome.Unknown}
+			return attemptOutput{reported: outcome.Unknown}
 		}
-		return attemptOutput{told: outcome.NotRun}
+		return attemptOutput{reported: outcome.NotRun}
 	case 1:
-		return attemptOutput{executed: true, told: outcome.Unknown} // the VM dies
+		return attemptOutput{executed: true, reported: outcome.Unknown} // the VM crashes
 	default:
 		time.Sleep(time.Duration(random.IntN(300)) * time.Millisecond)
-		// The caller has its answer whether or not the end can be written.
+		// The caller has received its answer even if the end row can't be written.
 		_ = v.Finish(t.Context(), k, id, outcome.Complete, &Answer{Status: 200})
-		return attemptOutput{executed: true, told: outcome.Complete}
+		return attemptOutput{executed: true, reported: outcome.Complete}
 	}
 }
 
-// Callers send copies of keyed requests to several VMs while the table loses answers,
-// applies writes late, refuses and slows. Whatever order of events explains what they
-// saw, each key was executed at most once and not-run was final.
+// Callers send copies of keyed requests to several VMs while the table loses responses,
+// applies writes late, is unavailable, or is slow. The history must have an order of
+// events in which each key is executed at most once and not-run is final.
 func TestHistoryOfConcurrentClaims(t *testing.T) {
 	for _, ungrouped := range []bool{false, true} {
 		executions, refusals := 0, 0
 		for seed := range testseed.Series(historySeeds) {
 			ops := runHistory(t, seed, Settings{Ungrouped: ungrouped}, nil)
 			if !porcupine.CheckOperations(claimModel, ops) {
-				t.Fatalf("ungrouped=%t seed %d: the history breaks the specification", ungrouped, seed)
+				t.Fatalf("ungrouped=%t seed %d: the history violates the specification", ungrouped, seed)
 			}
 			for _, op := range ops {
 				output := op.Output.(attemptOutput)
 				executions += toInt(output.executed)
-				refusals += toInt(output.told == outcome.NotRun)
+				refusals += toInt(output.reported == outcome.NotRun)
 			}
 		}
 		t.Logf("ungrouped=%t: %d executions, %d not-run in %d histories", ungrouped, executions, refusals, historySeeds)
 		if executions < historySeeds || refusals < historySeeds {
-			t.Fatal("the runs are too poor to show anything")
+			t.Fatal("too few executions or refusals to check anything")
 		}
 	}
 }
@@ -220,12 +226,13 @@
 	return 0
 }
 
-// The checker must object once a safeguard is gone: the condition on the rows, or the
-// rule that a write in doubt is not taken for written, for claims and tombstones.
+// The history check must fail when one of the safeguards is removed: the condition on
+// the rows, or the rule that an ambiguous write of a claim or a tombstone does not count
+// as written.
 func TestHistoryCheckerCatchesPlantedFaults(t *testing.T) {
 	plants := map[string]func(*Claims){
-		"unconditional claims":             func(c *Claims) { c.writer = &unconditionalWriter{table: c.table} },
-		"write in doubt taken for written": func(c *Claims) { c.writer = &optimisticWriter{inner: c.writer} },
+		"unconditional claims":               func(c *Claims) { c.writer = &unconditionalWriter{table: c.table} },
+		"ambiguous write counted as written": func(c *Claims) { c.writer = &optimisticWriter{inner: c.writer} },
 	}
 	for name, plant := range plants {
 		t.Run(name, func(t *testing.T) {
@@ -234,7 +241,7 @@
 					return
 				}
 			}
-			t.Fatal("no history objects to the planted fault")
+			t.Fatal("no history violates the specification despite the planted fault")
 		})
 	}
 }
--- a/internal/claim/key.go
+++ b/internal/claim/key.go
@@ -8,13 +8,13 @@
 
 const (
 	rowPrefix = "claims/"
-	// rowPrefixEnd is the first key after all that start with rowPrefix.
+	// rowPrefixEnd is the first key after all keys that start with rowPrefix.
 	rowPrefixEnd = "claims0"
 	claimSuffix  = "/claim"
 	endSuffix    = "/end"
 )
 
-// Key names a caller's request within its workspace and profile.
+// Key identifies a caller's request within its workspace and profile.
 type Key struct {
 	Workspace string
 	Profile   string
@@ -22,8 +22,8 @@
 	Key string
 }
 
-// hash is unambiguous: each part is preceded by its length, so that no two keys
-// share a hash by moving characters between the parts.
+// hash returns the hex SHA-256 of the key. Each part is preceded by its length, so
+// that moving characters from one part to another yields another hash.
 func (k Key) hash() string {
 	digest := sha256.New()
 	for _, part := range []string{k.Workspace, k.Profile, k.Key} {
@@ -33,6 +33,8 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
+// claimRow returns the key of the claim row.
 func (k Key) claimRow() string { return rowPrefix + k.hash() + claimSuffix }
 
+// endRow returns the key of the end row.
 func (k Key) endRow() string { return rowPrefix + k.hash() + endSuffix }
--- a/internal/claim/outage_test.go
+++ b/internal/claim/outage_test.go
@@ -14,10 +14,10 @@
 	"geraniumcroft/internal/platform/resilient"
 )
 
-// The table is out. Callers with a key are told unknown at once, with a time to come
-// back, and nothing is dispatched: an earlier attempt may have run on another VM.
-// Once the outage is known it costs no request and no wait.
-func TestOutageRefusesAtOnce(t *testing.T) {
+// The table is unavailable. Callers with a key must receive unknown immediately, with a
+// retry delay, and nothing is dispatched, as an earlier attempt may have run on another
+// VM. Once the outage is detected, a claim waits for nothing.
+func TestClaimFailsImmediatelyDuringOutage(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, settings Settings) {
 		store := platformsim.NewStore()
 		v := newVM(t, store, "vm-1", settings)
@@ -30,18 +30,19 @@
 			d := v.claim(t, fmt.Sprint("r", n))
 			mustFail(t, d, outcome.Unknown, outcome.ReasonStoreUnavailable)
 			if d.Failure.RetryAfter == 0 {
-				t.Fatal("no time to come back")
+				t.Fatal("the failure has no RetryAfter")
 			}
 		}
 		if !time.Now().Equal(began) {
-			t.Fatalf("100 claims in a known outage waited %v", time.Since(began))
+			t.Fatalf("100 claims during a detected outage waited %v, want no wait", time.Since(began))
 		}
 	})
 }
 
-// The store falls silent with claims under way, which wait for their own bound. Once
-// the outage is known, later callers are refused at once and not behind those.
-func TestOutageDoesNotQueueBehindHangingGroups(t *testing.T) {
+// The store stops responding while groups are in flight, which wait for their timeout.
+// Once the outage is detected, later claims must fail immediately instead of waiting
+// behind those groups.
+func TestClaimDoesNotWaitBehindHangingGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformsim.NewStore()
 		v := newVM(t, store, "vm-1", Settings{Timeout: 10 * time.Second})
@@ -55,21 +56,21 @@
 		}
 		time.Sleep(3 * time.Second)
 		if v.client.Healthy() || v.Dump().Grouping.Sending != DefaultMaxInFlight {
-			t.Fatalf("not the state to test: %+v", v.Dump())
+			t.Fatalf("got %+v, want a detected outage with all groups in flight", v.Dump())
 		}
 		began := time.Now()
 		mustFail(t, v.claim(t, "r"), outcome.Unknown, outcome.ReasonStoreUnavailable)
 		if !time.Now().Equal(began) {
-			t.Fatalf("waited %v behind hanging groups", time.Since(began))
+			t.Fatalf("the claim waited %v behind hanging groups", time.Since(began))
 		}
 		hanging.Wait()
 	})
 }
 
-// The store is out when a request is refused, and its caller told unknown. Once the
-// store is back the tombstone is written after all, and the caller's retry learns that
-// the request did not run. The same holds when it was written in the outage and only
-// the answer lost: it is found and not tried for ever.
+// The store is unavailable when a request is refused, so its caller receives unknown.
+// After the outage the tombstone must be written, so that the caller's retry receives
+// not-run. If the tombstone was written during the outage and only the response was
+// lost, the existing row must end the retries.
 func TestTombstoneIsWrittenAfterTheOutage(t *testing.T) {
 	commits := map[string]platformsim.ActionKind{
 		"refused":     platformsim.ActUnavailable,
@@ -95,27 +96,28 @@
 			return platformsim.Action{Kind: platformsim.ActUnavailable}
 		})
 		if first.Finish(t.Context(), testKey, "r1", outcome.NotRun, nil) == nil {
-			t.Fatal("finished in an outage")
+			t.Fatal("Finish succeeded during an outage")
 		}
 		time.Sleep(10 * time.Second)
 		store.Faults.Choose(nil)
 		time.Sleep(10 * time.Second)
 		mustFail(t, second.claim(t, "r2"), outcome.NotRun, outcome.ReasonKeySpent)
 		if state := first.Dump(); state.Waiting != 0 || state.Finished != 1 {
-			t.Fatalf("%+v", state)
+			t.Fatalf("got %+v, want none waiting and one finished", state)
 		}
 	})
 }
 
-// The table is out for long and every request's end waits for it. The newest are
-// kept, within a bound: with their answers they would otherwise fill the VM's memory.
-func TestLateEndsAreBounded(t *testing.T) {
-	var late lateEnds
-	for i := range maxLateEnds + 1 {
-		late.add(newRow{key: strconv.Itoa(i)})
+// The table is unavailable for long and the end rows of all requests wait for it. Only
+// the newest are kept, up to a limit: with their answers they would otherwise exhaust
+// the VM's memory.
+func TestEndRetriesAreBounded(t *testing.T) {
+	var retries endRetries
+	for i := range maxEndRetries + 1 {
+		retries.add(newRow{key: strconv.Itoa(i)})
 	}
-	rows := late.takeAll()
-	if len(rows) != maxLateEnds || rows[0].key != "1" || late.len() != 0 {
-		t.Errorf("%d rows from %q on, %d left", len(rows), rows[0].key, late.len())
+	rows := retries.takeAll()
+	if len(rows) != maxEndRetries || rows[0].key != "1" || retries.len() != 0 {
+		t.Errorf("%d rows, the first is %q, %d left", len(rows), rows[0].key, retries.len())
 	}
 }
--- a/internal/claim/owned_claim.go
+++ b/internal/claim/owned_claim.go
@@ -6,22 +6,24 @@
 	"geraniumcroft/internal/invariant"
 )
 
-// ownedClaim is a claim that this VM holds for a request in hand.
+// ownedClaim is a claim that this VM holds for a request that has not ended.
 type ownedClaim struct {
 	key       Key
 	keepUntil time.Time
 }
 
-func (c *Claims) own(requestID string, claim ownedClaim) {
+// addOwned records that the request holds the claim.
+func (c *Claims) addOwned(requestID string, claim ownedClaim) {
 	c.mu.Lock()
-	_, twice := c.owned[requestID]
+	_, duplicate := c.owned[requestID]
 	c.owned[requestID] = claim
 	c.mu.Unlock()
-	c.inv.Check(!twice, invariant.OneDispatch, "request %s claims a key twice", requestID)
+	c.inv.Check(!duplicate, invariant.OneDispatch, "request %s claims a key twice", requestID)
 }
 
-// disown ends the request's claim here, so that a request ends once.
-func (c *Claims) disown(k Key, requestID string) (ownedClaim, bool) {
+// removeOwned removes and returns the request's claim, so that a request ends only
+// once. It returns false if the request holds no claim of the key.
+func (c *Claims) removeOwned(k Key, requestID string) (ownedClaim, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	claim, ok := c.owned[requestID]
--- a/internal/claim/pending_row.go
+++ b/internal/claim/pending_row.go
@@ -7,34 +7,37 @@
 	"geraniumcroft/internal/platform"
 )
 
-// pendingRow is a row on its way into the table.
+// pendingRow is a row that waits in the queue or belongs to a group in flight.
 type pendingRow struct {
 	newRow
 	urgency config.Urgency
-	// done takes the row's result once; it has room for it.
+	// done receives the row's result once. It is buffered, so that the sender does not
+	// block.
 	done chan error
 }
 
-// dropRefused tells the refused rows and returns the others.
-func dropRefused(group []*pendingRow, refused *platform.RefusedError) []*pendingRow {
-	var rest []*pendingRow
+// resolveRefused sends each refused row its result and returns the other rows.
+func resolveRefused(group []*pendingRow, refused *platform.RefusedError) []*pendingRow {
+	var remaining []*pendingRow
 	for _, pending := range group {
 		at := slices.IndexFunc(refused.Rows, func(row platform.Row) bool { return row.Key == pending.key })
 		if at < 0 {
-			rest = append(rest, pending)
+			remaining = append(remaining, pending)
 			continue
 		}
 		pending.done <- &platform.RefusedError{Rows: refused.Rows[at : at+1]}
 	}
-	return rest
+	return remaining
 }
 
-func finish(group []*pendingRow, err error) {
+// resolveAll sends every row of the group the same result.
+func resolveAll(group []*pendingRow, err error) {
 	for _, pending := range group {
 		pending.done <- err
 	}
 }
 
+// rowsOf returns the rows to be created by the group.
 func rowsOf(group []*pendingRow) []newRow {
 	rows := make([]newRow, 0, len(group))
 	for _, pending := range group {
--- a/internal/claim/settings.go
+++ b/internal/claim/settings.go
@@ -17,31 +17,37 @@
 	DefaultMaxQueued       = 4096
 )
 
-// Settings of a Claims. A zero field takes its default.
+// Settings configures a Claims. A field that is zero or negative takes its default, if
+// it has one.
 type Settings struct {
-	// Retention is how long a key is remembered after its request's deadline. It is
-	// raised to LongestDeadline where it is below.
+	// Retention is how long a key is kept after its request's deadline. It is raised to
+	// LongestDeadline if it is below.
 	Retention time.Duration
-	// LongestDeadline is the longest that any profile allows.
+	// LongestDeadline is the longest deadline that any profile allows.
 	LongestDeadline time.Duration
-	// Timeout bounds one write of a claim or an end.
+	// Timeout bounds the writing of one claim or end row.
 	Timeout time.Duration
-	// RetryAfter is what callers are told where a retry can help.
+	// RetryAfter is the delay that callers receive with failures for which a retry can
+	// help.
 	RetryAfter time.Duration
-	// Ungrouped writes each claim in a transaction of its own.
+	// Ungrouped writes each row in a transaction of its own.
 	Ungrouped bool
-	// Linger is how long a group waits for more claims before it takes its turn; 0 is
-	// not at all. Claims that come while it waits for its turn join it anyway.
+	// Linger is how long a group waits for more rows before it waits for its turn; 0
+	// means not at all. Rows that arrive while the group waits for its turn join it in
+	// any case.
 	Linger time.Duration
-	// MaxGroup and MaxGroupBytes bound one transaction.
+	// MaxGroup and MaxGroupBytes bound the number of rows in one transaction and the
+	// total size of their values.
 	MaxGroup      int
 	MaxGroupBytes int
-	// MaxInFlight bounds the groups under way at once.
+	// MaxInFlight is the maximum number of groups in flight.
 	MaxInFlight int
-	// MaxQueued bounds the claims that wait for a group.
+	// MaxQueued is the maximum number of rows that wait for a group. A quarter of it is
+	// reserved for urgent rows.
 	MaxQueued int
 }
 
+// withDefaults returns the settings with their defaults filled in.
 func (s Settings) withDefaults() Settings {
 	s.LongestDeadline = cmp.Or(max(s.LongestDeadline, 0), DefaultLongestDeadline)
 	s.Retention = cmp.Or(max(s.Retention, 0), DefaultRetention)
--- a/internal/claim/single_writer.go
+++ b/internal/claim/single_writer.go
@@ -13,12 +13,14 @@
 	table platform.Table
 }
 
+// write implements writer.
 func (w *singleWriter) write(ctx context.Context, row newRow) error {
 	return w.table.Commit(ctx, createTxn([]newRow{row}))
 }
 
-// createTxn returns a transaction that creates all the rows or none. They are
-// written once, so a row of another transaction proves that this one was refused.
+// createTxn returns a transaction that creates all of the rows or none. The rows are
+// written only once, so a row that another transaction wrote proves that this one was
+// refused.
 func createTxn(rows []newRow) platform.Txn {
 	txn := platform.Txn{ID: uuid.NewString(), Witness: platform.WrittenOnce}
 	for _, row := range rows {
--- a/internal/claim/sweep.go
+++ b/internal/claim/sweep.go
@@ -12,44 +12,46 @@
 	"geraniumcroft/internal/platform"
 )
 
-// Sweep reads up to limit rows, from where the last sweep stopped, and deletes those
-// of keys that need not be remembered any longer. The holder of a lease calls it.
+// Sweep reads up to limit rows, starting where the last sweep stopped, and deletes
+// the rows of keys whose retention has expired. The holder of a lease calls it.
 func (c *Claims) Sweep(ctx context.Context, now time.Time, limit int) (SweepResult, error) {
 	c.cursor.mu.Lock()
 	defer c.cursor.mu.Unlock()
-	// A key has two rows; fewer could never be read together.
+	// A key has two rows. A page of one row could never hold both.
 	limit = max(limit, 2)
 	rows, err := c.table.Scan(ctx, max(c.cursor.from, rowPrefix), rowPrefixEnd, limit)
 	if err != nil {
 		return SweepResult{}, err
 	}
 	result := SweepResult{Scanned: len(rows), Wrapped: len(rows) < limit}
-	rows, next := wholeKeys(rows, result.Wrapped)
+	rows, nextFrom := trimPartialKey(rows, result.Wrapped)
 	result.Deleted, err = c.deleteExpired(ctx, rows, now)
 	if err != nil {
 		return result, err
 	}
-	c.cursor.from = next
+	c.cursor.from = nextFrom
 	c.counters.swept.Add(uint64(result.Deleted))
 	return result, nil
 }
 
-// wholeKeys leaves out a claim row at the end of a page, whose end row may be on the
-// next, and returns where the next page starts.
-func wholeKeys(rows []platform.Row, last bool) ([]platform.Row, string) {
-	if last || len(rows) == 0 {
+// trimPartialKey removes a claim row at the end of a page, as its end row may be on
+// the next page. It also returns the key at which the next page starts.
+func trimPartialKey(rows []platform.Row, lastPage bool) ([]platform.Row, string) {
+	if lastPage || len(rows) == 0 {
 		return rows, ""
 	}
-	final := rows[len(rows)-1].Key
-	if strings.HasSuffix(final, claimSuffix) {
-		return rows[:len(rows)-1], final
+	lastKey := rows[len(rows)-1].Key
+	if strings.HasSuffix(lastKey, claimSuffix) {
+		return rows[:len(rows)-1], lastKey
 	}
-	return rows, final + "\x00"
+	return rows, lastKey + "\x00"
 }
 
+// deleteExpired deletes the rows of expired keys in one transaction. It returns how
+// many rows it deleted, 0 if the result of the transaction is ambiguous.
 func (c *Claims) deleteExpired(ctx context.Context, rows []platform.Row, now time.Time) (int, error) {
 	txn := platform.Txn{ID: uuid.NewString()}
-	for _, key := range byKey(rows, now) {
+	for _, key := range groupByKey(rows, now) {
 		if !key.expired {
 			continue
 		}
@@ -63,7 +65,7 @@
 	}
 	err := c.table.Commit(ctx, txn)
 	if errors.Is(err, platform.ErrAmbiguous) {
-		// Whatever is left is read again by a later sweep.
+		// A later sweep reads the rows that are left.
 		return 0, nil
 	}
 	if err != nil {
@@ -72,15 +74,15 @@
 	return len(txn.Writes), nil
 }
 
-// byKey groups the rows of a page, which are in order, by their key.
-func byKey(rows []platform.Row, now time.Time) []sweptKey {
+// groupByKey groups the rows of a page, which are sorted, by idempotency key.
+func groupByKey(rows []platform.Row, now time.Time) []sweptKey {
 	var keys []sweptKey
 	previous := ""
 	for _, row := range rows {
-		base := row.Key[:strings.LastIndexByte(row.Key, '/')]
-		if base != previous {
+		prefix := row.Key[:strings.LastIndexByte(row.Key, '/')]
+		if prefix != previous {
 			keys = append(keys, sweptKey{expired: true})
-			previous = base
+			previous = prefix
 		}
 		key := &keys[len(keys)-1]
 		key.rows = append(key.rows, row)
@@ -89,13 +91,14 @@
 	return keys
 }
 
-// expired keeps rows that it cannot read: deleting one would free a key.
+// expired reports whether the row may be deleted. It returns false for rows that it
+// can't decode, as deleting such a row could make its key usable again.
 func expired(row platform.Row, now time.Time) bool {
-	var kept struct {
+	var record struct {
 		KeepUntil time.Time `json:"keepUntil"`
 	}
-	if err := json.Unmarshal(row.Value, &kept); err != nil || kept.KeepUntil.IsZero() {
+	if err := json.Unmarshal(row.Value, &record); err != nil || record.KeepUntil.IsZero() {
 		return false
 	}
-	return now.After(kept.KeepUntil)
+	return now.After(record.KeepUntil)
 }
--- a/internal/claim/sweep_result.go
+++ b/internal/claim/sweep_result.go
@@ -1,9 +1,10 @@
 package claim
 
-// SweepResult is what one sweep did.
+// SweepResult counts the rows that one sweep read and deleted.
 type SweepResult struct {
 	Scanned int
 	Deleted int
-	// Wrapped says that the sweep reached the last row; the next starts at the first.
+	// Wrapped is true if the sweep reached the last row. The next sweep starts at the
+	// first row.
 	Wrapped bool
 }
--- a/internal/claim/sweep_test.go
+++ b/internal/claim/sweep_test.go
@@ -10,8 +10,9 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// A tombstone lands after its claim was swept, and the key is used anew. The tombstone
-// is not about the new request, which may have run: its copy is told unknown.
+// A tombstone is written after its claim was swept and the key was claimed by a new
+// request. The tombstone does not apply to the new request, which may have run, so a
+// copy of the new request must receive unknown.
 func TestTombstoneOfASweptClaimSaysNothing(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, settings Settings) {
 		store := platformsim.NewStore()
@@ -19,7 +20,7 @@
 		mustRun(t, first.claim(t, "r1"))
 		time.Sleep(DefaultRetention + 2*testDeadline)
 		if result, err := second.Sweep(t.Context(), time.Now(), 10); err != nil || result.Deleted != 1 {
-			t.Fatalf("%+v, %v", result, err)
+			t.Fatalf("got %+v, %v, want one row deleted", result, err)
 		}
 		mustRun(t, second.claim(t, "r2"))
 		if err := first.Finish(t.Context(), testKey, "r1", outcome.NotRun, nil); err != nil {
@@ -29,8 +30,8 @@
 	})
 }
 
-// Swept keys are those whose retention is over, both rows at once; others stay, also
-// where a page ends between the two rows of a key.
+// A sweep deletes both rows of the keys whose retention has expired, and no others. This
+// must also hold if a page ends between the two rows of a key.
 func TestSweepDeletesExpiredKeysOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformsim.NewStore()
@@ -58,15 +59,16 @@
 			}
 		}
 		if deleted != 10 || !wrapped {
-			t.Fatalf("%d rows deleted (wrapped %t), want 10", deleted, wrapped)
+			t.Fatalf("%d rows deleted (wrapped: %t), want 10", deleted, wrapped)
 		}
 		mustFail(t, v.claim(t, "again"), outcome.Unknown, outcome.ReasonKeySpent)
 	})
 }
 
-// Tombstones written late are kept for their whole retention, and so are their claims,
-// also where a page ends between the two: a copy that finds the claim gone would run.
-func TestSweepKeepsTheClaimOfALateTombstone(t *testing.T) {
+// Tombstones that were written late are kept for their whole retention. Their claim rows
+// must be kept as long, also if a page ends between the two rows, since a copy of the
+// request that finds no claim row would run.
+func TestSweepKeepsClaimOfLateTombstone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVM(t, platformsim.NewStore(), "vm-1", Settings{})
 		const keys = 5
@@ -84,7 +86,7 @@
 		for range 10 {
 			result, err := v.Sweep(t.Context(), time.Now(), 3)
 			if err != nil || result.Deleted > 0 {
-				t.Fatalf("%+v, %v; want nothing deleted", result, err)
+				t.Fatalf("got %+v, %v, want no row deleted", result, err)
 			}
 		}
 	})
--- a/internal/claim/swept_key.go
+++ b/internal/claim/swept_key.go
@@ -2,7 +2,8 @@
 
 import "geraniumcroft/internal/platform"
 
-// sweptKey is the rows of one key, as a sweep read them.
+// sweptKey holds the rows of one key as a sweep read them, and whether all of them
+// have expired.
 type sweptKey struct {
 	rows    []platform.Row
 	expired bool
--- a/internal/claim/writer.go
+++ b/internal/claim/writer.go
@@ -2,10 +2,11 @@
 
 import "context"
 
-// writer writes one row on the condition that it does not exist.
+// writer writes rows on the condition that they do not exist.
 type writer interface {
-	// write returns nil once the row is written, a *platform.RefusedError with the
-	// row when there is one, and platform's other errors.
+	// write returns nil when the row is written. It returns a *platform.RefusedError
+	// with the existing row if there is one, and errors marked platform.ErrUnavailable
+	// or platform.ErrAmbiguous otherwise.
 	write(ctx context.Context, row newRow) error
 }
 
