--- a/internal/claim/outage_test.go
+++ b/internal/claim/outage_test.go
@@ -73,8 +73,8 @@
 // lost, the existing row must end the retries.
 func TestTombstoneIsWrittenAfterTheOutage(t *testing.T) {
 	commits := map[string]platformsim.ActionKind{
-		"refused":     platformsim.ActUnavailable,
-		"answer lost": platformsim.ActLoseAnswer,
+		"refused":       platformsim.ActUnavailable,
+		"response lost": platformsim.ActLoseAnswer,
 	}
 	for name, commit := range commits {
 		t.Run(name, func(t *testing.T) { testTombstoneAfterOutage(t, commit) })
--- a/internal/confstore/apply.go
+++ b/internal/confstore/apply.go
@@ -9,12 +9,12 @@
 	"geraniumcroft/internal/config"
 )
 
-// ApplyChanges applies changes that are known to be committed, from peers or the
-// table, and returns the version that is in force then. Changes that are old are
-// ignored, those that do not join on without a gap are dropped: whoever sent them
-// sends them again with what is missing.
+// ApplyChanges applies committed changes, received from peers or read from the table,
+// and returns the version that is in force afterwards. It ignores changes that are
+// already applied. It drops changes after a gap: their sender sends them again together
+// with the missing ones.
 func (s *Store) ApplyChanges(changes []config.Change) (applied uint64, err error) {
-	err = s.applyLocked(changes)
+	err = s.applyAndPublish(changes)
 	s.notifier.deliver()
 	if err != nil {
 		s.options.Logger.Error("configuration change not applied", zap.Error(err))
@@ -22,11 +22,13 @@
 	return s.Current().Version, err
 }
 
-func (s *Store) applyLocked(changes []config.Change) error {
+// applyAndPublish applies the changes and puts the result in force. It does not call the
+// subscribers.
+func (s *Store) applyAndPublish(changes []config.Change) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := s.Current()
-	for _, change := range inOrder(changes) {
+	for _, change := range sortedByVersion(changes) {
 		if change.Version > next.Version+1 {
 			break
 		}
@@ -46,6 +48,8 @@
 	return s.publishIfNewer(next, nil)
 }
 
+// publishIfNewer puts next in force unless it is in force already, and returns err. The
+// lock is held.
 func (s *Store) publishIfNewer(next *config.Snapshot, err error) error {
 	if next != s.Current() {
 		s.publish(next)
@@ -53,7 +57,8 @@
 	return err
 }
 
-// checkFork compares an old change with the one that was applied at its version.
+// checkFork returns a *ForkError if another change was applied at the change's version.
+// It returns nil if the applied change is no longer in memory. The lock is held.
 func (s *Store) checkFork(change config.Change) error {
 	have, ok := s.recent.at(change.Version)
 	if ok && have.ID != change.ID {
@@ -62,7 +67,9 @@
 	return nil
 }
 
-func inOrder(changes []config.Change) []config.Change {
+// sortedByVersion returns the changes in ascending order of version. The argument is
+// not modified.
+func sortedByVersion(changes []config.Change) []config.Change {
 	byVersion := func(a, b config.Change) int { return cmp.Compare(a.Version, b.Version) }
 	if slices.IsSortedFunc(changes, byVersion) {
 		return changes
@@ -72,15 +79,17 @@
 	return sorted
 }
 
-// InstallSnapshot puts a whole snapshot in force if it is newer, and reports
-// whether it was. The snapshot must not be modified afterwards.
+// InstallSnapshot puts a snapshot in force if it is newer than the current one, and
+// reports whether it did. The snapshot must not be modified afterwards.
 func (s *Store) InstallSnapshot(snapshot *config.Snapshot) bool {
-	installed := s.installLocked(withTables(snapshot))
+	installed := s.installAndPublish(withTables(snapshot))
 	s.notifier.deliver()
 	return installed
 }
 
-func (s *Store) installLocked(snapshot *config.Snapshot) bool {
+// installAndPublish puts the snapshot in force if it is newer. It does not call the
+// subscribers.
+func (s *Store) installAndPublish(snapshot *config.Snapshot) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if snapshot.Version <= s.Current().Version {
@@ -91,7 +100,9 @@
 	return true
 }
 
-// withTables replaces tables that are null in JSON, as Apply writes to copies of them.
+// withTables returns a copy of the snapshot in which nil maps are replaced by empty
+// ones. A map is nil after decoding if it is null in the JSON, and Snapshot.Apply writes
+// to copies of the maps.
 func withTables(snapshot *config.Snapshot) *config.Snapshot {
 	filled := *snapshot
 	filled.Workspaces = orEmpty(filled.Workspaces)
@@ -101,6 +112,7 @@
 	return &filled
 }
 
+// orEmpty returns the table, or an empty one if it is nil.
 func orEmpty[T any](table map[string]*T) map[string]*T {
 	if table == nil {
 		return map[string]*T{}
--- a/internal/confstore/bench_test.go
+++ b/internal/confstore/bench_test.go
@@ -13,7 +13,7 @@
 	"geraniumcroft/internal/config"
 )
 
-// The size to design for.
+// The size of the configuration for which the system is designed.
 const (
 	benchTargets    = 600
 	benchWorkspaces = 2600
@@ -21,7 +21,7 @@
 	benchProfiles   = 2600
 )
 
-// benchSnapshot is a configuration at the size to design for.
+// benchSnapshot returns a configuration of that size.
 func benchSnapshot(b *testing.B) *config.Snapshot {
 	b.Helper()
 	s := config.NewSnapshot()
@@ -59,13 +59,14 @@
 	return s
 }
 
+// benchChange returns a change that writes the entity again.
 func benchChange(s *config.Snapshot, kind config.EntityKind, name string) config.Change {
 	entity, _ := s.Entity(kind, name)
 	value, _ := json.Marshal(entity)
 	return config.Change{Version: s.Version + 1, ID: "c", Author: "ana", Kind: kind, Name: name, Value: value}
 }
 
-// BenchmarkApply measures what one change costs each VM.
+// BenchmarkApply measures the cost of one change on each VM.
 func BenchmarkApply(b *testing.B) {
 	s := benchSnapshot(b)
 	for kind, name := range map[config.EntityKind]string{config.EntityTarget: "target-007", config.EntityProfile: "profile-0007"} {
@@ -80,7 +81,8 @@
 	}
 }
 
-// BenchmarkValidate measures what one proposal costs the VM that takes it.
+// BenchmarkValidate measures the cost of validating one proposal on the VM that receives
+// it, and of validating a whole snapshot.
 func BenchmarkValidate(b *testing.B) {
 	s := benchSnapshot(b)
 	for kind, name := range map[config.EntityKind]string{config.EntityTarget: "target-007", config.EntityModel: "model-07"} {
@@ -101,20 +103,20 @@
 	})
 }
 
-// BenchmarkPropose measures a whole proposal, on a table in memory.
+// BenchmarkPropose measures a complete proposal on an in-memory table.
 func BenchmarkPropose(b *testing.B) {
 	f := &fixture{table: newFakeTable(), objects: newFakeObjects()}
 	s := f.store("vm-1")
 	for i := 0; b.Loop(); i++ {
 		_, revision := s.Current().Entity(config.EntityWorkspace, "crews")
-		if _, err := s.Propose(context.Background(), workspace("crews", revision, i)); err != nil {
+		if _, err := s.Propose(context.Background(), workspaceProposal("crews", revision, i)); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// BenchmarkSnapshotObject measures the snapshot as compaction writes it, and as a
-// new VM reads it.
+// BenchmarkSnapshotObject measures the encoding of a snapshot by compaction and its decoding
+// by a VM that starts.
 func BenchmarkSnapshotObject(b *testing.B) {
 	s := benchSnapshot(b)
 	plain, _ := json.Marshal(s)
@@ -140,8 +142,8 @@
 	})
 }
 
-// BenchmarkSnapshotMemory reports the heap that a snapshot holds, and what each
-// further one holds beside it that differs by one change.
+// BenchmarkSnapshotMemory reports the heap size of a snapshot, and the additional heap size
+// of each further snapshot that differs from the previous one by one change.
 func BenchmarkSnapshotMemory(b *testing.B) {
 	const further = 100
 	object, err := encodeSnapshot(benchSnapshot(b))
@@ -171,6 +173,7 @@
 	runtime.KeepAlive(held)
 }
 
+// heap returns the size of the live heap in bytes.
 func heap() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -179,8 +182,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// BenchmarkProposeRacing measures operators who change different entities through
-// six VMs at once, on a table that is 1 ms away each way.
+// BenchmarkProposeRacing measures operators who concurrently change different entities
+// through six VMs, on a table with a latency of 1 ms in each direction.
 func BenchmarkProposeRacing(b *testing.B) {
 	const vms = 6
 	f := &fixture{table: newFakeTable(), objects: newFakeObjects()}
@@ -194,7 +197,7 @@
 			for proposals.Add(1) <= int64(b.N) {
 				_, revision := s.Current().Entity(config.EntityWorkspace, s.options.VM)
 				began := time.Now()
-				if _, err := s.Propose(context.Background(), workspace(s.options.VM, revision, int(revision)+1)); err != nil {
+				if _, err := s.Propose(context.Background(), workspaceProposal(s.options.VM, revision, int(revision)+1)); err != nil {
 					b.Error(err)
 				}
 				took := time.Since(began).Nanoseconds()
--- a/internal/confstore/catch_up.go
+++ b/internal/confstore/catch_up.go
@@ -11,15 +11,17 @@
 )
 
 const (
-	scanPage = 256
-	// maxCatchUpRounds bounds the reads of one catch-up: pages of the tail, and
-	// snapshots when compaction has overtaken the reader.
-	maxCatchUpRounds = 64
+	// scanPageSize is the maximum number of rows of one scan.
+	scanPageSize = 256
+	// maxCatchUpReads bounds the reads of one catch-up: pages of the history's tail, and
+	// snapshots if compaction has dropped rows that the reader still needs.
+	maxCatchUpReads = 64
 )
 
-// catchUp reads changes from the table until the version is in force.
+// catchUp reads changes from the table, or else the snapshot, until the version is in
+// force.
 func (s *Store) catchUp(ctx context.Context, version uint64) error {
-	for range maxCatchUpRounds {
+	for range maxCatchUpReads {
 		before := s.Current().Version
 		if before >= version {
 			return nil
@@ -33,17 +35,19 @@
 		if err := s.readSnapshot(ctx); err != nil {
 			return err
 		}
-		// Neither the tail nor the snapshot joins on: rows are missing.
+		// Neither the tail nor the snapshot continues the version in force: rows are
+		// missing.
 		if s.Current().Version == before {
 			return errors.Newf("the table holds neither change %d nor a newer snapshot", before+1)
 		}
 	}
-	return errors.Newf("version %d was not reached in %d reads", version, maxCatchUpRounds)
+	return errors.Newf("version %d was not reached in %d reads", version, maxCatchUpReads)
 }
 
+// readTail reads and applies one page of changes after the version in force.
 func (s *Store) readTail(ctx context.Context) error {
 	from := changeKey(s.Current().Version + 1)
-	rows, err := s.options.Table.Scan(ctx, from, changesEnd, scanPage)
+	rows, err := s.options.Table.Scan(ctx, from, changesEnd, scanPageSize)
 	if err != nil {
 		return errors.Wrap(err, "read the tail of the configuration")
 	}
@@ -55,6 +59,7 @@
 	return err
 }
 
+// decodeChanges decodes the rows of changes.
 func decodeChanges(rows []platform.Row) ([]config.Change, error) {
 	changes := make([]config.Change, 0, len(rows))
 	for _, row := range rows {
@@ -67,6 +72,8 @@
 	return changes, nil
 }
 
+// decodeChange decodes the row of a change. It returns an error if the row's key does
+// not belong to the change's version.
 func decodeChange(row platform.Row) (config.Change, error) {
 	var change config.Change
 	if err := json.Unmarshal(row.Value, &change); err != nil {
--- a/internal/confstore/compact.go
+++ b/internal/confstore/compact.go
@@ -12,22 +12,24 @@
 )
 
 const (
-	// dropBatch and dropBatches bound the rows that one compaction drops.
-	dropBatch   = 64
-	dropBatches = 16
-	// keptObjects is how many older snapshots stay for slow readers.
-	keptObjects = 2
+	// dropBatchRows is the maximum number of rows that one transaction drops, and
+	// maxDropBatches the maximum number of such transactions in one compaction.
+	dropBatchRows  = 64
+	maxDropBatches = 16
+	// maxPreviousObjects is the number of older snapshots that are kept for slow readers.
+	maxPreviousObjects = 2
 )
 
-// ObjectDeleter is implemented by object stores that can delete. Without it old
-// snapshots stay, one for each Options.CompactAfter changes.
+// ObjectDeleter is implemented by object stores that can delete objects. In other stores
+// old snapshots remain, one for each Options.CompactAfter changes.
 type ObjectDeleter interface {
+	// Delete deletes the object with the name.
 	Delete(ctx context.Context, name string) error
 }
 
-// Compact writes a snapshot to the object store once enough changes have come,
-// and drops rows that a snapshot holds. The holder of the lease calls it; two
-// callers at once, or one that was paused for long, do no harm.
+// Compact writes a snapshot to the object store after Options.CompactAfter changes, and
+// drops rows whose changes the snapshot contains. The holder of a lease calls it. It is
+// safe if two VMs call it concurrently, or if the caller was paused for long.
 func (s *Store) Compact(ctx context.Context) error {
 	pointer, err := s.readPointer(ctx)
 	if err != nil {
@@ -41,17 +43,18 @@
 	return s.dropRows(ctx, pointer)
 }
 
-// writeSnapshot stores the snapshot in force and moves the pointer to it.
+// writeSnapshot stores the snapshot in force, makes the pointer row refer to it and
+// returns the new pointer.
 func (s *Store) writeSnapshot(ctx context.Context, old snapshotPointer) (snapshotPointer, error) {
 	object, err := encodeSnapshot(s.Current())
 	if err != nil {
 		return old, err
 	}
-	// A lost answer needs no settling: the object's name stands for its content.
+	// A lost response need not be resolved, as the object's name identifies its content.
 	if err := s.options.Objects.Put(ctx, object.name, object.body); err != nil {
 		return old, errors.Wrapf(err, "put %s", object.name)
 	}
-	pointer := old.moved(object)
+	pointer := old.successor(object)
 	if _, err := s.fetch(ctx, pointer); err != nil {
 		return old, errors.Wrap(err, "read the snapshot back")
 	}
@@ -64,17 +67,20 @@
 	return s.readPointer(ctx)
 }
 
-func (p snapshotPointer) moved(object snapshotObject) snapshotPointer {
+// successor returns the pointer that refers to the object. It lists the object of p as
+// the first of the previous ones.
+func (p snapshotPointer) successor(object snapshotObject) snapshotPointer {
 	next := snapshotPointer{Version: object.version, Object: object.name, Digest: object.digest}
 	if p.Object != "" {
 		next.Previous = append([]string{p.Object}, p.Previous...)
-		next.Previous = next.Previous[:min(len(next.Previous), keptObjects)]
+		next.Previous = next.Previous[:min(len(next.Previous), maxPreviousObjects)]
 	}
 	return next
 }
 
-// commitPointer fails on a lost answer as well: the next compaction reads the
-// pointer as it then is.
+// commitPointer writes the pointer row on the condition that it is still the old one. It
+// returns an error also for a lost response: the next compaction reads the pointer
+// again.
 func (s *Store) commitPointer(ctx context.Context, old, next snapshotPointer) error {
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -88,8 +94,8 @@
 	return errors.Wrap(err, "move the pointer to the snapshot")
 }
 
-// deleteObjects removes what the new pointer no longer lists. A failure leaves an
-// object behind, which costs its space and nothing else.
+// deleteObjects deletes the objects that the new pointer no longer lists. If that fails,
+// an object remains, which only takes up space.
 func (s *Store) deleteObjects(ctx context.Context, old, next snapshotPointer) {
 	deleter, ok := s.options.Objects.(ObjectDeleter)
 	if !ok {
@@ -109,16 +115,16 @@
 	}
 }
 
-// dropRows drops rows that are older than the snapshot by more than what is
-// retained for peers and for lookups.
+// dropRows drops the rows of changes that the snapshot contains, except for the newest
+// Options.RetainChanges of them, which are retained for peers and for lookups.
 func (s *Store) dropRows(ctx context.Context, pointer snapshotPointer) error {
 	if pointer.Version <= s.options.RetainChanges {
 		return nil
 	}
 	end := changeKey(pointer.Version - s.options.RetainChanges + 1)
 	verified := false
-	for range dropBatches {
-		rows, err := s.options.Table.Scan(ctx, changeKey(0), end, dropBatch)
+	for range maxDropBatches {
+		rows, err := s.options.Table.Scan(ctx, changeKey(0), end, dropBatchRows)
 		if err != nil {
 			return errors.Wrap(err, "find rows to drop")
 		}
@@ -126,7 +132,7 @@
 			return nil
 		}
 		if !verified {
-			// A snapshot that can't be read back would leave its changes nowhere.
+			// If the snapshot could not be read, its changes would be lost with the rows.
 			if _, err := s.fetch(ctx, pointer); err != nil {
 				return errors.Wrap(err, "verify the snapshot before dropping rows")
 			}
@@ -139,13 +145,14 @@
 	return nil
 }
 
+// drop deletes the rows, which must not be empty, in one transaction.
 func (s *Store) drop(ctx context.Context, rows []platform.Row) error {
-	// Rows of changes are never written again, so a drop that comes late drops what
-	// is gone; condition and witness let the client find out what became of it.
+	// Rows of changes are never written again, so a drop that is applied late has no
+	// effect. The condition and the witness let the client resolve a lost response.
 	txn := platform.Txn{
 		ID:         uuid.NewString(),
 		Conditions: []platform.Condition{{Key: rows[0].Key, Revision: rows[0].Revision}},
-		Witness:    droppedRow(rows[0].Key),
+		Witness:    rowDroppedWitness(rows[0].Key),
 	}
 	for _, row := range rows {
 		txn.Writes = append(txn.Writes, platform.Write{Key: row.Key, Delete: true})
@@ -153,9 +160,9 @@
 	return errors.Wrap(s.options.Table.Commit(ctx, txn), "drop rows")
 }
 
-// droppedRow is the witness of a drop: a row that is gone was dropped, by this
-// transaction or by another one to the same effect.
-func droppedRow(key string) platform.Witness {
+// rowDroppedWitness returns the witness of a drop. A row that no longer exists was
+// dropped by this transaction, or by another one with the same effect.
+func rowDroppedWitness(key string) platform.Witness {
 	return func(rows []platform.Row) platform.Verdict {
 		row, err := rowOf(rows, key)
 		if err != nil || row.Revision != 0 {
--- a/internal/confstore/compact_race_test.go
+++ b/internal/confstore/compact_race_test.go
@@ -12,9 +12,9 @@
 	"geraniumcroft/internal/platform"
 )
 
-// Two holders of the lease compact at once, one of them after a long pause: the
-// pointer never goes back to the older snapshot.
-func TestPausedCompactionDoesNotTakeThePointerBack(t *testing.T) {
+// Two VMs that hold the lease compact concurrently, one of them after a long pause. The
+// paused VM must not set the pointer back to its older snapshot.
+func TestPausedCompactionDoesNotRevertPointer(t *testing.T) {
 	f := newFixture(t)
 	paused, other := f.storeWith("vm-1", compactSoon), f.storeWith("vm-2", compactSoon)
 	f.fill(paused, 6)
@@ -30,11 +30,11 @@
 		f.mustCompact(other)
 	}
 	if err := paused.Compact(context.Background()); !errors.Is(err, platform.ErrRefused) {
-		t.Fatalf("got %v, want the pointer refused", err)
+		t.Fatalf("got %v, want the write of the pointer refused", err)
 	}
 	pointer, err := other.readPointer(context.Background())
 	if err != nil || pointer.Version != 12 {
-		t.Fatalf("pointer to %d, %v", pointer.Version, err)
+		t.Fatalf("pointer to version %d, %v", pointer.Version, err)
 	}
 	s := f.store("vm-3")
 	if err := s.Load(context.Background()); err != nil || s.Current().Version != 12 {
@@ -42,19 +42,21 @@
 	}
 }
 
-// An operator's transaction is under way for so long that the row of its version
-// was written by somebody else, compacted and dropped. It arrives then. The head
-// has moved, so it has no effect; it would otherwise take the head back, and every
-// VM that starts would miss the changes since.
+// An operator's transaction is delayed for so long that another change was written at its
+// version, and that row was dropped by compaction. When the transaction arrives it must
+// have no effect, as the head row has changed. Otherwise it would set the head to an older
+// version, and every VM that starts would miss the changes after it.
 func TestDelayedTransactionAfterCompactionHasNoEffect(t *testing.T) {
 	for name, guarded := range map[string]bool{"with the condition on the head": true, "without it": false} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { delayedOverCompaction(t, guarded) })
+			synctest.Test(t, func(t *testing.T) { testDelayedTransaction(t, guarded) })
 		})
 	}
 }
 
-func delayedOverCompaction(t *testing.T, guarded bool) {
+// testDelayedTransaction checks that the delayed transaction has an effect only if it is
+// sent without the condition on the head row.
+func testDelayedTransaction(t *testing.T, guarded bool) {
 	f := newFixture(t)
 	late, other := f.store("vm-1"), f.storeWith("vm-2", compactSoon)
 	f.fill(late, 1)
@@ -62,10 +64,10 @@
 		late.hooks.conditions = func(c []platform.Condition) []platform.Condition { return c[1:] }
 	}
 	f.table.setFault(func(platform.Txn) fault { return delayRequest })
-	_, err := late.Propose(context.Background(), workspace("desk", 0, 1))
+	_, err := late.Propose(context.Background(), workspaceProposal("desk", 0, 1))
 	var pending *PendingError
 	if !errors.As(err, &pending) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want pending", err)
 	}
 	f.table.setFault(nil)
 	if err := other.Load(context.Background()); err != nil {
@@ -74,7 +76,7 @@
 	last := f.fill(other, 12)
 	f.mustCompact(other)
 	before := maps.Clone(f.table.rows)
-	f.table.release()
+	f.table.applyDelayed()
 	unchanged := fmt.Sprint(before) == fmt.Sprint(f.table.rows)
 	if unchanged != guarded {
 		t.Fatalf("the delayed transaction changed the table: %v", !unchanged)
@@ -84,7 +86,7 @@
 	if arrived := err == nil && s.Current().Version == last; arrived != guarded {
 		t.Fatalf("a new VM has version %d of %d, %v", s.Current().Version, last, err)
 	}
-	// Nobody can tell any more what became of a row that is gone.
+	// The result can't be determined after the row was dropped.
 	if _, err := late.Lookup(context.Background(), "desk-0-1"); guarded && !errors.As(err, &pending) {
 		t.Fatalf("lookup: %v", err)
 	}
--- a/internal/confstore/conflict_error.go
+++ b/internal/confstore/conflict_error.go
@@ -7,12 +7,13 @@
 	"geraniumcroft/internal/config"
 )
 
-// ConflictError reports that the entity is not at the revision that the author
-// has read. Nothing was written.
+// ConflictError reports that the entity is not at the revision that the author of the
+// proposal has read. Nothing was written.
 type ConflictError struct {
 	Kind config.EntityKind
 	Name string
-	// Current is the entity as JSON, null when there is none; Revision is 0 then.
+	// Current is the entity as JSON. It is null if the entity does not exist; Revision is
+	// then 0.
 	Current  json.RawMessage
 	Revision uint64
 	// Wanted is the revision that the author has read.
--- a/internal/confstore/entity.go
+++ b/internal/confstore/entity.go
@@ -6,7 +6,7 @@
 	"geraniumcroft/internal/config"
 )
 
-// entityJSON returns an entity as JSON, null when there is none.
+// entityJSON returns an entity as JSON, null if it does not exist.
 func entityJSON(s *config.Snapshot, kind config.EntityKind, name string) json.RawMessage {
 	entity, _ := s.Entity(kind, name)
 	encoded, err := json.Marshal(entity)
--- a/internal/confstore/fake_table_test.go
+++ b/internal/confstore/fake_table_test.go
@@ -12,63 +12,66 @@
 	"geraniumcroft/internal/platform"
 )
 
-// fakeTable is a transactional table in memory with faults to order.
+// fakeTable is an in-memory transactional table with configurable faults.
 type fakeTable struct {
-	mu       sync.Mutex // guards the fields below
-	rows     map[string]platform.Row
-	revision uint64
-	out      bool
-	// fault decides what becomes of the next commits; nil answers them all.
+	mu          sync.Mutex // guards the fields below
+	rows        map[string]platform.Row
+	revision    uint64
+	unavailable bool
+	// fault returns the fault of each commit. If it is nil, no commit has a fault.
 	fault func(platform.Txn) fault
-	// onCommit runs before a commit arrives, without the lock.
+	// onCommit is called before a commit arrives, without the lock held.
 	onCommit func(platform.Txn)
-	// pause runs on the way to the table and on the way back, without the lock.
+	// pause simulates the network latency. It is called before and after each operation,
+	// without the lock held.
 	pause func()
-	// lenient takes transactions that a real client refuses as unsafe.
-	lenient bool
-	// delayed are transactions whose copies wait for release.
+	// skipValidation accepts transactions that a real client refuses as invalid.
+	skipValidation bool
+	// delayed holds the transactions that applyDelayed applies.
 	delayed []platform.Txn
 	commits int
 }
 
-// fault is what happens to one commit.
+// fault is a fault of one commit.
 type fault uint8
 
 const (
 	noFault fault = iota
-	// loseAnswer applies the transaction and loses the answer.
+	// loseAnswer applies the transaction and loses the response.
 	loseAnswer
-	// loseRequest loses the transaction; the writer can't tell it from loseAnswer.
+	// loseRequest loses the transaction. The caller can't distinguish this from loseAnswer.
 	loseRequest
-	// delayRequest keeps the transaction for release.
+	// delayRequest delays the transaction until applyDelayed is called.
 	delayRequest
 )
 
+// newFakeTable returns an empty table.
 func newFakeTable() *fakeTable { return &fakeTable{rows: map[string]platform.Row{}} }
 
+// Commit implements platform.Table.
 func (t *fakeTable) Commit(ctx context.Context, txn platform.Txn) error {
 	if t.onCommit != nil {
 		t.onCommit(txn)
 	}
-	defer t.travel()()
+	defer t.networkDelay()()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if ctx.Err() != nil {
 		return errors.Mark(ctx.Err(), platform.ErrUnavailable)
 	}
 	t.commits++
-	if err := txn.Validate(); err != nil && !t.lenient {
+	if err := txn.Validate(); err != nil && !t.skipValidation {
 		return err
 	}
-	if t.out {
-		return errors.Mark(errors.New("table is out"), platform.ErrUnavailable)
+	if t.unavailable {
+		return errors.Mark(errors.New("table is unavailable"), platform.ErrUnavailable)
 	}
-	lost := errors.Mark(errors.New("answer lost"), platform.ErrAmbiguous)
-	what := noFault
+	lost := errors.Mark(errors.New("response lost"), platform.ErrAmbiguous)
+	injected := noFault
 	if t.fault != nil {
-		what = t.fault(txn)
+		injected = t.fault(txn)
 	}
-	switch what {
+	switch injected {
 	case loseAnswer:
 		_ = t.apply(txn)
 		return lost
@@ -81,6 +84,7 @@
 	return t.apply(txn)
 }
 
+// apply applies the transaction if its conditions hold. The lock is held.
 func (t *fakeTable) apply(txn platform.Txn) error {
 	var refused platform.RefusedError
 	for _, c := range txn.Conditions {
@@ -102,24 +106,25 @@
 	return nil
 }
 
-// release lets the delayed transactions arrive and returns their answers.
-func (t *fakeTable) release() []error {
+// applyDelayed applies the delayed transactions and returns their results.
+func (t *fakeTable) applyDelayed() []error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var answers []error
+	var results []error
 	for _, txn := range t.delayed {
-		answers = append(answers, t.apply(txn))
+		results = append(results, t.apply(txn))
 	}
 	t.delayed = nil
-	return answers
+	return results
 }
 
+// Get implements platform.Table.
 func (t *fakeTable) Get(ctx context.Context, keys ...string) ([]platform.Row, error) {
-	defer t.travel()()
+	defer t.networkDelay()()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.out || ctx.Err() != nil {
-		return nil, errors.Mark(errors.New("table is out"), platform.ErrUnavailable)
+	if t.unavailable || ctx.Err() != nil {
+		return nil, errors.Mark(errors.New("table is unavailable"), platform.ErrUnavailable)
 	}
 	var rows []platform.Row
 	for _, key := range keys {
@@ -130,12 +135,13 @@
 	return rows, nil
 }
 
+// Scan implements platform.Table.
 func (t *fakeTable) Scan(ctx context.Context, from, to string, limit int) ([]platform.Row, error) {
-	defer t.travel()()
+	defer t.networkDelay()()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.out || ctx.Err() != nil {
-		return nil, errors.Mark(errors.New("table is out"), platform.ErrUnavailable)
+	if t.unavailable || ctx.Err() != nil {
+		return nil, errors.Mark(errors.New("table is unavailable"), platform.ErrUnavailable)
 	}
 	var rows []platform.Row
 	for _, key := range slices.Sorted(maps.Keys(t.rows)) {
@@ -146,8 +152,8 @@
 	return rows, nil
 }
 
-// travel pauses and returns the pause on the way back.
-func (t *fakeTable) travel() func() {
+// networkDelay pauses for the way to the table and returns the pause for the way back.
+func (t *fakeTable) networkDelay() func() {
 	if t.pause == nil {
 		return func() {}
 	}
@@ -155,18 +161,23 @@
 	return t.pause
 }
 
-func (t *fakeTable) set(f func()) {
+// withLock calls f with the lock held.
+func (t *fakeTable) withLock(f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f()
 }
 
-func (t *fakeTable) setOut(out bool) { t.set(func() { t.out = out }) }
+// setUnavailable starts or ends an outage of the table.
+func (t *fakeTable) setUnavailable(unavailable bool) {
+	t.withLock(func() { t.unavailable = unavailable })
+}
 
-func (t *fakeTable) setFault(f func(platform.Txn) fault) { t.set(func() { t.fault = f }) }
+// setFault sets the function that returns the fault of each commit.
+func (t *fakeTable) setFault(f func(platform.Txn) fault) { t.withLock(func() { t.fault = f }) }
 
-// once returns a fault for the first commit alone.
-func once(f fault) func(platform.Txn) fault {
+// firstCommit returns a function that returns the fault for the first commit only.
+func firstCommit(f fault) func(platform.Txn) fault {
 	used := false
 	return func(platform.Txn) fault {
 		if used {
@@ -177,34 +188,36 @@
 	}
 }
 
-// sometimes loses or delays one answer or request in two, by a fixed seed, and
-// takes the table out right after some of them.
-func (t *fakeTable) sometimes(seed uint64) func(platform.Txn) fault {
+// randomFaults returns a function that loses or delays half of the responses or requests,
+// chosen with a fixed seed. After some of these the table becomes unavailable.
+func (t *fakeTable) randomFaults(seed uint64) func(platform.Txn) fault {
 	random := rand.New(rand.NewPCG(seed, seed))
 	return func(platform.Txn) fault {
-		what := fault(random.IntN(6))
-		if what > delayRequest {
+		injected := fault(random.IntN(6))
+		if injected > delayRequest {
 			return noFault
 		}
-		if what != noFault && random.IntN(3) == 0 {
-			t.out = true
+		if injected != noFault && random.IntN(3) == 0 {
+			t.unavailable = true
 		}
-		return what
+		return injected
 	}
 }
 
-// fakeObjects is an object store in memory.
+// fakeObjects is an in-memory object store.
 type fakeObjects struct {
 	mu      sync.Mutex // guards the fields below
 	objects map[string][]byte
-	// onFetch runs before an object is read, without the lock.
+	// onFetch is called before an object is read, without the lock held.
 	onFetch func(name string)
-	// corrupt damages what is put.
+	// corrupt damages the objects that are put.
 	corrupt bool
 }
 
+// newFakeObjects returns an empty object store.
 func newFakeObjects() *fakeObjects { return &fakeObjects{objects: map[string][]byte{}} }
 
+// Put implements platform.Objects.
 func (o *fakeObjects) Put(_ context.Context, name string, body []byte) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -215,6 +228,7 @@
 	return nil
 }
 
+// Fetch implements platform.Objects.
 func (o *fakeObjects) Fetch(_ context.Context, name string) ([]byte, error) {
 	if o.onFetch != nil {
 		o.onFetch(name)
@@ -228,6 +242,7 @@
 	return body, nil
 }
 
+// Delete implements ObjectDeleter.
 func (o *fakeObjects) Delete(_ context.Context, name string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -235,8 +250,8 @@
 	return nil
 }
 
-// damage changes every object that is kept.
-func (o *fakeObjects) damage() {
+// damageAll replaces the content of all objects.
+func (o *fakeObjects) damageAll() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for name := range o.objects {
@@ -244,8 +259,8 @@
 	}
 }
 
-// lose drops every object.
-func (o *fakeObjects) lose() {
+// deleteAll deletes all objects.
+func (o *fakeObjects) deleteAll() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	clear(o.objects)
--- a/internal/confstore/fork_error.go
+++ b/internal/confstore/fork_error.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// ForkError reports two different changes with the same version: the table lost
-// a part of its history, or a peer belongs to another system. Neither is applied
-// over the other; operators have to look.
+// ForkError reports two different changes with the same version: the table lost a part of
+// its history, or a peer belongs to another system. Neither change replaces the other. An
+// operator has to resolve it.
 type ForkError struct {
 	Version uint64
 	HaveID  string
--- a/internal/confstore/history.go
+++ b/internal/confstore/history.go
@@ -2,8 +2,9 @@
 
 import "geraniumcroft/internal/config"
 
-// history is the newest changes, without gaps, bounded by count and bytes. It
-// answers peers and finds changes by id. Its user holds the store's lock.
+// history holds the newest changes without gaps, bounded by their number and size. It
+// serves the requests of peers and lookups by id. The caller of its methods holds the
+// store's lock.
 type history struct {
 	maxChanges int
 	maxBytes   int
@@ -13,10 +14,14 @@
 	bytes   int
 }
 
+// newHistory returns an empty history.
 func newHistory(maxChanges, maxBytes int) *history {
 	return &history{maxChanges: maxChanges, maxBytes: maxBytes, byID: map[string]uint64{}}
 }
 
+// append adds the change, which must be the successor of the newest one, and drops the
+// oldest changes above the bounds. The newest change is kept even if it is larger than
+// maxBytes.
 func (h *history) append(change config.Change) {
 	h.changes = append(h.changes, change)
 	h.byID[change.ID] = change.Version
@@ -26,6 +31,7 @@
 	}
 }
 
+// dropOldest removes the oldest change.
 func (h *history) dropOldest() {
 	oldest := h.changes[0]
 	h.changes[0] = config.Change{}
@@ -36,13 +42,14 @@
 	}
 }
 
-// clear forgets everything: what follows does not join on.
+// clear removes all changes. It is called when the next change is not the successor of
+// the newest one.
 func (h *history) clear() {
 	*h = *newHistory(h.maxChanges, h.maxBytes)
 }
 
-// after returns up to limit changes that follow a version, and false when some
-// of them are no longer kept.
+// after returns up to limit changes after the version. It returns false if some of them
+// are no longer in memory. current is the version in force.
 func (h *history) after(version, current uint64, limit int) ([]config.Change, bool) {
 	if version >= current {
 		return nil, true
@@ -55,6 +62,7 @@
 	return append([]config.Change(nil), h.changes[start:end]...), true
 }
 
+// at returns the change with the version.
 func (h *history) at(version uint64) (config.Change, bool) {
 	if len(h.changes) == 0 || version < h.changes[0].Version {
 		return config.Change{}, false
@@ -66,6 +74,7 @@
 	return h.changes[i], true
 }
 
+// withID returns the change with the id.
 func (h *history) withID(id string) (config.Change, bool) {
 	version, ok := h.byID[id]
 	if !ok {
@@ -74,6 +83,7 @@
 	return h.at(version)
 }
 
+// sizeOf returns the approximate size of the change in memory, in bytes.
 func sizeOf(change config.Change) int {
 	const fixed = 128
 	return fixed + len(change.Value) + len(change.Name) + len(change.ID) + len(change.Author)
--- a/internal/confstore/history_check_test.go
+++ b/internal/confstore/history_check_test.go
@@ -26,7 +26,8 @@
 	checkTimeout     = 30 * time.Second
 )
 
-// recorder collects what operators did and saw, in the order of a logical clock.
+// recorder records the operations of operators and their results, ordered by a logical
+// clock.
 type recorder struct {
 	clock atomic.Int64
 
@@ -34,6 +35,7 @@
 	history []porcupine.Operation
 }
 
+// record runs an operation of an operator, records it and returns its result.
 func (r *recorder) record(operator int, in profileInput, run func() profileOutput) profileOutput {
 	call := r.clock.Add(1)
 	out := run()
@@ -47,15 +49,19 @@
 	return out
 }
 
-// checkedRun is several VMs on one table, with one profile that operators race for.
+// checkedRun simulates several VMs on one table and operators that concurrently change
+// one profile.
 type checkedRun struct {
 	*fixture
 	recorder recorder
 	stores   [checkedVMs]*Store
-	created  entry
+	// created is the first revision of the profile.
+	created entry
+	// outcomes counts the results of proposals.
 	outcomes [resultPending + 1]atomic.Int64
 }
 
+// newCheckedRun returns a run whose VMs all have the profile's first revision.
 func newCheckedRun(t *testing.T) *checkedRun {
 	r := &checkedRun{fixture: newFixture(t)}
 	for i := range r.stores {
@@ -73,8 +79,10 @@
 	return r
 }
 
+// read reads the profile on a VM and returns its revision.
 func (r *checkedRun) read(operator, vm int) uint64 { return r.readAtLeast(operator, vm, 0) }
 
+// readAtLeast reads the profile on a VM, which must have at least the revision.
 func (r *checkedRun) readAtLeast(operator, vm int, revision uint64) uint64 {
 	in := profileInput{vm: vm, atLeast: revision}
 	out := r.recorder.record(operator, in, func() profileOutput {
@@ -84,11 +92,13 @@
 	return out.revision
 }
 
+// propose makes a proposal. If the result contains a revision, it then reads the profile
+// on the same VM, which must have at least that revision.
 func (r *checkedRun) propose(operator int, in profileInput) {
 	in.propose = true
 	out := r.recorder.record(operator, in, func() profileOutput {
 		change, err := r.stores[in.vm].Propose(context.Background(),
-			permits(in.id, in.ifRevision, time.Duration(in.value)*time.Second))
+			permitsProposal(in.id, in.ifRevision, time.Duration(in.value)*time.Second))
 		return outputOf(r.t, change, err)
 	})
 	r.outcomes[out.result].Add(1)
@@ -97,6 +107,7 @@
 	}
 }
 
+// outputOf returns the result of a proposal. Any other error fails the test.
 func outputOf(t *testing.T, change config.Change, err error) profileOutput {
 	var conflict *ConflictError
 	var pending *PendingError
@@ -111,13 +122,14 @@
 	case errors.As(err, &notWritten):
 		return profileOutput{result: resultNotWritten}
 	}
-	t.Errorf("a proposal ended with %v", err)
+	t.Errorf("unexpected error of a proposal: %v", err)
 	return profileOutput{result: resultNotWritten}
 }
 
-// operate is one operator: reads on some VM, changes what was read, through that
-// VM or another one, and sometimes asks again with the same id.
-func (r *checkedRun) operate(operator int, random *rand.Rand) {
+// runOperator runs one operator, which repeatedly reads the profile on a VM, proposes a
+// change of the revision that it read through the same or another VM, and sometimes
+// repeats the proposal with the same id.
+func (r *checkedRun) runOperator(operator int, random *rand.Rand) {
 	for step := range operatorSteps {
 		time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
 		revision := r.read(operator, random.IntN(checkedVMs))
@@ -133,9 +145,9 @@
 	}
 }
 
-// spread delivers peers' messages, late ones and repeated ones among them, polls,
-// and compacts, until stop.
-func (r *checkedRun) spread(random *rand.Rand, stop <-chan struct{}) {
+// exchangeChanges delivers messages of peers, some of them late or repeatedly, polls,
+// compacts, installs snapshots and applies delayed transactions, until stop is closed.
+func (r *checkedRun) exchangeChanges(random *rand.Rand, stop <-chan struct{}) {
 	var late [][]config.Change
 	for {
 		select {
@@ -158,27 +170,28 @@
 		case 2:
 			to.InstallSnapshot(from.Current())
 		case 3:
-			r.table.release()
+			r.table.applyDelayed()
 		}
 	}
 }
 
-// trouble makes the table slow and takes it out now and then, until stop.
-func (r *checkedRun) trouble(random *rand.Rand, stop <-chan struct{}) {
-	for out := false; ; out = !out && random.IntN(3) == 0 {
-		r.table.setOut(out)
+// causeOutages makes the table unavailable from time to time, until stop is closed.
+func (r *checkedRun) causeOutages(random *rand.Rand, stop <-chan struct{}) {
+	for unavailable := false; ; unavailable = !unavailable && random.IntN(3) == 0 {
+		r.table.setUnavailable(unavailable)
 		select {
 		case <-stop:
-			r.table.setOut(false)
+			r.table.setUnavailable(false)
 			return
 		case <-time.After(time.Duration(10+random.IntN(140)) * time.Millisecond):
 		}
 	}
 }
 
+// run runs the operators while the table has faults, outages and random latency.
 func (r *checkedRun) run(seed uint64) {
 	random := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, n)) }
-	r.table.setFault(r.table.sometimes(seed))
+	r.table.setFault(r.table.randomFaults(seed))
 	pauses := random(1)
 	var mu sync.Mutex
 	r.table.pause = func() {
@@ -189,26 +202,27 @@
 	}
 	stop := make(chan struct{})
 	var background, operators sync.WaitGroup
-	background.Go(func() { r.spread(random(2), stop) })
-	background.Go(func() { r.trouble(random(3), stop) })
+	background.Go(func() { r.exchangeChanges(random(2), stop) })
+	background.Go(func() { r.causeOutages(random(3), stop) })
 	for operator := range checkedOperators {
-		operators.Go(func() { r.operate(operator, random(uint64(10+operator))) })
+		operators.Go(func() { r.runOperator(operator, random(uint64(10+operator))) })
 	}
 	operators.Wait()
 	close(stop)
 	background.Wait()
 	r.table.setFault(nil)
-	r.table.setOut(false)
+	r.table.setUnavailable(false)
 }
 
+// check checks the recorded history against the model.
 func (r *checkedRun) check() porcupine.CheckResult {
 	return porcupine.CheckOperationsTimeout(profileModel(r.created), r.recorder.history, checkTimeout)
 }
 
-// Four operators race for one profile through three VMs, while answers are lost,
-// the table goes out, peers deliver late, and the history is compacted. Each sees
-// compare-and-set, and no VM ever shows an older profile than before; a new VM
-// ends with what the others have.
+// Four operators concurrently change one profile through three VMs, while responses are
+// lost, the table has outages, messages of peers are late, and the history is compacted.
+// Proposals must behave as compare-and-set, and no VM may ever show an older profile than
+// before. A VM that starts afterwards must load the configuration of the others.
 func TestHistoryOfRacingOperators(t *testing.T) {
 	var outcomes [resultPending + 1]int64
 	for seed := range testseed.Series(checkedSeeds) {
@@ -225,7 +239,7 @@
 			outcomes[i] += r.outcomes[i].Load()
 		}
 	}
-	// A run in which nothing goes wrong proves nothing.
+	// The check is only meaningful if every result occurred.
 	for result, count := range outcomes {
 		if profileResult(result) != resultRead && count == 0 {
 			t.Errorf("no proposal ended with result %d", result)
@@ -235,6 +249,7 @@
 		outcomes[resultConflict], outcomes[resultNotWritten], outcomes[resultPending])
 }
 
+// checkNewVM checks that a VM that starts loads the configuration of the other VMs.
 func (r *checkedRun) checkNewVM(t *testing.T) {
 	s := r.store("vm-new")
 	if err := s.Load(context.Background()); err != nil {
@@ -245,20 +260,20 @@
 			t.Fatal(err)
 		}
 		if string(snapshotJSON(t, other)) != string(snapshotJSON(t, s)) {
-			t.Fatalf("version %d here, %d there", s.Current().Version, other.Current().Version)
+			t.Fatalf("the new VM at version %d differs from another VM at version %d", s.Current().Version, other.Current().Version)
 		}
 	}
 }
 
-// Planted fault: the transaction has no conditions. Two operators change the
-// revision that both have read, the second one's transaction overwrites the first
-// one's, and both are told that they won. The checker has to object.
+// Planted fault: the transaction has no conditions. Two operators change the revision that
+// both have read, the transaction of the second overwrites that of the first, and both
+// proposals succeed. The check must fail.
 func TestHistoryCheckCatchesMissingConditions(t *testing.T) {
 	for name, planted := range map[string]bool{"conditions": false, "no conditions": true} {
 		t.Run(name, func(t *testing.T) {
 			r := newCheckedRun(t)
 			if planted {
-				r.table.lenient = true
+				r.table.skipValidation = true
 				r.stores[0].hooks.conditions = func([]platform.Condition) []platform.Condition { return nil }
 			}
 			revision := r.read(0, 0)
@@ -267,25 +282,25 @@
 				r.propose(1, profileInput{vm: 1, id: "first", ifRevision: revision, value: 7})
 			}
 			r.propose(0, profileInput{vm: 0, id: "second", ifRevision: revision, value: 9})
-			if objected := r.check() == porcupine.Illegal; objected != planted {
-				t.Fatalf("the checker objected: %v", objected)
+			if illegal := r.check() == porcupine.Illegal; illegal != planted {
+				t.Fatalf("history is illegal: %v", illegal)
 			}
 		})
 	}
 }
 
-// Planted fault: a VM takes back an older snapshot. The checker has to object.
-func TestHistoryCheckCatchesReadsThatGoBack(t *testing.T) {
+// Planted fault: a VM reverts to an older snapshot. The check must fail.
+func TestHistoryCheckCatchesStaleReads(t *testing.T) {
 	r := newCheckedRun(t)
 	old := r.stores[0].Current()
 	r.propose(0, profileInput{vm: 0, id: "first", ifRevision: r.created.revision, value: 7})
 	r.read(1, 0)
 	if r.check() != porcupine.Ok {
-		t.Fatal("the history before the fault is not legal")
+		t.Fatal("the history before the fault is illegal")
 	}
 	r.stores[0].current.Store(old)
 	r.read(1, 0)
 	if r.check() != porcupine.Illegal {
-		t.Fatal("the checker took a read that went back")
+		t.Fatal("the check accepted a read of an older revision")
 	}
 }
--- a/internal/confstore/history_lost_error.go
+++ b/internal/confstore/history_lost_error.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
-// HistoryLostError reports a table that holds less than what is in force here:
-// it was restored from an older copy. This VM keeps what it has and writes
-// nothing, as a new change would take a version that is already in force.
+// HistoryLostError reports that the table's newest version is older than the version in
+// force on this VM, because the table was restored from an older copy. This VM keeps its
+// snapshot and writes nothing, as a new change would get a version that is already in
+// force.
 type HistoryLostError struct {
 	Have  uint64
 	Table uint64
--- a/internal/confstore/history_model_test.go
+++ b/internal/confstore/history_model_test.go
@@ -14,15 +14,17 @@
 	value    int
 }
 
-// profileState is what the model knows: all revisions that were written, and the
-// newest one that each VM has shown.
+// profileState is the state of the model: all revisions that were written, and the newest
+// revision that was read on each VM.
 type profileState struct {
 	written []entry
-	seen    string // one revision a VM, as text, so that states compare
+	seen    string // one revision per VM, as text, so that states are comparable
 }
 
+// newest returns the newest revision.
 func (s profileState) newest() entry { return s.written[len(s.written)-1] }
 
+// find returns the first revision that matches.
 func (s profileState) find(match func(entry) bool) (entry, bool) {
 	i := slices.IndexFunc(s.written, match)
 	if i < 0 {
@@ -31,13 +33,15 @@
 	return s.written[i], true
 }
 
-func (s profileState) seenBy(vm int) uint64 {
+// lastSeen returns the newest revision that was read on the VM.
+func (s profileState) lastSeen(vm int) uint64 {
 	var seen [checkedVMs]uint64
 	_, _ = fmt.Sscan(s.seen, &seen[0], &seen[1], &seen[2])
 	return seen[vm]
 }
 
-func (s profileState) see(vm int, revision uint64) profileState {
+// withSeen returns the state after the revision was read on the VM.
+func (s profileState) withSeen(vm int, revision uint64) profileState {
 	var seen [checkedVMs]uint64
 	_, _ = fmt.Sscan(s.seen, &seen[0], &seen[1], &seen[2])
 	seen[vm] = max(seen[vm], revision)
@@ -45,12 +49,13 @@
 	return s
 }
 
-func (s profileState) write(e entry) profileState {
+// withEntry returns the state after the revision was written.
+func (s profileState) withEntry(e entry) profileState {
 	s.written = append(slices.Clone(s.written), e)
 	return s
 }
 
-// checkedVMs is how many VMs take part in a checked run.
+// checkedVMs is the number of VMs in a checked run.
 const checkedVMs = 3
 
 // profileInput is a read of the profile on one VM, or a proposal through it.
@@ -60,12 +65,12 @@
 	id         string
 	ifRevision uint64
 	value      int
-	// atLeast is the revision that a read has to show: the VM has just said that it
-	// was written, or that it conflicts.
+	// atLeast is the minimum revision that a read must return, because the VM has just
+	// reported it as written or as conflicting.
 	atLeast uint64
 }
 
-// profileResult is how a proposal ended.
+// profileResult is the result of a read or a proposal.
 type profileResult uint8
 
 const (
@@ -76,17 +81,19 @@
 	resultPending
 )
 
+// profileOutput is the result of an operation with its values.
 type profileOutput struct {
 	result profileResult
-	// revision is the one read, written, conflicting, or pending.
+	// revision is the revision that was read or written, conflicts, or is pending.
 	revision uint64
 	value    int
 }
 
-// profileModel says what operators may see: a proposal is a compare-and-set on the
-// revision, the same id writes once, a pending one may have been written or not,
-// and reads on one VM show written values and never go back. A VM shows a write
-// from the answer on, which may be later than the write took effect.
+// profileModel specifies what operators may observe. A proposal is a compare-and-set on the
+// revision. A proposal with the same id is written once. A pending proposal may have been
+// written or not. Reads on one VM return written values, in the order of revisions. A write
+// may become visible on a VM as late as the response, which may be later than the time at
+// which it took effect.
 func profileModel(created entry) porcupine.Model {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{profileState{written: []entry{created}, seen: "0 0 0"}} },
@@ -101,13 +108,15 @@
 	return model.ToModel()
 }
 
+// stepProfile returns the possible states after the operation, none if the model does not
+// permit its output.
 func stepProfile(s profileState, in profileInput, out profileOutput) []any {
 	switch out.result {
 	case resultRead:
 		read, ok := s.find(func(e entry) bool { return e.revision == out.revision })
-		inOrder := out.revision >= s.seenBy(in.vm) && out.revision >= in.atLeast
+		inOrder := out.revision >= s.lastSeen(in.vm) && out.revision >= in.atLeast
 		if ok && inOrder && read.value == out.value {
-			return []any{s.see(in.vm, out.revision)}
+			return []any{s.withSeen(in.vm, out.revision)}
 		}
 	case resultWritten:
 		known, ok := s.find(func(e entry) bool { return e.id == in.id })
@@ -129,9 +138,11 @@
 	return nil
 }
 
+// writeProfile returns the state after the proposal was written, none if it can't have
+// been written.
 func writeProfile(s profileState, in profileInput, out profileOutput) []any {
 	if s.newest().revision != in.ifRevision || out.revision <= in.ifRevision {
 		return nil
 	}
-	return []any{s.write(entry{id: in.id, revision: out.revision, value: in.value})}
+	return []any{s.withEntry(entry{id: in.id, revision: out.revision, value: in.value})}
 }
--- a/internal/confstore/id_reused_error.go
+++ b/internal/confstore/id_reused_error.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
-// IDReusedError reports a proposal with the id of a change that says something else.
+// IDReusedError reports a proposal with the id of a different change.
 type IDReusedError struct {
-	ID      string
+	ID string
+	// Version is the version of the existing change.
 	Version uint64
 }
 
--- a/internal/confstore/keys.go
+++ b/internal/confstore/keys.go
@@ -5,11 +5,12 @@
 const (
 	headKey     = "config/head"
 	snapshotKey = "config/snapshot"
-	// changesEnd is the first key after all rows of changes.
+	// changesEnd is the first key after the keys of all changes.
 	changesEnd = "config/change0"
 )
 
-// changeKey pads the version, so that the order of keys is the order of versions.
+// changeKey returns the key of the row of a change. The version is padded, so that keys
+// sort in the order of versions.
 func changeKey(version uint64) string {
 	return fmt.Sprintf("config/change/%020d", version)
 }
--- a/internal/confstore/load.go
+++ b/internal/confstore/load.go
@@ -7,9 +7,10 @@
 	"go.uber.org/zap"
 )
 
-// Load reads the newest snapshot and the tail of the history. A VM that starts
-// calls it before it takes requests. The object store may be out while the table
-// still has every change that this VM lacks, so only the outcome counts.
+// Load reads the newest snapshot and the tail of the history. A VM calls it at startup,
+// before it accepts requests. It succeeds if the newest version is in force afterwards,
+// even if the snapshot could not be read: the object store may be unavailable while the
+// table still holds every change that this VM lacks.
 func (s *Store) Load(ctx context.Context) error {
 	snapshotErr := s.readSnapshot(ctx)
 	if err := s.Poll(ctx); err != nil {
@@ -18,10 +19,11 @@
 	return nil
 }
 
-// Poll reads the head and, when it has moved, what is missing here.
+// Poll reads the head row and the changes that are missing on this VM. It returns a
+// *HistoryLostError or a *ForkError if the table's history differs from the one in force.
 func (s *Store) Poll(ctx context.Context) error {
 	err := s.poll(ctx)
-	s.reads.note(err)
+	s.polls.record(err)
 	var fork *ForkError
 	var lost *HistoryLostError
 	if errors.As(err, &fork) || errors.As(err, &lost) {
@@ -30,13 +32,15 @@
 	return err
 }
 
+// poll does the work of Poll.
 func (s *Store) poll(ctx context.Context) error {
 	before := s.Current().Version
 	newest, err := s.readHead(ctx)
 	if err != nil {
 		return err
 	}
-	// The version before the read counts: peers may have pushed newer ones since.
+	// The version from before the read is compared, as peers may have pushed newer
+	// changes since.
 	if newest.Version < before {
 		return &HistoryLostError{Have: before, Table: newest.Version}
 	}
@@ -46,7 +50,8 @@
 	return s.checkHead(newest)
 }
 
-// checkHead compares the head's change with the one that was applied.
+// checkHead returns a *ForkError if the head's change is not the one that was applied at
+// its version.
 func (s *Store) checkHead(newest head) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/confstore/lookup.go
+++ b/internal/confstore/lookup.go
@@ -8,12 +8,14 @@
 	"geraniumcroft/internal/config"
 )
 
-// maxLookupPages bounds a search of the table: more rows than compaction keeps.
+// maxLookupPages bounds the pages that a search of the table reads. They hold more rows
+// than compaction keeps.
 const maxLookupPages = 32
 
-// Lookup finds a change by its id. It returns a *NotWrittenError when the change
-// was pending here and can no longer be written, a *PendingError when it still
-// may be, and an *UnknownChangeError when the history that is kept lacks the id.
+// Lookup returns the change with the id. It returns a *NotWrittenError if the change was
+// pending on this VM and can no longer be written, a *PendingError if it may still be
+// written or that can't be determined, and an *UnknownChangeError if the retained history
+// does not contain the id.
 func (s *Store) Lookup(ctx context.Context, id string) (config.Change, error) {
 	if known, ok := s.recentWithID(id); ok {
 		return known, nil
@@ -24,37 +26,40 @@
 	return s.findInTable(ctx, id)
 }
 
+// lookupPending resolves a change that is pending on this VM.
 func (s *Store) lookupPending(ctx context.Context, id string, a attempt) (config.Change, error) {
-	change, became, err := s.fateOf(ctx, id, a)
+	change, state, err := s.stateOf(ctx, id, a)
 	if err != nil {
 		return config.Change{}, &PendingError{ID: id, Version: a.version, Cause: err}
 	}
-	switch became {
-	case fateWritten:
+	switch state {
+	case attemptWritten:
 		return change, nil
-	case fateLost:
-		return config.Change{}, &NotWrittenError{ID: id, Cause: errRaced}
+	case attemptSuperseded:
+		return config.Change{}, &NotWrittenError{ID: id, Cause: errLostRace}
 	}
-	return config.Change{}, &PendingError{ID: id, Version: a.version, Cause: errNotYet}
+	return config.Change{}, &PendingError{ID: id, Version: a.version, Cause: errUnresolved}
 }
 
+// recentWithID returns the change with the id if it is in memory.
 func (s *Store) recentWithID(id string) (config.Change, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.recent.withID(id)
 }
 
-// remembersAfter reports whether every change after a version is in memory.
-func (s *Store) remembersAfter(version uint64) bool {
+// keepsChangesAfter reports whether all changes after the version are in memory.
+func (s *Store) keepsChangesAfter(version uint64) bool {
 	_, ok := s.ChangesAfter(version, 0)
 	return ok
 }
 
-// findInTable searches the rows that are kept, from the oldest on.
+// findInTable searches the rows of the table for the change with the id, starting with
+// the oldest row. It returns an *UnknownChangeError if there is none.
 func (s *Store) findInTable(ctx context.Context, id string) (config.Change, error) {
 	from := changeKey(0)
 	for range maxLookupPages {
-		rows, err := s.options.Table.Scan(ctx, from, changesEnd, scanPage)
+		rows, err := s.options.Table.Scan(ctx, from, changesEnd, scanPageSize)
 		if err != nil {
 			return config.Change{}, errors.Wrap(err, "search the history")
 		}
@@ -67,7 +72,7 @@
 				return change, nil
 			}
 		}
-		if len(rows) < scanPage {
+		if len(rows) < scanPageSize {
 			break
 		}
 		from = changeKey(changes[len(changes)-1].Version + 1)
--- a/internal/confstore/not_written_error.go
+++ b/internal/confstore/not_written_error.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// NotWrittenError reports a proposal that certainly wrote nothing and never will.
+// NotWrittenError reports that a proposal wrote nothing and that its transactions can
+// never be applied.
 type NotWrittenError struct {
 	ID    string
 	Cause error
--- a/internal/confstore/notifier.go
+++ b/internal/confstore/notifier.go
@@ -6,20 +6,23 @@
 	"geraniumcroft/internal/config"
 )
 
-// notifier hands snapshots to subscribers, one at a time and in order of versions.
+// notifier delivers snapshots to subscribers, one at a time and in the order of versions.
 //
-// One goroutine delivers at a time, without a lock held, so a subscriber may call
-// the store. Whoever publishes meanwhile leaves the delivery to that goroutine,
-// which looks again before it ends. Versions that came while a subscriber ran are
-// left out but for the newest, so a slow subscriber holds back no memory.
+// One goroutine delivers at a time. It holds no lock during calls, so a subscriber may
+// call the store. A goroutine that publishes a snapshot during a delivery leaves it to
+// the delivering goroutine, which checks for newer snapshots before it returns. Of the
+// versions published while a subscriber runs only the newest is delivered, so that a slow
+// subscriber does not keep snapshots in memory.
 type notifier struct {
 	current func() *config.Snapshot
 
 	mu          sync.Mutex // guards the fields below
 	subscribers []*subscriber
-	running     bool
+	// delivering is true while a goroutine delivers.
+	delivering bool
 }
 
+// add adds a subscriber and delivers the current snapshot to it.
 func (n *notifier) add(call func(*config.Snapshot)) {
 	n.mu.Lock()
 	n.subscribers = append(n.subscribers, &subscriber{call: call})
@@ -27,25 +30,27 @@
 	n.deliver()
 }
 
+// deliver calls the subscribers until all have the current snapshot. It returns without
+// a call if another goroutine delivers.
 func (n *notifier) deliver() {
 	for {
-		behind, snapshot := n.take()
+		behind, snapshot := n.startDelivery()
 		if len(behind) == 0 {
 			return
 		}
 		for _, s := range behind {
 			s.call(snapshot)
 		}
-		n.done(behind, snapshot.Version)
+		n.endDelivery(behind, snapshot.Version)
 	}
 }
 
-// take claims the delivery and returns whom to call; none when another goroutine
-// delivers or nothing is left.
-func (n *notifier) take() ([]*subscriber, *config.Snapshot) {
+// startDelivery starts a delivery and returns the subscribers to call and the snapshot.
+// It returns no subscribers if another goroutine delivers or all have the snapshot.
+func (n *notifier) startDelivery() ([]*subscriber, *config.Snapshot) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.running {
+	if n.delivering {
 		return nil, nil
 	}
 	snapshot := n.current()
@@ -55,20 +60,22 @@
 			behind = append(behind, s)
 		}
 	}
-	n.running = len(behind) > 0
+	n.delivering = len(behind) > 0
 	return behind, snapshot
 }
 
-func (n *notifier) done(called []*subscriber, version uint64) {
+// endDelivery records that the version was delivered to the subscribers.
+func (n *notifier) endDelivery(called []*subscriber, version uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, s := range called {
 		s.delivered = version
 	}
-	n.running = false
+	n.delivering = false
 }
 
-// inForce returns the newest version that every subscriber has taken in.
+// inForce returns the newest version that was delivered to every subscriber. A delivery
+// counts when the subscriber's function has returned.
 func (n *notifier) inForce() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/confstore/options.go
+++ b/internal/confstore/options.go
@@ -12,24 +12,26 @@
 
 // The defaults of Options.
 const (
-	// DefaultProposeTimeout bounds a proposal with all its attempts.
+	// DefaultProposeTimeout bounds a proposal including all its attempts.
 	DefaultProposeTimeout = 5 * time.Second
-	// DefaultResolveTimeout bounds the reading back after the caller has gone.
+	// DefaultResolveTimeout bounds the time for resolving a lost response after the
+	// proposal's timeout or after its caller has gone.
 	DefaultResolveTimeout = 2 * time.Second
-	// DefaultRecentChanges is how many changes are kept in memory for peers.
+	// DefaultRecentChanges is the number of changes that are kept in memory for peers.
 	DefaultRecentChanges = 1024
-	// DefaultRecentBytes bounds the memory of those changes.
+	// DefaultRecentBytes bounds the memory of those changes, in bytes.
 	DefaultRecentBytes = 2 << 20
-	// DefaultRetainChanges is how many rows before the snapshot stay in the table.
+	// DefaultRetainChanges is the number of changes up to the snapshot's version whose
+	// rows are retained in the table.
 	DefaultRetainChanges = 512
-	// DefaultCompactAfter is how many changes make a new snapshot worth its write.
+	// DefaultCompactAfter is the number of changes after which a new snapshot is written.
 	DefaultCompactAfter = 256
 )
 
-// MaxValueBytes bounds one entity as JSON.
+// MaxValueBytes is the maximum size of an entity as JSON.
 const MaxValueBytes = 64 << 10
 
-// Options set up a Store. Zero durations and counts take the defaults.
+// Options configures a Store. Durations and counts that are zero take their defaults.
 type Options struct {
 	Table   platform.Table
 	Objects platform.Objects
@@ -39,13 +41,14 @@
 	Logger     *zap.Logger
 
 	ProposeTimeout time.Duration
-	ResolveTimeout  time.Duration
+	ResolveTimeout time.Duration
 	RecentChanges  int
 	RecentBytes    int
 	RetainChanges  uint64
 	CompactAfter   uint64
 }
 
+// withDefaults returns the options with their defaults filled in.
 func (o Options) withDefaults() Options {
 	o.ProposeTimeout = cmp.Or(o.ProposeTimeout, DefaultProposeTimeout)
 	o.ResolveTimeout = cmp.Or(o.ResolveTimeout, DefaultResolveTimeout)
--- a/internal/confstore/pending_changes.go
+++ b/internal/confstore/pending_changes.go
@@ -2,16 +2,18 @@
 
 import "sync"
 
+// maxPendingChanges is the maximum number of unresolved attempts that are kept.
 const maxPendingChanges = 256
 
-// pendingChanges remembers the attempts that could not be settled, by the
-// change's id, the newest maxPendingChanges of them.
+// pendingChanges holds the newest maxPendingChanges attempts that could not be resolved
+// in time, by the change's id. It is safe for concurrent use.
 type pendingChanges struct {
 	mu    sync.Mutex // guards the fields below
 	byID  map[string]attempt
-	order []string
+	order []string // ids, oldest first
 }
 
+// put adds the attempt and removes the oldest one if there are too many.
 func (p *pendingChanges) put(id string, a attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,6 +30,7 @@
 	}
 }
 
+// get returns the attempt of the change with the id.
 func (p *pendingChanges) get(id string) (attempt, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/confstore/pending_error.go
+++ b/internal/confstore/pending_error.go
@@ -2,11 +2,12 @@
 
 import "fmt"
 
-// PendingError reports a change that may have been written, now or later: its
-// answer was lost and could not be read back. Store.Lookup tells later.
+// PendingError reports a change that may have been written or may be written later: the
+// response to its transaction was lost and could not be resolved in time. Store.Lookup
+// resolves it later.
 type PendingError struct {
 	ID string
-	// Version is the one that the change has if it was written.
+	// Version is the version that the change has if it is written.
 	Version uint64
 	Cause   error
 }
--- a/internal/confstore/platform_test.go
+++ b/internal/confstore/platform_test.go
@@ -13,11 +13,11 @@
 	"geraniumcroft/internal/platform/resilient"
 )
 
-// As the process runs it: over the platform's client, which resolves lost answers
-// itself and refuses transactions that it could not resolve. Answers to proposals,
-// pointers and drops are lost in turn; each change takes effect once, rows are
-// dropped, and a new VM has everything.
-func TestOverThePlatformsClient(t *testing.T) {
+// The store runs on the platform's client as in the process. The client resolves lost
+// responses itself and refuses transactions whose result it could not resolve. Responses to
+// proposals, writes of the pointer and drops are lost in turn. Each change must take effect
+// once, rows must be dropped, and a VM that starts must load all changes.
+func TestStoreOnResilientClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := platformsim.NewStore()
 		store := func(vm string) *Store {
@@ -34,7 +34,7 @@
 			f.fill(s, 1)
 			f.mustCompact(s)
 		}
-		rows, err := s.options.Table.Scan(context.Background(), changeKey(0), changesEnd, scanPage)
+		rows, err := s.options.Table.Scan(context.Background(), changeKey(0), changesEnd, scanPageSize)
 		if err != nil || len(rows) > 10 {
 			t.Fatalf("%d rows are left, %v", len(rows), err)
 		}
@@ -45,13 +45,15 @@
 	})
 }
 
-// losingTable loses its first transaction, after something else has happened.
-type losingTable struct {
+// lossyTable calls first instead of applying its first transaction, and returns an
+// ambiguous error.
+type lossyTable struct {
 	platform.Table
 	first func()
 }
 
-func (l *losingTable) Commit(ctx context.Context, txn platform.Txn) error {
+// Commit implements platform.Table.
+func (l *lossyTable) Commit(ctx context.Context, txn platform.Txn) error {
 	if first := l.first; first != nil {
 		l.first = nil
 		first()
@@ -60,29 +62,30 @@
 	return l.Table.Commit(ctx, txn)
 }
 
-// Two operators use one id for different values, through two VMs at the same moment,
-// and the second one's transaction is lost. Its VM finds the id in the table, but
-// with the first one's value: the second operator is told so, and both VMs serve the
-// same. Taken for its own, it would serve a value that no other VM has.
-func TestOneIDWithTwoValuesKeepsVMsTheSame(t *testing.T) {
+// Two operators concurrently propose different values with the same id through two VMs, and
+// the second transaction is lost. The second VM finds the id in the table, but with the
+// value of the first operator. It must refuse the second proposal, and both VMs must serve
+// the same configuration. If it took the row for its own, it would serve a value that no
+// other VM has.
+func TestReusedIDWithLostTransactionIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := platformsim.NewStore()
-		losing := &losingTable{Table: sim}
+		lossy := &lossyTable{Table: sim}
 		f := &fixture{t: t}
 		first := New(Options{Table: sim, Objects: sim, VM: "vm-1", Invariants: invariant.Strict()})
-		client := resilient.New(losing, sim, sim, resilient.Settings{VMs: 1})
+		client := resilient.New(lossy, sim, sim, resilient.Settings{VMs: 1})
 		second := New(Options{Table: client, Objects: client, VM: "vm-2", Invariants: invariant.Strict()})
-		proposal := workspace("crews", 0, 1)
+		proposal := workspaceProposal("crews", 0, 1)
 		earlier := proposal
-		losing.first = func() { f.mustPropose(first, earlier) }
+		lossy.first = func() { f.mustPropose(first, earlier) }
 		proposal.Value = []byte(`{"weight":2}`)
 		_, err := second.Propose(context.Background(), proposal)
 		var reused *IDReusedError
 		if !errors.As(err, &reused) {
 			t.Errorf("got %v, want the id refused", err)
 		}
-		if here, there := snapshotJSON(t, second), snapshotJSON(t, first); string(here) != string(there) {
-			t.Fatalf("one VM serves %s, the other %s", there, here)
+		if secondJSON, firstJSON := snapshotJSON(t, second), snapshotJSON(t, first); string(secondJSON) != string(firstJSON) {
+			t.Fatalf("the first VM serves %s, the second %s", firstJSON, secondJSON)
 		}
 	})
 }
--- a/internal/confstore/proposal.go
+++ b/internal/confstore/proposal.go
@@ -6,20 +6,21 @@
 	"geraniumcroft/internal/config"
 )
 
-// Proposal asks for one change of the configuration.
+// Proposal is a request for one change of the configuration.
 type Proposal struct {
-	// ID is unique and chosen by the author; the same one proposed again answers
-	// the same change.
+	// ID is unique and chosen by the author. Repeating a proposal with the same id
+	// returns the same change.
 	ID     string
 	Author string
 	Kind   config.EntityKind
 	Name   string
-	// Value is the entity as JSON; null or empty deletes it.
+	// Value is the entity as JSON. Null or empty deletes the entity.
 	Value json.RawMessage
-	// IfRevision is the entity's revision that the author has read; 0 creates.
+	// IfRevision is the revision of the entity that the author has read, 0 to create it.
 	IfRevision uint64
 }
 
+// change returns the change without a version and time.
 func (p Proposal) change() config.Change {
 	return config.Change{ID: p.ID, Author: p.Author, Kind: p.Kind, Name: p.Name, Value: p.Value}
 }
--- a/internal/confstore/propose.go
+++ b/internal/confstore/propose.go
@@ -11,14 +11,16 @@
 	"geraniumcroft/internal/platform"
 )
 
-// errRaced marks an attempt that lost against another writer and wrote nothing.
-var errRaced = errors.New("another change came first")
+// errLostRace is the error of an attempt that wrote nothing because another change was
+// committed first.
+var errLostRace = errors.New("another change came first")
 
-// Propose validates and commits one change and puts it in force on this VM.
+// Propose validates and commits one change and puts it in force on this VM. An empty id
+// is replaced by a random one.
 //
 // It returns a *config.ValidationError, a *ConflictError, an *IDReusedError or a
-// *NotWrittenError when nothing was written, and a *PendingError when that could
-// not be found out.
+// *NotWrittenError if nothing was written, and a *PendingError if that could not be
+// determined.
 func (s *Store) Propose(ctx context.Context, p Proposal) (config.Change, error) {
 	if p.ID == "" {
 		p.ID = uuid.NewString()
@@ -30,10 +32,11 @@
 	if len(findings) > 0 {
 		return config.Change{}, &config.ValidationError{Findings: findings}
 	}
-	w := &writer{store: s, proposal: p, change: change}
-	return w.run(ctx)
+	pr := &proposer{store: s, proposal: p, change: change}
+	return pr.run(ctx)
 }
 
+// tooLarge returns the error for a proposal whose value is larger than MaxValueBytes.
 func tooLarge(p Proposal) error {
 	return &config.ValidationError{Findings: []config.Finding{{
 		Path:    string(p.Kind) + "." + p.Name,
@@ -42,7 +45,8 @@
 	}}}
 }
 
-// transaction returns the attempt that writes the change as the next version.
+// transaction returns the attempt that writes the change and the head row. newest is the
+// current head, and the change has the version after it.
 func (s *Store) transaction(change config.Change, newest head) (attempt, error) {
 	row, err := json.Marshal(change)
 	if err != nil {
@@ -53,10 +57,11 @@
 		return attempt{}, errors.Wrap(err, "encode the head")
 	}
 	conditions := []platform.Condition{
-		// Without it a transaction that was delayed would take the head back.
+		// Without this condition a delayed transaction would set the head to an older
+		// version.
 		{Key: headKey, Revision: newest.rowRevision},
-		// Without it a head that was restored from an older copy would let a new
-		// change overwrite one that VMs have in force.
+		// Without this condition, after the head row was restored from an older copy, a
+		// new change would overwrite one that is in force on VMs.
 		{Key: changeKey(change.Version)},
 	}
 	if s.hooks.conditions != nil {
@@ -66,20 +71,20 @@
 		version:      change.Version,
 		headRevision: newest.rowRevision,
 		txn: platform.Txn{
-			// Not the change's id: a client takes rows with the transaction's id for
-			// proof that it was written, and another VM may write that change's id with
-			// another value.
+			// The change's id can't be used here. The client treats rows with the
+			// transaction's id as proof that the transaction was applied, but another VM
+			// may write a change with the same id and another value.
 			ID:         uuid.NewString(),
 			Conditions: conditions,
-			Witness:    writtenRow(changeKey(change.Version)),
+			Witness:    rowWrittenWitness(changeKey(change.Version)),
 			Writes:     []platform.Write{{Key: changeKey(change.Version), Value: row}, {Key: headKey, Value: newHead}},
 		},
 	}, nil
 }
 
-// writtenRow is the witness of a proposal: a row of the version that another
-// transaction wrote proves that this one was refused, as it is never written again.
-func writtenRow(key string) platform.Witness {
+// rowWrittenWitness returns the witness of a proposal. If another transaction wrote the
+// row of the version, this one was refused, as the row is never written again.
+func rowWrittenWitness(key string) platform.Witness {
 	return func(rows []platform.Row) platform.Verdict {
 		row, err := rowOf(rows, key)
 		if err != nil || row.Revision == 0 {
--- a/internal/confstore/propose_test.go
+++ b/internal/confstore/propose_test.go
@@ -12,18 +12,18 @@
 	"geraniumcroft/internal/platform"
 )
 
-// Two operators change the profile that both have read. The first one's change
-// stands; the second is told of the conflict and gets the present profile.
-// Without the check the first one's change would be silently lost.
+// Two operators change the profile that both have read. The second proposal must fail with
+// a conflict that contains the current profile. Without the check, the change of the first
+// operator would be lost silently.
 func TestTwoOperatorsOnOneProfile(t *testing.T) {
 	Convey("Given a profile that two operators have read and one has changed", t, func() {
 		f := newFixture(t)
 		first, second := f.store("vm-1"), f.store("vm-2")
 		revision := f.withProfile(first)
-		f.mustPropose(first, permits("first", revision, 2*time.Second))
+		f.mustPropose(first, permitsProposal("first", revision, 2*time.Second))
 
-		Convey("the second one's change is a conflict that shows the present profile", func() {
-			_, err := second.Propose(t.Context(), permits("second", revision, 3*time.Second))
+		Convey("the second one's change is a conflict that contains the current profile", func() {
+			_, err := second.Propose(t.Context(), permitsProposal("second", revision, 3*time.Second))
 			var conflict *ConflictError
 			So(errors.As(err, &conflict), ShouldBeTrue)
 			So(conflict.Revision, ShouldEqual, revision+1)
@@ -35,10 +35,10 @@
 	})
 }
 
-// Operators change different entities at the same moment through two VMs. The
-// second transaction loses on the head, reads the newer change, validates again
-// and retries: both changes stand and nobody sees a conflict.
-func TestChangesOfDifferentEntitiesBothStand(t *testing.T) {
+// Operators concurrently change different entities through two VMs. The second transaction
+// is refused because the head row has changed. The second VM must read the newer change,
+// validate again and retry, so that both changes are committed without a conflict.
+func TestChangesOfDifferentEntitiesDoNotConflict(t *testing.T) {
 	f := newFixture(t)
 	first, second := f.store("vm-1"), f.store("vm-2")
 	f.withProfile(first)
@@ -48,7 +48,7 @@
 			return noFault
 		}
 		raced = true
-		// The other operator's change comes first, between the read and the write.
+		// The other operator's change is committed between the read and the write.
 		other := config.Change{ID: "other", Author: "eva", Kind: config.EntityWorkspace, Name: "desk", Value: []byte(`{}`)}
 		newest, _ := decodeHead(f.table.rows[headKey])
 		other.Version = newest.Version + 1
@@ -56,27 +56,27 @@
 		_ = f.table.apply(a.txn)
 		return noFault
 	})
-	change := f.mustPropose(second, workspace("yard", 0, 1))
+	change := f.mustPropose(second, workspaceProposal("yard", 0, 1))
 	snapshot := second.Current()
 	if change.Version != 4 || snapshot.Workspaces["desk"] == nil || snapshot.Workspaces["yard"] == nil {
 		t.Fatalf("version %d, workspaces %v", change.Version, snapshot.Workspaces)
 	}
 }
 
-// One operator deletes a workspace while another adds a profile to it through a VM
-// that has not heard of the deletion. The second change is checked again against
-// what the table holds and refused; the profile would belong to nobody.
-func TestChangeIsValidatedAgainstTheNewest(t *testing.T) {
-	Convey("Given a workspace whose deletion one VM has not heard of", t, func() {
+// One operator deletes a workspace, and another adds a profile to it through a VM that has
+// not read the deletion. The second change must be validated against the newest version and
+// refused. Otherwise the profile would belong to no workspace.
+func TestChangeIsValidatedAgainstNewestVersion(t *testing.T) {
+	Convey("Given a workspace whose deletion one VM has not read", t, func() {
 		f := newFixture(t)
 		first, second := f.store("vm-1"), f.store("vm-2")
-		f.mustPropose(first, workspace("crews", 0, 1))
+		f.mustPropose(first, workspaceProposal("crews", 0, 1))
 		So(second.Load(t.Context()), ShouldBeNil)
 		f.mustPropose(first, Proposal{ID: "delete", Kind: config.EntityWorkspace, Name: "crews", IfRevision: 1})
 		So(second.Current().Workspaces, ShouldContainKey, "crews")
 
-		Convey("a profile of it is refused there", func() {
-			_, err := second.Propose(t.Context(), permits("create", 0, time.Second))
+		Convey("a profile of the workspace is refused on this VM", func() {
+			_, err := second.Propose(t.Context(), permitsProposal("create", 0, time.Second))
 			var invalid *config.ValidationError
 			So(errors.As(err, &invalid), ShouldBeTrue)
 			So(invalid.Findings[0].Path, ShouldEqual, "profile.permits.workspace")
@@ -84,16 +84,16 @@
 	})
 }
 
-// The store is out before the change: the operator is told at once that nothing
-// was written, and what was in force stays in force.
-func TestStoreOutBeforeTheChange(t *testing.T) {
-	Convey("Given a table that is out, a change is refused and what is in force stays", t, func() {
+// The table is unavailable when a change is proposed. The proposal must report immediately
+// that nothing was written, and the configuration in force must not change.
+func TestTableUnavailableBeforeChange(t *testing.T) {
+	Convey("Given a table that is unavailable, a change is refused and the snapshot in force stays", t, func() {
 		f := newFixture(t)
 		s := f.store("vm-1")
 		revision := f.withProfile(s)
-		f.table.setOut(true)
+		f.table.setUnavailable(true)
 		commits := f.table.commits
-		_, err := s.Propose(t.Context(), permits("shorten", revision, 2*time.Second))
+		_, err := s.Propose(t.Context(), permitsProposal("shorten", revision, 2*time.Second))
 		var notWritten *NotWrittenError
 		So(errors.As(err, &notWritten), ShouldBeTrue)
 		So(errors.Is(err, platform.ErrUnavailable), ShouldBeTrue)
--- a/internal/confstore/read_ahead.go
+++ b/internal/confstore/read_ahead.go
@@ -11,43 +11,43 @@
 )
 
 const (
-	// changesAhead is how many changes are read together with the head.
-	changesAhead = 8
-	// maxHeadReads bounds the reads of the head in one attempt, when more changes
-	// came than that or peers were faster.
+	// readAheadChanges is the number of changes that are read together with the head.
+	readAheadChanges = 8
+	// maxHeadReads bounds the reads of the head in one attempt. The head is read again if
+	// there were more than readAheadChanges changes or if peers pushed newer ones.
 	maxHeadReads = 4
 )
 
-// catchUp returns the head once it is in force here. It fails for good when the
-// table can't be read: nothing was written, and the author is told so at once
-// instead of after the whole of the timeout.
-func (w *writer) catchUp(ctx context.Context) (head, error) {
+// catchUp returns the head when its version is in force on this VM. If the table can't be
+// read it returns a permanent error: nothing was written, and the author receives the
+// error immediately instead of after the timeout.
+func (p *proposer) catchUp(ctx context.Context) (head, error) {
 	for range maxHeadReads {
-		newest, err := w.readHead(ctx)
+		newest, err := p.readHead(ctx)
 		if err != nil {
 			return head{}, backoff.Permanent(err)
 		}
-		if w.store.Current().Version == newest.Version {
-			return newest, backoff.Permanent(w.store.checkHead(newest))
+		if p.store.Current().Version == newest.Version {
+			return newest, backoff.Permanent(p.store.checkHead(newest))
 		}
-		if err := w.store.catchUp(ctx, newest.Version); err != nil {
+		if err := p.store.catchUp(ctx, newest.Version); err != nil {
 			return head{}, backoff.Permanent(err)
 		}
 	}
-	return head{}, errRaced
+	return head{}, errLostRace
 }
 
-// readHead reads the head and the next few changes at one moment. Read one after
-// the other, a VM that has lost a race would always find the head moved by the time
-// it has the changes, while the winner, which has its own change already, goes on
+// readHead reads the head and the next few changes in one request. With separate
+// requests, a VM that has lost a race would always find a newer head by the time it has
+// read the changes, while the winner, which has its own change already, would keep
 // winning.
-func (w *writer) readHead(ctx context.Context) (head, error) {
-	before := w.store.Current().Version
+func (p *proposer) readHead(ctx context.Context) (head, error) {
+	before := p.store.Current().Version
 	keys := []string{headKey}
-	for ahead := range uint64(changesAhead) {
+	for ahead := range uint64(readAheadChanges) {
 		keys = append(keys, changeKey(before+1+ahead))
 	}
-	rows, err := w.store.options.Table.Get(ctx, keys...)
+	rows, err := p.store.options.Table.Get(ctx, keys...)
 	if err != nil {
 		return head{}, errors.Wrap(err, "read the head of the configuration")
 	}
@@ -62,10 +62,11 @@
 	if newest.Version < before {
 		return head{}, &HistoryLostError{Have: before, Table: newest.Version}
 	}
-	return newest, w.applyAhead(rows, newest)
+	return newest, p.applyAhead(rows, newest)
 }
 
-func (w *writer) applyAhead(rows []platform.Row, newest head) error {
+// applyAhead applies the changes in the rows up to the head's version.
+func (p *proposer) applyAhead(rows []platform.Row, newest head) error {
 	var changes []config.Change
 	for _, row := range rows {
 		if row.Key == headKey || row.Revision == 0 {
@@ -75,11 +76,11 @@
 		if err != nil {
 			return err
 		}
-		// What lies beyond the head is the rest of a history that was lost.
+		// Rows after the head's version remain from a history that was lost.
 		if change.Version <= newest.Version {
 			changes = append(changes, change)
 		}
 	}
-	_, err := w.store.ApplyChanges(changes)
+	_, err := p.store.ApplyChanges(changes)
 	return err
 }
--- a/internal/confstore/search.go
+++ b/internal/confstore/search.go
@@ -10,11 +10,12 @@
 	"geraniumcroft/internal/config"
 )
 
-// search looks in the table for this very proposal, nil when it is not there: it
-// was committed through another VM, and its author asks again for a lost answer. A
-// refusal would then be a conflict of the author with itself.
-func (w *writer) search(ctx context.Context) (*config.Change, error) {
-	known, err := w.store.findInTable(ctx, w.proposal.ID)
+// search searches the table for a change with the proposal's id and returns nil if there
+// is none. Such a change exists if the proposal was committed through another VM, the
+// response was lost, and the author repeats the proposal. Without the search it would
+// conflict with the author's own change.
+func (p *proposer) search(ctx context.Context) (*config.Change, error) {
+	known, err := p.store.findInTable(ctx, p.proposal.ID)
 	var unknown *UnknownChangeError
 	switch {
 	case err == nil:
@@ -25,36 +26,42 @@
 	return nil, err
 }
 
-// searchForCreation keeps a creation that is repeated late from bringing back what
-// was deleted since. Other changes are safe, as the revision that they demand never
-// returns. The search takes long; it comes before the head is read, and once, for
-// whatever is committed after it passes through this VM's memory.
-func (w *writer) searchForCreation(ctx context.Context) (*config.Change, error) {
-	if !w.mustSearch() {
+// searchBeforeCreate searches the table for a proposal that creates an entity, so that a
+// late repetition does not create an entity that was deleted since. Other proposals need
+// no search, as the revision that they require never recurs. The search is slow. It is
+// done before the head is read, and only once as long as all changes that are committed
+// afterwards are in this VM's memory.
+func (p *proposer) searchBeforeCreate(ctx context.Context) (*config.Change, error) {
+	if !p.needsSearch() {
 		return nil, nil
 	}
-	at := w.store.Current().Version
-	known, err := w.search(ctx)
-	w.searched, w.searchedAt = err == nil, at
+	at := p.store.Current().Version
+	known, err := p.search(ctx)
+	p.searched, p.searchedAt = err == nil, at
 	return known, err
 }
 
-func (w *writer) mustSearch() bool {
-	creates := w.proposal.IfRevision == 0
-	return creates && !(w.searched && w.store.remembersAfter(w.searchedAt))
+// needsSearch reports whether the proposal creates an entity and changes may exist that
+// were neither searched nor are in memory.
+func (p *proposer) needsSearch() bool {
+	creates := p.proposal.IfRevision == 0
+	return creates && !(p.searched && p.store.keepsChangesAfter(p.searchedAt))
 }
 
-func (w *writer) sameOr(known *config.Change, err error) (config.Change, error) {
+// matchSearchResult returns the result of a search that found a change or failed.
+func (p *proposer) matchSearchResult(known *config.Change, err error) (config.Change, error) {
 	if err != nil {
 		return config.Change{}, backoff.Permanent(err)
 	}
-	return w.same(*known)
+	return p.matchKnown(*known)
 }
 
-func (w *writer) same(known config.Change) (config.Change, error) {
-	w.undecided = nil
-	sameValue := bytes.Equal(known.Value, w.change.Value) || known.IsDelete() && w.change.IsDelete()
-	if known.Kind != w.change.Kind || known.Name != w.change.Name || !sameValue {
+// matchKnown returns the committed change that has the proposal's id, or an
+// *IDReusedError if it is a different change.
+func (p *proposer) matchKnown(known config.Change) (config.Change, error) {
+	p.unresolved = nil
+	sameValue := bytes.Equal(known.Value, p.change.Value) || known.IsDelete() && p.change.IsDelete()
+	if known.Kind != p.change.Kind || known.Name != p.change.Name || !sameValue {
 		return config.Change{}, backoff.Permanent(&IDReusedError{ID: known.ID, Version: known.Version})
 	}
 	return known, nil
--- a/internal/confstore/send.go
+++ b/internal/confstore/send.go
@@ -11,40 +11,44 @@
 	"geraniumcroft/internal/platform"
 )
 
-func (w *writer) commit(ctx context.Context, newest head) (config.Change, error) {
-	change := w.change
+// commit sends the change as the version after the newest one.
+func (p *proposer) commit(ctx context.Context, newest head) (config.Change, error) {
+	change := p.change
 	change.Version = newest.Version + 1
 	change.Time = time.Now().UTC()
-	next, err := w.store.transaction(change, newest)
+	next, err := p.store.transaction(change, newest)
 	if err != nil {
 		return config.Change{}, backoff.Permanent(err)
 	}
-	return w.send(ctx, next, change)
+	return p.send(ctx, next, change)
 }
 
-// send commits an attempt. Only two errors say that nothing was written; every
-// other one, of whatever type, leaves the attempt undecided.
-func (w *writer) send(ctx context.Context, a attempt, change config.Change) (config.Change, error) {
-	resent := w.undecided != nil
-	w.undecided = &a
-	err := w.store.options.Table.Commit(ctx, a.txn)
+// send commits an attempt. The attempt remains unresolved after any error, with two
+// exceptions: platform.ErrRefused and platform.ErrUnavailable for the first copy of the
+// transaction mean that nothing was written. For a further copy they say nothing about
+// the copies before.
+func (p *proposer) send(ctx context.Context, a attempt, change config.Change) (config.Change, error) {
+	resent := p.unresolved != nil
+	p.unresolved = &a
+	err := p.store.options.Table.Commit(ctx, a.txn)
 	switch {
 	case err == nil:
-		return w.committed(change)
+		return p.committed(change)
 	case errors.Is(err, platform.ErrRefused) && !resent:
-		w.undecided = nil
-		return config.Change{}, errRaced
+		p.unresolved = nil
+		return config.Change{}, errLostRace
 	case errors.Is(err, platform.ErrUnavailable) && !resent:
-		w.undecided = nil
+		p.unresolved = nil
 		return config.Change{}, backoff.Permanent(err)
 	}
 	return config.Change{}, err
 }
 
-func (w *writer) committed(change config.Change) (config.Change, error) {
-	w.undecided = nil
-	// The change stands in the table whatever comes of it here: a VM that cannot
-	// apply it logs so and is named as missing by Wait.
-	_, _ = w.store.ApplyChanges([]config.Change{change})
+// committed puts the committed change in force on this VM.
+func (p *proposer) committed(change config.Change) (config.Change, error) {
+	p.unresolved = nil
+	// The change is committed even if it can't be applied on this VM. In that case
+	// ApplyChanges logs the error and Wait reports this VM as missing.
+	_, _ = p.store.ApplyChanges([]config.Change{change})
 	return change, nil
 }
--- a/internal/confstore/snapshot_object.go
+++ b/internal/confstore/snapshot_object.go
@@ -17,14 +17,16 @@
 )
 
 const (
-	// maxSnapshotBytes bounds a snapshot as JSON, against a damaged object.
+	// maxSnapshotBytes is the maximum size of a snapshot as JSON. It limits the memory
+	// that decompressing a damaged object can take.
 	maxSnapshotBytes = 256 << 20
-	// maxPointerReads bounds how often compaction may overtake one reader.
+	// maxPointerReads bounds the retries of a reader whose object compaction has deleted.
 	maxPointerReads = 3
-	digestPrefix    = 16
+	// digestPrefixLength is the number of hex digits of the digest in an object's name.
+	digestPrefixLength = 16
 )
 
-// snapshotObject is an encoded snapshot.
+// snapshotObject is an encoded snapshot: gzip-compressed JSON.
 type snapshotObject struct {
 	version uint64
 	name    string
@@ -32,8 +34,9 @@
 	body    []byte
 }
 
-// encodeSnapshot names the object by its version and content, so that a Put which
-// was delayed for hours can only write what the name already stands for.
+// encodeSnapshot encodes a snapshot. The object is named after its version and the digest
+// of its content, so that a Put that is delayed, even by hours, can only write the content
+// that belongs to the name.
 func encodeSnapshot(snapshot *config.Snapshot) (snapshotObject, error) {
 	var body bytes.Buffer
 	compressor := gzip.NewWriter(&body)
@@ -46,17 +49,19 @@
 	digest := digestOf(body.Bytes())
 	return snapshotObject{
 		version: snapshot.Version,
-		name:    fmt.Sprintf("config/snapshot/%020d-%s", snapshot.Version, digest[:digestPrefix]),
+		name:    fmt.Sprintf("config/snapshot/%020d-%s", snapshot.Version, digest[:digestPrefixLength]),
 		digest:  digest,
 		body:    body.Bytes(),
 	}, nil
 }
 
+// digestOf returns the hex SHA-256 of the body.
 func digestOf(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
 }
 
+// decodeSnapshot decodes the body of a snapshot object.
 func decodeSnapshot(body []byte) (*config.Snapshot, error) {
 	decompressor, err := gzip.NewReader(bytes.NewReader(body))
 	if err != nil {
@@ -69,9 +74,9 @@
 	return withTables(snapshot), nil
 }
 
-// readSnapshot installs the newest snapshot of the object store, if there is one
-// that is newer. Compaction may remove an object between the reading of the
-// pointer and of the object; the pointer then names a newer one.
+// readSnapshot installs the newest snapshot of the object store if it is newer than the
+// one in force. Compaction may delete an object after its pointer was read. The pointer
+// row then refers to a newer object and is read again.
 func (s *Store) readSnapshot(ctx context.Context) error {
 	var err error
 	for range maxPointerReads {
@@ -93,7 +98,7 @@
 	return err
 }
 
-// fetch reads the pointer's object and proves that it is whole.
+// fetch reads the pointer's object and verifies its digest and version.
 func (s *Store) fetch(ctx context.Context, pointer snapshotPointer) (*config.Snapshot, error) {
 	body, err := s.options.Objects.Fetch(ctx, pointer.Object)
 	if err != nil {
--- a/internal/confstore/store.go
+++ b/internal/confstore/store.go
@@ -8,21 +8,21 @@
 	"geraniumcroft/internal/invariant"
 )
 
-// Store is this VM's view of the configuration and its way to change it. It is
-// safe for concurrent use.
+// Store holds the configuration that is in force on this VM and commits changes to the
+// table. It is safe for concurrent use.
 type Store struct {
 	options  Options
 	current  atomic.Pointer[config.Snapshot]
 	notifier notifier
 	pending  pendingChanges
-	reads    readRecord
+	polls    pollRecord
 	hooks    hooks
 
-	mu     sync.Mutex // guards publishing and the field below
+	mu     sync.Mutex // guards writes of current and the field below
 	recent *history
 }
 
-// New returns a store with the empty configuration, at version 0.
+// New returns a store with an empty configuration at version 0.
 func New(o Options) *Store {
 	o = o.withDefaults()
 	s := &Store{options: o, recent: newHistory(o.RecentChanges, o.RecentBytes)}
@@ -31,20 +31,20 @@
 	return s
 }
 
-// Current implements config.Source.
+// Current implements config.Source. It returns the snapshot in force.
 func (s *Store) Current() *config.Snapshot { return s.current.Load() }
 
-// InForceVersion returns the newest version that is applied and that every
-// subscriber has taken in; this is what a VM confirms to its peers.
+// InForceVersion returns the newest version that is applied and was delivered to every
+// subscriber. This is the version that a VM confirms to its peers.
 func (s *Store) InForceVersion() uint64 { return s.notifier.inForce() }
 
-// Subscribe calls f with the snapshot in force, unless that is the empty one, and
-// after each application of changes. Calls come one at a time, in order of
-// versions; versions that were overtaken while f ran are left out.
+// Subscribe calls f with the snapshot in force, unless that is the empty one, and with
+// each newer snapshot. Calls are made one at a time and in the order of versions.
+// Versions that are no longer the newest when f returns are skipped.
 func (s *Store) Subscribe(f func(*config.Snapshot)) { s.notifier.add(f) }
 
-// ChangesAfter returns up to limit changes that follow a version. It returns
-// false when some of them are no longer kept: the reader then needs the snapshot.
+// ChangesAfter returns up to limit changes after a version. It returns false if some of
+// them are no longer in memory; the reader then needs the snapshot.
 func (s *Store) ChangesAfter(version uint64, limit int) ([]config.Change, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,11 +54,11 @@
 // publish puts a snapshot in force. The lock is held.
 func (s *Store) publish(next *config.Snapshot) {
 	before := s.Current().Version
-	// A version that falls would bring back a drained target or an old profile
-	// after an operator was told that the change is in force.
-	rises := s.options.Invariants.Check(next.Version > before, invariant.VersionNeverFalls,
+	// An older version would restore a drained target or an old profile after an operator
+	// received the confirmation that the change is in force.
+	newer := s.options.Invariants.Check(next.Version > before, invariant.VersionNeverFalls,
 		"snapshot %d over snapshot %d on %s", next.Version, before, s.options.VM)
-	if rises {
+	if newer {
 		s.current.Store(next)
 	}
 }
--- a/internal/confstore/unknown_change_error.go
+++ b/internal/confstore/unknown_change_error.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// UnknownChangeError reports an id that is not in the history as far as it is kept.
+// UnknownChangeError reports that the retained history contains no change with the id.
 type UnknownChangeError struct {
 	ID string
 }
--- a/internal/confstore/wait.go
+++ b/internal/confstore/wait.go
@@ -7,14 +7,16 @@
 )
 
 const (
-	firstConfirmWait   = 2 * time.Millisecond
-	longestConfirmWait = 100 * time.Millisecond
+	// initialConfirmInterval and maxConfirmInterval are the first and the longest time
+	// between two calls of Confirmer.InForce. The time doubles with each call.
+	initialConfirmInterval = 2 * time.Millisecond
+	maxConfirmInterval     = 100 * time.Millisecond
 )
 
-// Wait returns once every VM that may serve has confirmed the version, or with
-// the names of those that have not when ctx ends.
+// Wait returns when every VM that may serve requests has confirmed the version, or when
+// ctx ends. In the latter case Acceptance.Missing lists the VMs that have not.
 func (s *Store) Wait(ctx context.Context, version uint64, confirmer Confirmer) Acceptance {
-	wait := firstConfirmWait
+	wait := initialConfirmInterval
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -23,7 +25,7 @@
 			return acceptance
 		}
 		timer.Reset(wait)
-		wait = min(2*wait, longestConfirmWait)
+		wait = min(2*wait, maxConfirmInterval)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -31,12 +33,13 @@
 	}
 }
 
-// acceptance counts this VM by its own store, whatever the confirmer says of it.
+// acceptance returns the current acceptance of the version. For this VM it uses the
+// store's own version instead of the confirmer.
 func (s *Store) acceptance(version uint64, confirmer Confirmer) Acceptance {
 	confirmed, missing := confirmer.InForce(version)
-	isHere := func(name string) bool { return name == s.options.VM }
-	confirmed = slices.DeleteFunc(slices.Clone(confirmed), isHere)
-	missing = slices.DeleteFunc(slices.Clone(missing), isHere)
+	isThisVM := func(name string) bool { return name == s.options.VM }
+	confirmed = slices.DeleteFunc(slices.Clone(confirmed), isThisVM)
+	missing = slices.DeleteFunc(slices.Clone(missing), isThisVM)
 	if s.InForceVersion() >= version {
 		confirmed = append(confirmed, s.options.VM)
 	} else {
--- a/internal/confstore/wait_test.go
+++ b/internal/confstore/wait_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// fakeConfirmer says that a VM confirms once it was asked a few times.
+// fakeConfirmer reports that vm-5 confirms the version after a number of calls.
 type fakeConfirmer struct{ left int }
 
 func (c *fakeConfirmer) InForce(uint64) (confirmed, missing []string) {
@@ -18,10 +18,10 @@
 	return []string{"vm-1", "vm-5"}, nil
 }
 
-// The operator's change is accepted when the last VM has it in force, and pending
-// with that VM's name until then; this VM itself counts by what its subscribers
-// have taken in, whatever its peers think of it.
-func TestWaitNamesWhoIsMissing(t *testing.T) {
+// A change is accepted when it is in force on all VMs. Until then the acceptance must list
+// the missing VMs. For this VM the version delivered to its subscribers counts, not the
+// version that its peers report.
+func TestWaitListsMissingVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		s := f.store("vm-1")
