--- a/internal/claim/faulty_writers_test.go
+++ b/internal/claim/faulty_writers_test.go
@@ -15,6 +15,7 @@
 	table platform.Table
 }
 
+// write implements writer.
 func (w *unconditionalWriter) write(ctx context.Context, row newRow) error {
 	fresh := "planted/" + uuid.NewString()
 	return w.table.Commit(ctx, platform.Txn{
@@ -30,6 +31,7 @@
 	inner writer
 }
 
+// write implements writer.
 func (w *optimisticWriter) write(ctx context.Context, row newRow) error {
 	err := w.inner.write(ctx, row)
 	if errors.Is(err, platform.ErrAmbiguous) {
--- a/internal/claim/group_state.go
+++ b/internal/claim/group_state.go
@@ -11,6 +11,7 @@
 	Rows   uint64 `json:"rows"`
 }
 
+// dump returns the state of the writer.
 func (w *groupWriter) dump() *GroupState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/claim/group_writer.go
+++ b/internal/claim/group_writer.go
@@ -32,6 +32,7 @@
 	rows   uint64
 }
 
+// newGroupWriter returns a writer with an empty queue. The settings have their defaults.
 func newGroupWriter(table platform.Table, settings Settings) *groupWriter {
 	return &groupWriter{table: table, settings: settings}
 }
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -86,6 +86,7 @@
 	ops []porcupine.Operation
 }
 
+// add records an attempt that returns now.
 func (h *history) add(client int, key int, call time.Time, output attemptOutput) {
 	op := porcupine.Operation{
 		ClientId: client,
@@ -219,6 +220,7 @@
 	}
 }
 
+// toInt returns 1 for true and 0 for false.
 func toInt(b bool) int {
 	if b {
 		return 1
--- a/internal/claim/outage_test.go
+++ b/internal/claim/outage_test.go
@@ -81,6 +81,8 @@
 	}
 }
 
+// testTombstoneAfterOutage checks that the tombstone of a request that ends during an
+// outage is in the table afterwards. commit is the fault of commits during the outage.
 func testTombstoneAfterOutage(t *testing.T, commit platformsim.ActionKind) {
 	inVirtualTime(t, func(t *testing.T, settings Settings) {
 		store := platformsim.NewStore()
--- a/internal/claim/urgency.go
+++ b/internal/claim/urgency.go
@@ -6,6 +6,7 @@
 	"geraniumcroft/internal/config"
 )
 
+// urgencyKey is the context key of the urgency.
 type urgencyKey struct{}
 
 // WithUrgency returns a context with the urgency of a request. Rows are written in the
--- a/internal/confstore/fork_error.go
+++ b/internal/confstore/fork_error.go
@@ -7,8 +7,9 @@
 // operator has to resolve it.
 type ForkError struct {
 	Version uint64
-	HaveID  string
-	GotID   string
+	// HaveID is the id of the change in force on this VM, GotID that of the other change.
+	HaveID string
+	GotID  string
 }
 
 // Error implements error.
--- a/internal/confstore/history_lost_error.go
+++ b/internal/confstore/history_lost_error.go
@@ -7,6 +7,7 @@
 // snapshot and writes nothing, as a new change would get a version that is already in
 // force.
 type HistoryLostError struct {
+	// Have is the version in force on this VM, Table the newest version in the table.
 	Have  uint64
 	Table uint64
 }
--- a/internal/confstore/options.go
+++ b/internal/confstore/options.go
@@ -15,7 +15,7 @@
 	// DefaultProposeTimeout bounds a proposal including all its attempts.
 	DefaultProposeTimeout = 5 * time.Second
 	// DefaultResolveTimeout bounds the time for resolving a lost response after the
-	// proposal's timeout or after its caller has gone.
+	// proposal has timed out or its caller has disconnected.
 	DefaultResolveTimeout = 2 * time.Second
 	// DefaultRecentChanges is the number of changes that are kept in memory for peers.
 	DefaultRecentChanges = 1024
--- a/internal/confstore/read_ahead.go
+++ b/internal/confstore/read_ahead.go
@@ -37,10 +37,10 @@
 	return head{}, errLostRace
 }
 
-// readHead reads the head and the next few changes in one request. With separate
-// requests, a VM that has lost a race would always find a newer head by the time it has
-// read the changes, while the winner, which has its own change already, would keep
-// winning.
+// readHead reads the head and the next few changes in one consistent read and applies the
+// changes. With separate reads, a VM that has lost a race would always find a newer head
+// by the time it has read the changes, while the winner, which has its own change already,
+// would keep winning.
 func (p *proposer) readHead(ctx context.Context) (head, error) {
 	before := p.store.Current().Version
 	keys := []string{headKey}
--- a/internal/confstore/resolve.go
+++ b/internal/confstore/resolve.go
@@ -59,7 +59,7 @@
 }
 
 // stateOf returns the state of the attempt of the change with the id, and the change if
-// it was written. It reads the attempt's row and the head row in one request.
+// it was written. It reads the attempt's row and the head row in one consistent read.
 func (s *Store) stateOf(ctx context.Context, id string, a attempt) (config.Change, attemptState, error) {
 	if known, ok := s.recentWithID(id); ok {
 		return known, attemptWritten, nil
--- a/internal/confstore/retry_backoff.go
+++ b/internal/confstore/retry_backoff.go
@@ -14,8 +14,9 @@
 	initialRetryDelay = 5 * time.Millisecond
 	maxRetryDelay     = 250 * time.Millisecond
 	// maxRaceDelay is the maximum delay after a lost race. It spreads the retries over a
-	// few round trips to the table. One proposal succeeds in each round. If the delay
-	// grew with each lost race, the proposals that succeeded would always come back first.
+	// few round trips to the table. One proposal succeeds in each round. If the delay grew
+	// with each lost race, the winners would always send their next proposal before the
+	// losers retry.
 	maxRaceDelay = 16 * time.Millisecond
 )
 
@@ -35,15 +36,15 @@
 }
 
 // NextBackOff implements backoff.BackOff.
-func (p *retryBackOff) NextBackOff() time.Duration {
-	if p.proposer.unresolved == nil {
+func (b *retryBackOff) NextBackOff() time.Duration {
+	if b.proposer.unresolved == nil {
 		return rand.N(maxRaceDelay)
 	}
-	return p.exponential.NextBackOff()
+	return b.exponential.NextBackOff()
 }
 
 // Reset implements backoff.BackOff.
-func (p *retryBackOff) Reset() { p.exponential.Reset() }
+func (b *retryBackOff) Reset() { b.exponential.Reset() }
 
 // retry retries the operation until it succeeds, returns a permanent error, or the
 // context ends.
--- a/internal/confstore/snapshot_object.go
+++ b/internal/confstore/snapshot_object.go
@@ -20,7 +20,8 @@
 	// maxSnapshotBytes is the maximum size of a snapshot as JSON. It limits the memory
 	// that decompressing a damaged object can take.
 	maxSnapshotBytes = 256 << 20
-	// maxPointerReads bounds the retries of a reader whose object compaction has deleted.
+	// maxPointerReads is the maximum number of times that a reader reads the pointer. It
+	// reads the pointer again if compaction has deleted the object.
 	maxPointerReads = 3
 	// digestPrefixLength is the number of hex digits of the digest in an object's name.
 	digestPrefixLength = 16
--- a/internal/confstore/wait_test.go
+++ b/internal/confstore/wait_test.go
@@ -10,6 +10,7 @@
 // fakeConfirmer reports that vm-5 confirms the version after a number of calls.
 type fakeConfirmer struct{ left int }
 
+// InForce implements Confirmer.
 func (c *fakeConfirmer) InForce(uint64) (confirmed, missing []string) {
 	c.left--
 	if c.left >= 0 {
