--- a/internal/claim/planted_test.go
+++ b/internal/claim/faulty_writers_test.go
@@ -9,12 +9,13 @@
 	"geraniumcroft/internal/platform"
 )
 
-// unconditionalWriter writes whatever stands in the table: its condition is on a row
-// that nobody writes.
+// unconditionalWriter overwrites existing rows: its condition is on a row that nobody
+// else writes.
 type unconditionalWriter struct {
 	table platform.Table
 }
 
+// write implements writer.
 func (w *unconditionalWriter) write(ctx context.Context, row newRow) error {
 	fresh := "planted/" + uuid.NewString()
 	return w.table.Commit(ctx, platform.Txn{
@@ -25,11 +26,12 @@
 	})
 }
 
-// optimisticWriter takes a row whose write is in doubt for written.
+// optimisticWriter treats an ambiguous write as successful.
 type optimisticWriter struct {
 	inner writer
 }
 
+// write implements writer.
 func (w *optimisticWriter) write(ctx context.Context, row newRow) error {
 	err := w.inner.write(ctx, row)
 	if errors.Is(err, platform.ErrAmbiguous) {
