--- a/internal/adminapi/answer_change.go
+++ b/internal/adminapi/answer_change.go
@@ -36,8 +36,8 @@
 	answer(ctx, body.httpStatus(), body)
 }
 
-func changeAnswer(acceptance confstore.Acceptance) ChangeAnswer {
-	body := ChangeAnswer{
+func changeAnswer(acceptance confstore.Acceptance) ChangeResponse {
+	body := ChangeResponse{
 		Status:    StatusPending,
 		Version:   acceptance.Version,
 		Committed: true,
@@ -50,7 +50,7 @@
 	return body
 }
 
-func (b ChangeAnswer) httpStatus() int {
+func (b ChangeResponse) httpStatus() int {
 	if b.Status == StatusAccepted {
 		return http.StatusOK
 	}
@@ -78,7 +78,7 @@
 			Detail: reused.Error(), ID: reused.ID,
 		})
 	case errors.As(err, &pending):
-		answer(ctx, http.StatusAccepted, ChangeAnswer{
+		answer(ctx, http.StatusAccepted, ChangeResponse{
 			Status: StatusPending, ID: pending.ID, Version: pending.Version,
 			Detail: "The table's answer was lost: the change may take effect. Look it up by its id before you repeat it.",
 		})
--- a/internal/adminapi/api.go
+++ b/internal/adminapi/api.go
@@ -32,7 +32,7 @@
 // New returns the API.
 func New(o Options) (*API, error) {
 	o = o.withDefaults()
-	a := &API{options: o, app: iris.New(), dumper: newDumper(o.Dump, o.DumpBound)}
+	a := &API{options: o, app: iris.New(), dumper: newDumper(o.Dump, o.DumpTimeout)}
 	a.waits = make(chan struct{}, maxWaits)
 	a.app.Logger().SetLevel("disable")
 	a.app.Configure(iris.WithoutPathCorrection, iris.WithoutStartupLog)
--- a/internal/adminapi/change_answer.go
+++ b/internal/adminapi/change_response.go
@@ -1,7 +1,7 @@
 package adminapi
 
-// ChangeAnswer says what became of a change.
-type ChangeAnswer struct {
+// ChangeResponse says what became of a change.
+type ChangeResponse struct {
 	Status Status `json:"status"`
 	ID     string `json:"id,omitempty"`
 	// Version is the configuration's version with the change, and the entity's
--- a/internal/adminapi/changes.go
+++ b/internal/adminapi/changes.go
@@ -39,8 +39,8 @@
 	answer(ctx, http.StatusOK, a.changesAnswer(changes))
 }
 
-func (a *API) changesAnswer(changes []config.Change) ChangesAnswer {
-	body := ChangesAnswer{Version: a.options.Store.Current().Version, Changes: []config.Change{}}
+func (a *API) changesAnswer(changes []config.Change) ChangesResponse {
+	body := ChangesResponse{Version: a.options.Store.Current().Version, Changes: []config.Change{}}
 	for _, change := range changes {
 		body.Changes = append(body.Changes, viewOfChange(change))
 	}
@@ -82,7 +82,7 @@
 		fail(ctx, problem)
 		return
 	}
-	body := ChangeShown{ChangeAnswer: changeAnswer(a.acceptance(ctx, version, wait))}
+	body := ChangeDetails{ChangeResponse: changeAnswer(a.acceptance(ctx, version, wait))}
 	changes, err := a.options.Store.History(ctx.Request().Context(), version-1, 1)
 	if err == nil && len(changes) == 1 && changes[0].Version == version {
 		shown := viewOfChange(changes[0])
--- a/internal/adminapi/dump_test.go
+++ b/internal/adminapi/dump_test.go
@@ -15,7 +15,7 @@
 		stuck := make(chan struct{})
 		defer close(stuck)
 		var taken atomic.Int32
-		c := newClient(t, Options{Store: newFakeStore(t), DumpBound: time.Millisecond, Dump: func() any {
+		c := newClient(t, Options{Store: newFakeStore(t), DumpTimeout: time.Millisecond, Dump: func() any {
 			taken.Add(1)
 			<-stuck
 			return "free"
--- a/internal/adminapi/list_answer.go
+++ b/internal/adminapi/list_response.go
@@ -2,8 +2,8 @@
 
 import "geraniumcroft/internal/config"
 
-// ListAnswer is one table of the configuration.
-type ListAnswer struct {
+// ListResponse is one table of the configuration.
+type ListResponse struct {
 	// Version is the configuration's, as this VM has it in force.
 	Version uint64 `json:"version"`
 	Items   []any  `json:"items"`
@@ -13,8 +13,8 @@
 	IgnoreFencing    []string `json:"ignoreFencing,omitempty"`
 }
 
-func listOf(snapshot *config.Snapshot, kind config.EntityKind) ListAnswer {
-	answer := ListAnswer{Version: snapshot.Version, Items: []any{}}
+func listOf(snapshot *config.Snapshot, kind config.EntityKind) ListResponse {
+	answer := ListResponse{Version: snapshot.Version, Items: []any{}}
 	for _, name := range snapshot.Names(kind) {
 		entity, _ := snapshot.Entity(kind, name)
 		answer.Items = append(answer.Items, viewOf(entity))
@@ -25,7 +25,7 @@
 	return answer
 }
 
-func (a *ListAnswer) noteTarget(t *config.Target) {
+func (a *ListResponse) noteTarget(t *config.Target) {
 	if !t.ChecksCallers {
 		a.UncheckedCallers = append(a.UncheckedCallers, t.Name)
 	}
--- a/internal/adminapi/options.go
+++ b/internal/adminapi/options.go
@@ -21,8 +21,8 @@
 	// maxWaits bounds the requests that wait for a change at one time; those beyond
 	// it are told at once what is in force, and may ask again.
 	maxWaits = 64
-	// DefaultDumpBound is how long the dump may take before the stacks are shown.
-	DefaultDumpBound = 2 * time.Second
+	// DefaultDumpTimeout is how long the dump may take before the stacks are shown.
+	DefaultDumpTimeout = 2 * time.Second
 )
 
 // Options set up the API. Store, Confirmer and Authenticator are needed.
@@ -37,14 +37,14 @@
 	// Version is the program's version.
 	Version   string
 	Logger    *zap.Logger
-	DumpBound time.Duration
+	DumpTimeout time.Duration
 }
 
 func (o Options) withDefaults() Options {
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
 	}
-	o.DumpBound = cmp.Or(o.DumpBound, DefaultDumpBound)
+	o.DumpTimeout = cmp.Or(o.DumpTimeout, DefaultDumpTimeout)
 	o.VMs = orNull(o.VMs)
 	o.Leases = orNull(o.Leases)
 	o.Dump = orNull(o.Dump)
--- a/internal/adminapi/state.go
+++ b/internal/adminapi/state.go
@@ -11,7 +11,7 @@
 }
 
 func (a *API) version(ctx iris.Context) {
-	answer(ctx, http.StatusOK, VersionAnswer{
+	answer(ctx, http.StatusOK, VersionResponse{
 		Program:       a.options.Version,
 		Configuration: a.options.Store.Current().Version,
 	})
--- a/internal/adminapi/version_answer.go
+++ b/internal/adminapi/version_response.go
@@ -1,7 +1,7 @@
 package adminapi
 
-// VersionAnswer names the program's version and the configuration's.
-type VersionAnswer struct {
+// VersionResponse names the program's version and the configuration's.
+type VersionResponse struct {
 	Program       string `json:"program"`
 	Configuration uint64 `json:"configuration"`
 }
--- a/internal/cli/admincmd/change.go
+++ b/internal/cli/admincmd/change.go
@@ -49,7 +49,7 @@
 // answer was lost, until the time is over.
 func (s *session) follow(ctx context.Context, got reply, until time.Time) subcommands.ExitStatus {
 	for {
-		var state adminapi.ChangeAnswer
+		var state adminapi.ChangeResponse
 		if err := got.decode(&state); err != nil {
 			s.complain("%v", err)
 			return exitFailed
@@ -65,7 +65,7 @@
 	}
 }
 
-func (s *session) again(ctx context.Context, got reply, state adminapi.ChangeAnswer, until time.Time) (reply, subcommands.ExitStatus) {
+func (s *session) again(ctx context.Context, got reply, state adminapi.ChangeResponse, until time.Time) (reply, subcommands.ExitStatus) {
 	if !state.Committed {
 		return s.lookUp(ctx, got, state.ID)
 	}
@@ -88,7 +88,7 @@
 	case next.status != http.StatusOK:
 		return got, exitDone
 	}
-	var found adminapi.ChangesAnswer
+	var found adminapi.ChangesResponse
 	if err := next.decode(&found); err != nil || len(found.Changes) != 1 {
 		return got, exitDone
 	}
@@ -105,7 +105,7 @@
 
 // finish prints what became of the change. Only one that is in force everywhere
 // is done.
-func (s *session) finish(got reply, state adminapi.ChangeAnswer) subcommands.ExitStatus {
+func (s *session) finish(got reply, state adminapi.ChangeResponse) subcommands.ExitStatus {
 	switch {
 	case s.json:
 		s.printJSON(got.body)
--- a/internal/cli/admincmd/change_verbs.go
+++ b/internal/cli/admincmd/change_verbs.go
@@ -46,7 +46,7 @@
 		s.printJSON(r.body)
 		return exitDone
 	}
-	var answer adminapi.ChangesAnswer
+	var answer adminapi.ChangesResponse
 	if err := r.decode(&answer); err != nil {
 		s.complain("%v", err)
 		return exitFailed
