--- a/internal/adminapi/options.go
+++ b/internal/adminapi/options.go
@@ -35,8 +35,8 @@
 	Leases func() any
 	Dump   func() any
 	// Version is the program's version.
-	Version   string
-	Logger    *zap.Logger
+	Version     string
+	Logger      *zap.Logger
 	DumpTimeout time.Duration
 }
 
