--- a/internal/api/bench_test.go
+++ b/internal/api/bench_test.go
@@ -15,9 +15,9 @@
 	"geraniumcroft/internal/router"
 )
 
-// BenchmarkStreamToken relays tokens over loopback connections to callers that
-// read them, and reports tokens a second of the process's processor time, callers
-// included.
+// BenchmarkStreamToken sends tokens over loopback connections to callers that read
+// them. It reports tokens per second of the process's CPU time, which includes the
+// callers.
 func BenchmarkStreamToken(b *testing.B) {
 	for _, streams := range []int{1, 64} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) { benchmarkStreams(b, streams) })
@@ -25,33 +25,34 @@
 }
 
 func benchmarkStreams(b *testing.B, streams int) {
-	each := b.N/streams + 1
+	tokensPerStream := b.N/streams + 1
 	f := &fakeRouter{generate: func(_ context.Context, _ router.GenerateRequest, sink router.TokenSink) (router.GenerateResult, error) {
-		for i := range each {
+		for i := range tokensPerStream {
 			if err := sink.Token(i, "transformer "); err != nil {
 				return router.GenerateResult{}, err
 			}
 		}
-		return router.GenerateResult{Tokens: each, Finish: "stop"}, nil
+		return router.GenerateResult{Tokens: tokensPerStream, Finish: "stop"}, nil
 	}}
 	server := httptest.NewServer(NewHandler(f, Options{}))
 	defer server.Close()
 	b.ReportAllocs()
 	b.ResetTimer()
-	before := processorSeconds()
+	before := cpuSeconds()
 	done := make(chan error, streams)
 	for range streams {
-		go func() { done <- drain(server.URL + pathChat) }()
+		go func() { done <- readStream(server.URL + pathChat) }()
 	}
 	for range streams {
 		if err := <-done; err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(streams*each)/(processorSeconds()-before), "tokens/core-s")
+	b.ReportMetric(float64(streams*tokensPerStream)/(cpuSeconds()-before), "tokens/core-s")
 }
 
-func drain(url string) error {
+// readStream opens a stream and reads it to its end.
+func readStream(url string) error {
 	body := strings.NewReader(`{"model":"d","stream":true,"messages":[{"role":"user","content":"x"}]}`)
 	response, err := http.Post(url, "application/json", body)
 	if err != nil {
@@ -62,14 +63,15 @@
 	return err
 }
 
-func processorSeconds() float64 {
+// cpuSeconds returns the user and system CPU time of the process.
+func cpuSeconds() float64 {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return float64(usage.Utime.Nano()+usage.Stime.Nano()) / 1e9
 }
 
-// discardWriter is a caller that costs nothing, so that what remains is the
-// program's own work on a token.
+// discardWriter is a ResponseWriter without a connection, so that a benchmark
+// measures only this program's work per token.
 type discardWriter struct{ header http.Header }
 
 func (w *discardWriter) Header() http.Header         { return w.header }
@@ -77,7 +79,7 @@
 func (w *discardWriter) WriteHeader(int)             {}
 func (w *discardWriter) Flush()                      {}
 
-// BenchmarkTokenWithoutNetwork measures the path from the sink to the writer.
+// BenchmarkTokenWithoutNetwork measures a token from the sink to the ResponseWriter.
 func BenchmarkTokenWithoutNetwork(b *testing.B) {
 	for name, text := range map[string]string{"plain": "transformer ", "escaped": "a \"b\"\n"} {
 		b.Run(name, func(b *testing.B) {
@@ -96,8 +98,8 @@
 	}
 }
 
-// BenchmarkOpenStreamMemory holds streams open after their first token and
-// reports the memory of each, with the caller's end of the connection.
+// BenchmarkOpenStreamMemory holds streams open after their first token and reports
+// the memory of each, which includes the caller's end of the connection.
 func BenchmarkOpenStreamMemory(b *testing.B) {
 	const streams = 1000
 	for b.Loop() {
@@ -128,6 +130,7 @@
 	return float64(memoryInUse()-before) / float64(streams)
 }
 
+// openStream sends a request for a stream and waits for the start of the response.
 func openStream(b *testing.B, address string) net.Conn {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -140,6 +143,7 @@
 	return conn
 }
 
+// memoryInUse returns the bytes in heap and stack spans after a collection.
 func memoryInUse() int64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/api/body.go
+++ b/internal/api/body.go
@@ -11,28 +11,30 @@
 	"geraniumcroft/internal/router"
 )
 
-// readBody reads the whole body within the bounds of size and time, and notes its
-// size and digest.
-func (x *exchange) readBody(id *router.Identity) ([]byte, *outcome.Failure) {
+// readBody reads the request body and records its size and digest in meta. A body
+// that exceeds MaxBodyBytes or is incomplete ReadTimeout after the request arrived
+// is a failure, and the connection is closed.
+func (x *exchange) readBody(meta *router.Identity) ([]byte, *outcome.Failure) {
 	if x.r.ContentLength > x.options.MaxBodyBytes {
 		x.w.Header().Set("Connection", "close")
 		return nil, bodyTooLarge()
 	}
 	_ = x.control.SetReadDeadline(x.arrival.Add(x.options.ReadTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, x.options.MaxBodyBytes))
-	if failure := bodyFailure(err); failure != nil {
+	if failure := readFailure(err); failure != nil {
 		x.w.Header().Set("Connection", "close")
 		return nil, failure
 	}
-	// The server goes on reading, to notice that the caller has gone: with the
-	// deadline left in place every request would look abandoned once it passes.
+	// net/http keeps reading in the background to detect a disconnect. With the
+	// deadline left in place, every request would look disconnected once it passes.
 	_ = x.control.SetReadDeadline(time.Time{})
-	id.BodyBytes = int64(len(body))
-	id.Digest = sha256.Sum256(body)
+	meta.BodyBytes = int64(len(body))
+	meta.Digest = sha256.Sum256(body)
 	return body, nil
 }
 
-func bodyFailure(err error) *outcome.Failure {
+// readFailure returns the failure for an error of reading the body, or nil.
+func readFailure(err error) *outcome.Failure {
 	var tooLarge *http.MaxBytesError
 	switch {
 	case err == nil:
--- a/internal/api/call.go
+++ b/internal/api/call.go
@@ -7,39 +7,42 @@
 	"geraniumcroft/internal/router"
 )
 
-// call passes a request on to a plain service and its answer back.
+// call forwards a request to a plain service and returns the service's response.
 func (x *exchange) call() {
-	request, failure := x.callRequest()
+	request, failure := x.readCall()
 	if failure != nil {
 		x.refuse(failure)
 		return
 	}
 	result, err := x.router.Call(x.r.Context(), request)
 	if err != nil {
-		x.fail(failureOf(err))
+		x.writeProblem(toFailure(err))
 		return
 	}
-	x.answerCall(result)
+	x.writeCallResult(result)
 }
 
-func (x *exchange) callRequest() (router.CallRequest, *outcome.Failure) {
-	id, failure := x.identity()
+// readCall reads and checks the request for a call.
+func (x *exchange) readCall() (router.CallRequest, *outcome.Failure) {
+	meta, failure := x.metadata()
 	if failure != nil {
 		return router.CallRequest{}, failure
 	}
-	if failure := x.setProfile(&id, x.param("profile")); failure != nil {
+	if failure := x.setProfile(&meta, x.pathParam("profile")); failure != nil {
 		return router.CallRequest{}, failure
 	}
-	body, failure := x.readBody(&id)
+	body, failure := x.readBody(&meta)
 	if failure != nil {
 		return router.CallRequest{}, failure
 	}
-	return router.CallRequest{Identity: id, Body: body, ContentType: x.r.Header.Get("Content-Type")}, nil
+	return router.CallRequest{Identity: meta, Body: body, ContentType: x.r.Header.Get("Content-Type")}, nil
 }
 
-func (x *exchange) answerCall(result router.CallResult) {
+// writeCallResult sends the service's response. If its status is not a valid final
+// status, the outcome is unknown, since the service may have executed the call.
+func (x *exchange) writeCallResult(result router.CallResult) {
 	if result.Status < http.StatusOK || result.Status > 599 {
-		x.fail(outcome.Uncertain(outcome.ReasonTargetFailed, "The service answered with a status that cannot be passed on."))
+		x.writeProblem(outcome.Uncertain(outcome.ReasonTargetFailed, "The service answered with a status that cannot be passed on."))
 		return
 	}
 	if result.Replayed {
@@ -50,5 +53,5 @@
 		contentType = "application/octet-stream"
 	}
 	x.w.Header().Set("X-Content-Type-Options", "nosniff")
-	x.answer(result.Status, contentType, outcome.Complete, result.Body)
+	x.writeResponse(result.Status, contentType, outcome.Complete, result.Body)
 }
--- a/internal/api/chat_body.go
+++ b/internal/api/chat_body.go
@@ -1,39 +1,42 @@
 package api
 
-// chatBody is the body of a chat completion.
+// chatBody is the request body of a chat completion.
 type chatBody struct {
 	commonBody
 	MaxCompletionTokens *int          `json:"max_completion_tokens"`
 	Messages            []chatMessage `json:"messages"`
 }
 
+// parseChat parses the body of a chat completion. The second result is empty, or
+// the detail of the problem answer. max_completion_tokens takes precedence over
+// max_tokens.
 func parseChat(body []byte, maxPieces int) (parsedBody, string) {
 	var b chatBody
-	if problem := decode(body, &b); problem != "" {
+	if problem := decodeObject(body, &b); problem != "" {
 		return parsedBody{}, problem
 	}
 	maxTokens := b.MaxCompletionTokens
 	if maxTokens == nil {
 		maxTokens = b.MaxTokens
 	}
-	p, problem := b.parsed(maxTokens)
+	p, problem := b.parse(maxTokens)
 	if problem != "" {
 		return p, problem
 	}
-	p.prompt, problem = messagesPrompt(b.Messages, maxPieces)
+	p.prompt, problem = splitMessages(b.Messages, maxPieces)
 	return p, problem
 }
 
-// messagesPrompt takes the messages' texts in order.
-func messagesPrompt(messages []chatMessage, maxPieces int) ([]string, string) {
-	p := prompt{maxPieces: maxPieces}
+// splitMessages returns the pieces of all messages' texts, in order.
+func splitMessages(messages []chatMessage, maxPieces int) ([]string, string) {
+	splitter := promptSplitter{maxPieces: maxPieces}
 	for _, message := range messages {
 		if message.Role == "" {
 			return nil, "A message has no role."
 		}
-		if problem := message.addTo(&p); problem != "" {
+		if problem := message.addTo(&splitter); problem != "" {
 			return nil, problem
 		}
 	}
-	return p.pieces, p.problem()
+	return splitter.pieces, splitter.problem()
 }
--- a/internal/api/chat_message.go
+++ b/internal/api/chat_message.go
@@ -2,13 +2,16 @@
 
 import "encoding/json"
 
+// chatMessage is one message of a chat.
 type chatMessage struct {
 	Role string `json:"role"`
-	// Content is a string or a list of parts.
+	// Content is a string, a list of text parts, or null.
 	Content json.RawMessage `json:"content"`
 }
 
-func (m chatMessage) addTo(p *prompt) string {
+// addTo adds the message's text to the splitter. It returns what is wrong with
+// the content, or "".
+func (m chatMessage) addTo(splitter *promptSplitter) string {
 	if len(m.Content) == 0 || string(m.Content) == "null" {
 		return ""
 	}
@@ -17,13 +20,13 @@
 		if err := json.Unmarshal(m.Content, &text); err != nil {
 			return "A message's content is not a string."
 		}
-		p.add(text)
+		splitter.add(text)
 		return ""
 	}
-	return m.addParts(p)
+	return m.addParts(splitter)
 }
 
-func (m chatMessage) addParts(p *prompt) string {
+func (m chatMessage) addParts(splitter *promptSplitter) string {
 	var parts []contentPart
 	if err := json.Unmarshal(m.Content, &parts); err != nil {
 		return "A message's content is neither a string nor a list of parts."
@@ -32,7 +35,7 @@
 		if part.Type != "text" {
 			return "Only parts of the type text are served."
 		}
-		p.add(part.Text)
+		splitter.add(part.Text)
 	}
 	return ""
 }
--- a/internal/api/common_body.go
+++ b/internal/api/common_body.go
@@ -1,8 +1,12 @@
 package api
 
-// commonBody holds the fields that both shapes have and that matter here. All
-// other fields (temperature, user, ...) tune the engine or name the caller; they
-// are accepted and have no effect.
+// commonBody holds the fields that chat and plain completions share and that have
+// an effect. All other fields (temperature, user, ...) are sampling parameters or
+// describe the caller; they are accepted and ignored.
+//
+// encoding/json puts the names of the embedded types commonBody and unserved into
+// the field path of a type error, which decodeObject sends to the caller. Renaming
+// a type changes that text.
 type commonBody struct {
 	Model         string         `json:"model"`
 	MaxTokens     *int           `json:"max_tokens"`
@@ -13,11 +17,14 @@
 	unserved
 }
 
+// streamOptions is the stream_options field.
 type streamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-func (b *commonBody) parsed(maxTokens *int) (parsedBody, string) {
+// parse returns the parsed body without its prompt, and what is wrong with it, or
+// "". A nil maxTokens means that the caller sets no limit.
+func (b *commonBody) parse(maxTokens *int) (parsedBody, string) {
 	p := parsedBody{model: b.Model, stream: b.Stream}
 	p.includeUsage = b.StreamOptions != nil && b.StreamOptions.IncludeUsage
 	switch {
--- a/internal/api/completion_body.go
+++ b/internal/api/completion_body.go
@@ -2,19 +2,21 @@
 
 import "encoding/json"
 
-// completionBody is the body of a plain completion.
+// completionBody is the request body of a plain completion.
 type completionBody struct {
 	commonBody
-	// Prompt is a string or a list with one string.
+	// Prompt is a string or a list of one string.
 	Prompt json.RawMessage `json:"prompt"`
 }
 
+// parseCompletion parses the body of a plain completion. The second result is
+// empty, or the detail of the problem answer.
 func parseCompletion(body []byte, maxPieces int) (parsedBody, string) {
 	var b completionBody
-	if problem := decode(body, &b); problem != "" {
+	if problem := decodeObject(body, &b); problem != "" {
 		return parsedBody{}, problem
 	}
-	p, problem := b.parsed(b.MaxTokens)
+	p, problem := b.parse(b.MaxTokens)
 	if problem != "" {
 		return p, problem
 	}
@@ -22,12 +24,13 @@
 	if problem != "" {
 		return p, problem
 	}
-	cut := prompt{maxPieces: maxPieces}
-	cut.add(text)
-	p.prompt = cut.pieces
-	return p, cut.problem()
+	splitter := promptSplitter{maxPieces: maxPieces}
+	splitter.add(text)
+	p.prompt = splitter.pieces
+	return p, splitter.problem()
 }
 
+// text returns the prompt, and what is wrong with it, or "".
 func (b *completionBody) text() (text, problem string) {
 	if json.Unmarshal(b.Prompt, &text) == nil {
 		return text, ""
--- a/internal/api/encoder.go
+++ b/internal/api/encoder.go
@@ -9,77 +9,81 @@
 )
 
 const (
-	eventEnd = "\n\n"
-	comment  = ": waiting\n\n"
-	doneData = "data: [DONE]\n\n"
+	eventEnd  = "\n\n"
+	comment   = ": waiting\n\n"
+	doneEvent = "data: [DONE]\n\n"
 )
 
-// encoder writes a stream's events. What all chunks of a stream share is encoded
-// once; a chunk is then appended to a buffer that is used again.
+// encoder encodes the server-sent events of one stream. The part that all chunks
+// share is encoded once. The append methods append to b, so that the caller can
+// reuse its buffer.
 type encoder struct {
 	g *generation
-	// head is a chunk up to its choices, without "data: ".
-	head []byte
-	sent int
+	// chunkHead is the start of each chunk up to its choices, without "data: ".
+	chunkHead  []byte
+	tokensSent int
 }
 
 func newEncoder(g *generation) *encoder {
-	head := append([]byte(nil), `{"id":`...)
-	head = appendJSON(head, g.shape.idPrefix+g.RequestID)
-	head = append(head, `,"object":"`+g.shape.chunkObject+`","created":`...)
-	head = strconv.AppendInt(head, g.created.Unix(), 10)
-	head = append(head, `,"model":`...)
-	head = appendJSON(head, g.Profile)
-	head = append(head, `,"choices":[`...)
-	return &encoder{g: g, head: head}
+	chunkHead := append([]byte(nil), `{"id":`...)
+	chunkHead = appendString(chunkHead, g.format.idPrefix+g.RequestID)
+	chunkHead = append(chunkHead, `,"object":"`+g.format.chunkObject+`","created":`...)
+	chunkHead = strconv.AppendInt(chunkHead, g.created.Unix(), 10)
+	chunkHead = append(chunkHead, `,"model":`...)
+	chunkHead = appendString(chunkHead, g.Profile)
+	chunkHead = append(chunkHead, `,"choices":[`...)
+	return &encoder{g: g, chunkHead: chunkHead}
 }
 
-func (e *encoder) token(b []byte, text string) []byte {
-	before := e.g.shape.textBefore
-	if e.sent == 0 {
-		before = e.g.shape.firstBefore
+// appendToken appends the chunk for one token and counts the token.
+func (e *encoder) appendToken(b []byte, text string) []byte {
+	prefix := e.g.format.choicePrefix
+	if e.tokensSent == 0 {
+		prefix = e.g.format.firstChoicePrefix
 	}
-	e.sent++
+	e.tokensSent++
 	b = append(b, "data: "...)
-	b = append(b, e.head...)
-	b = append(b, before...)
-	b = appendJSON(b, text)
-	b = append(b, e.g.shape.textAfter...)
+	b = append(b, e.chunkHead...)
+	b = append(b, prefix...)
+	b = appendString(b, text)
+	b = append(b, e.g.format.choiceSuffix...)
 	return append(b, "]}"+eventEnd...)
 }
 
-// finish is the chunk that ends the choice, then the usage where it was asked for.
-func (e *encoder) finish(b []byte, reason string, tokens int) []byte {
+// appendFinish appends the chunk with the finish reason, then the usage chunk if
+// the caller has requested it.
+func (e *encoder) appendFinish(b []byte, reason string, tokens int) []byte {
 	b = append(b, "data: "...)
-	b = append(b, e.head...)
-	b = append(b, e.g.shape.emptyChoice...)
-	b = appendJSON(b, reason)
+	b = append(b, e.chunkHead...)
+	b = append(b, e.g.format.finishPrefix...)
+	b = appendString(b, reason)
 	b = append(b, "}]}"+eventEnd...)
 	if !e.g.includeUsage {
 		return b
 	}
 	b = append(b, "data: "...)
-	b = append(b, e.head...)
+	b = append(b, e.chunkHead...)
 	b = append(b, `],"usage":`...)
-	b = appendValue(b, e.g.usage(tokens))
+	b = appendMarshaled(b, e.g.usage(tokens))
 	return append(b, "}"+eventEnd...)
 }
 
-// failed is the chunk at which OpenAI clients raise an error.
-func (e *encoder) failed(b []byte, f *outcome.Failure) []byte {
+// appendError appends the error chunk, at which OpenAI clients raise an error.
+func (e *encoder) appendError(b []byte, f *outcome.Failure) []byte {
 	b = append(b, "data: "...)
-	b = appendValue(b, streamError{Error: streamErrorBody{
+	b = appendMarshaled(b, streamError{Error: streamErrorBody{
 		Message: f.Detail, Type: "server_error", Code: string(f.Reason), Status: f.Reason.Status(),
 	}})
 	return append(b, eventEnd...)
 }
 
-// outcome is the event that says how the request ended. Its data is a chunk with
-// nothing in it as well, since there are clients that take every event for one.
-func (e *encoder) outcome(b []byte, o outcome.Outcome, reason outcome.Reason) []byte {
+// appendOutcome appends the event that names the outcome of the request. Its data
+// is also a valid chunk without text, since some clients parse every event as a
+// chunk.
+func (e *encoder) appendOutcome(b []byte, o outcome.Outcome, reason outcome.Reason) []byte {
 	b = append(b, "event: outcome\ndata: "...)
-	b = append(b, e.head...)
-	b = append(b, e.g.shape.emptyChoice...)
+	b = append(b, e.chunkHead...)
+	b = append(b, e.g.format.finishPrefix...)
 	b = append(b, `null}],"outcome":"`...)
 	b = append(b, o.String()...)
 	if reason != "" {
@@ -87,23 +91,25 @@
 		b = append(b, reason...)
 	}
 	b = append(b, `","tokens":`...)
-	b = strconv.AppendInt(b, int64(e.sent), 10)
+	b = strconv.AppendInt(b, int64(e.tokensSent), 10)
 	b = append(b, `,"requestId":`...)
-	b = appendJSON(b, e.g.RequestID)
+	b = appendString(b, e.g.RequestID)
 	return append(b, "}"+eventEnd...)
 }
 
-// appendJSON appends text as a JSON string. Most tokens need no escape and are
-// copied; the rest goes through encoding/json.
-func appendJSON(b []byte, text string) []byte {
+// appendString appends text as a JSON string. Most tokens need no escaping and are
+// copied; all others are encoded by encoding/json.
+func appendString(b []byte, text string) []byte {
 	if !needsEscape(text) {
 		b = append(b, '"')
 		b = append(b, text...)
 		return append(b, '"')
 	}
-	return appendValue(b, text)
+	return appendMarshaled(b, text)
 }
 
+// needsEscape reports whether text can't be copied into a JSON string unchanged:
+// it holds a control character, a quote or a backslash, or is not valid UTF-8.
 func needsEscape(text string) bool {
 	ascii := true
 	for i := range len(text) {
@@ -116,7 +122,9 @@
 	return !ascii && !utf8.ValidString(text)
 }
 
-func appendValue(b []byte, value any) []byte {
+// appendMarshaled appends value as encoding/json encodes it. It panics if value
+// can't be encoded.
+func appendMarshaled(b []byte, value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
--- a/internal/api/virtual_test.go
+++ b/internal/api/fake_time_test.go
@@ -16,8 +16,8 @@
 	"geraniumcroft/internal/router"
 )
 
-// pipeListener accepts connections that are pipes within the process, so that
-// whole exchanges run in virtual time.
+// pipeListener accepts in-process pipes instead of TCP connections, so that complete
+// exchanges run in the fake time of synctest.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -46,8 +46,8 @@
 	return client
 }
 
-// inVirtualTime runs test against a server over pipes.
-func inVirtualTime(t *testing.T, f *fakeRouter, o Options, test func(t *testing.T, l *pipeListener)) {
+// withFakeTime runs test in a synctest bubble against a server that listens on l.
+func withFakeTime(t *testing.T, f *fakeRouter, o Options, test func(t *testing.T, l *pipeListener)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		listener := &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
@@ -61,6 +61,7 @@
 
 const streamBody = `{"model":"d","stream":true,"messages":[{"role":"user","content":"x"}]}`
 
+// send writes a request for a chat completion to conn.
 func send(t *testing.T, conn net.Conn, body string) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://127.0.0.1"+pathChat, strings.NewReader(body))
@@ -72,6 +73,7 @@
 	}
 }
 
+// receive reads the head of the response from conn.
 func receive(t *testing.T, conn net.Conn) *http.Response {
 	t.Helper()
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -81,10 +83,11 @@
 	return response
 }
 
-// The first token takes 17 s and the next one 17 s more, longer than all bounds on
-// reading and writing. The caller gets the status after 5 s and a comment for each
-// 5 s of silence, so that it can tell slow from silent, and then the whole answer:
-// no bound that is meant for a caller ends a request whose engine is slow.
+// Each of two tokens takes 17 s, longer than the read and write timeouts. The caller
+// gets the status after 5 s, a comment for each 5 s without a token, so that it can
+// distinguish a slow stream from a dead connection, and then the complete stream.
+// Timeouts that guard against slow callers must not end a request whose engine is
+// slow.
 func TestSlowStreamCarriesComments(t *testing.T) {
 	f := &fakeRouter{generate: func(ctx context.Context, _ router.GenerateRequest, sink router.TokenSink) (router.GenerateResult, error) {
 		for i := range 2 {
@@ -99,14 +102,14 @@
 		}
 		return router.GenerateResult{Tokens: 2, Finish: "stop"}, nil
 	}}
-	inVirtualTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
+	withFakeTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
 		conn := l.dial()
 		defer conn.Close()
 		began := time.Now()
 		send(t, conn, streamBody)
 		response := receive(t, conn)
 		if took := time.Since(began); took != 5*time.Second {
-			t.Errorf("the status came after %s", took)
+			t.Errorf("the status was sent after %s", took)
 		}
 		events, comments := readEvents(t, response.Body)
 		if comments != 6 {
@@ -118,8 +121,9 @@
 	})
 }
 
-// A caller opens a stream and never reads. A token's write ends at the deadline,
-// and the request with it; an unbounded write would hold the engines' slots for good.
+// The caller opens a stream and never reads. Writing a token fails at the deadline,
+// which ends the request. Without a deadline the write would hold the engines' slots
+// forever.
 func TestWriteToSilentCallerEnds(t *testing.T) {
 	var failed error
 	var cancelled bool
@@ -130,7 +134,7 @@
 		cancelled = ctx.Err() != nil
 		return router.GenerateResult{}, outcome.Uncertain(outcome.ReasonCallerGone, "Gone.")
 	}}
-	inVirtualTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
+	withFakeTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
 		conn := l.dial()
 		defer conn.Close()
 		send(t, conn, streamBody)
@@ -142,10 +146,10 @@
 	})
 }
 
-// A caller sends half a body and no more. It is refused not-run at the bound and
-// its connection closed.
-func TestHalfBodyIsRefused(t *testing.T) {
-	inVirtualTime(t, &fakeRouter{}, Options{}, func(t *testing.T, l *pipeListener) {
+// The caller sends only a part of the body. The request is refused as not-run after
+// ReadTimeout, and the connection is closed.
+func TestIncompleteBodyIsRefused(t *testing.T) {
+	withFakeTime(t, &fakeRouter{}, Options{}, func(t *testing.T, l *pipeListener) {
 		conn := l.dial()
 		defer conn.Close()
 		if _, err := conn.Write([]byte("POST " + pathChat + " HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\n{")); err != nil {
@@ -154,17 +158,17 @@
 		response := receive(t, conn)
 		expectProblem(t, response, http.StatusBadRequest, outcome.NotRun, outcome.ReasonBadRequest)
 		if !response.Close {
-			t.Error("the connection is kept, with a body of unknown end on it")
+			t.Error("the connection is kept open although the end of the body is unknown")
 		}
 	})
 }
 
-// A caller asks for a whole answer and does not read it. The write ends at the
-// deadline and the connection is closed: the caller that comes back later finds
-// half an answer, and meanwhile nothing on the VM was held for it.
+// The caller requests a response that is not streamed and does not read it. The
+// write fails at the deadline and the connection is closed, so that the VM holds no
+// resources for it. A caller that reads later gets a truncated response.
 func TestWholeAnswerToSilentCallerEnds(t *testing.T) {
 	f := &fakeRouter{generate: tokens(strings.Repeat("x", 100000))}
-	inVirtualTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
+	withFakeTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
 		conn := l.dial()
 		defer conn.Close()
 		send(t, conn, strings.Replace(streamBody, "true", "false", 1))
@@ -175,14 +179,14 @@
 	})
 }
 
-// A bug panics in the middle of a stream. The caller sees an error chunk and the
-// outcome, not an end of file that looks like an answer.
+// The router panics in the middle of a stream. The caller gets an error chunk and
+// the outcome, not an EOF that could be mistaken for the end of the stream.
 func TestPanicInOpenStream(t *testing.T) {
 	f := &fakeRouter{generate: func(_ context.Context, _ router.GenerateRequest, sink router.TokenSink) (router.GenerateResult, error) {
 		_ = sink.Token(0, "a")
 		panic("bug")
 	}}
-	inVirtualTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
+	withFakeTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
 		conn := l.dial()
 		defer conn.Close()
 		send(t, conn, streamBody)
@@ -193,12 +197,12 @@
 	})
 }
 
-// A VM is stopping. Requests on kept connections are still answered, and their
-// callers told to open new ones, which the balancer sends elsewhere.
-func TestUnreadyLeavesConnections(t *testing.T) {
+// A VM that is not ready still serves requests on kept-alive connections but closes
+// the connections, so that the balancer assigns the callers' next ones to other VMs.
+func TestUnreadyServerClosesConnections(t *testing.T) {
 	f := &fakeRouter{generate: tokens("a")}
 	f.unready.Store(true)
-	inVirtualTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
+	withFakeTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
 		conn := l.dial()
 		defer conn.Close()
 		send(t, conn, `{"model":"d","messages":[{"role":"user","content":"x"}]}`)
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -9,21 +9,22 @@
 
 const fuzzMaxPieces = 64
 
-// checkParsed holds for every body: refused, or within bounds and with a prompt.
-func checkParsed(t *testing.T, body string, p parsedBody, problem string) {
+// checkParsedBody checks that a body is either refused, or valid JSON with a prompt
+// and within the limits.
+func checkParsedBody(t *testing.T, body string, p parsedBody, problem string) {
 	t.Helper()
 	if problem != "" {
 		return
 	}
 	if !json.Valid([]byte(body)) {
-		t.Errorf("accepted what is not JSON: %q", body)
+		t.Errorf("accepted invalid JSON: %q", body)
 	}
 	if p.maxTokens < 0 || p.maxTokens > maxTokensLimit || len(p.prompt) == 0 || len(p.prompt) > fuzzMaxPieces {
 		t.Errorf("accepted %+v", p)
 	}
 	for _, piece := range p.prompt {
 		if piece == "" || strings.Contains(piece[:len(piece)-1], " ") {
-			t.Errorf("piece %q", piece)
+			t.Errorf("piece %q is empty or holds a space before its end", piece)
 		}
 	}
 }
@@ -34,7 +35,7 @@
 	f.Add(`{"model":"d","n":1,"stop":[],"tools":null,"response_format":{"type":"text"},"stream_options":{"include_usage":true},"messages":[{"role":"a","content":null},{"role":"b","content":"\u0000\ud800"}]}`)
 	f.Fuzz(func(t *testing.T, body string) {
 		p, problem := parseChat([]byte(body), fuzzMaxPieces)
-		checkParsed(t, body, p, problem)
+		checkParsedBody(t, body, p, problem)
 	})
 }
 
@@ -43,7 +44,7 @@
 	f.Add(`{"model":"d","prompt":["a"],"echo":false,"suffix":"","best_of":1}`)
 	f.Fuzz(func(t *testing.T, body string) {
 		p, problem := parseCompletion([]byte(body), fuzzMaxPieces)
-		checkParsed(t, body, p, problem)
+		checkParsedBody(t, body, p, problem)
 	})
 }
 
@@ -52,7 +53,7 @@
 	f.Add("a b", "-1s", "bearer  y ")
 	f.Add(strings.Repeat("k", 300), "1e9h", "Basic Zm9v")
 	f.Fuzz(func(t *testing.T, key, deadline, bearer string) {
-		if got, problem := parseKey([]string{key}, defaultMaxKeyBytes); problem == "" && (got != key || got == "" || len(got) > defaultMaxKeyBytes) {
+		if got, problem := parseIdempotencyKey([]string{key}, defaultMaxKeyBytes); problem == "" && (got != key || got == "" || len(got) > defaultMaxKeyBytes) {
 			t.Errorf("key %q from %q", got, key)
 		}
 		if got, problem := parseDeadline([]string{deadline}); problem == "" && (got <= 0 || got > 24*time.Hour) {
@@ -64,17 +65,17 @@
 	})
 }
 
-// FuzzAppendJSON compares the short way for tokens with encoding/json's reading.
-func FuzzAppendJSON(f *testing.F) {
+// FuzzAppendString checks that encoding/json decodes what appendString encodes.
+func FuzzAppendString(f *testing.F) {
 	for _, text := range []string{"plain ", "\"\\\n\x00\x7f", "é\u2028", "\xff\xed\xa0\x80", "</script>"} {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		var got string
-		if err := json.Unmarshal(appendJSON(nil, text), &got); err != nil {
+		if err := json.Unmarshal(appendString(nil, text), &got); err != nil {
 			t.Fatal(err)
 		}
-		// Both replace each invalid byte by one mark.
+		// Both replace each invalid byte with one U+FFFD.
 		if want := string([]rune(text)); got != want {
 			t.Errorf("%q became %q", text, got)
 		}
--- a/internal/api/generation.go
+++ b/internal/api/generation.go
@@ -7,49 +7,51 @@
 	"geraniumcroft/internal/router"
 )
 
-// generation is a request for a generation, in either of the two shapes.
+// generation is a request for a generation in either format.
 type generation struct {
 	router.GenerateRequest
-	shape        shape
+	format       format
 	stream       bool
 	includeUsage bool
 	created      time.Time
 }
 
-func (x *exchange) chat()        { x.generate(chatShape) }
-func (x *exchange) completions() { x.generate(completionShape) }
+func (x *exchange) chat()        { x.generate(chatFormat) }
+func (x *exchange) completions() { x.generate(completionFormat) }
 
-func (x *exchange) generate(s shape) {
-	g, failure := x.generationRequest(s)
+// generate serves a request for a generation in the format f.
+func (x *exchange) generate(f format) {
+	g, failure := x.readGeneration(f)
 	switch {
 	case failure != nil:
 		x.refuse(failure)
 	case g.stream:
-		x.stream(g)
+		x.respondStream(g)
 	default:
-		x.whole(g)
+		x.respondBuffered(g)
 	}
 }
 
-func (x *exchange) generationRequest(s shape) (*generation, *outcome.Failure) {
-	id, failure := x.identity()
+// readGeneration reads and checks the request for a generation.
+func (x *exchange) readGeneration(f format) (*generation, *outcome.Failure) {
+	meta, failure := x.metadata()
 	if failure != nil {
 		return nil, failure
 	}
-	body, failure := x.readBody(&id)
+	body, failure := x.readBody(&meta)
 	if failure != nil {
 		return nil, failure
 	}
-	parsed, problem := s.parse(body, x.options.MaxPromptPieces)
+	parsed, problem := f.parse(body, x.options.MaxPromptPieces)
 	if problem != "" {
 		return nil, badRequest(problem)
 	}
-	if failure := x.setProfile(&id, parsed.model); failure != nil {
+	if failure := x.setProfile(&meta, parsed.model); failure != nil {
 		return nil, failure
 	}
 	return &generation{
-		GenerateRequest: router.GenerateRequest{Identity: id, Prompt: parsed.prompt, MaxTokens: parsed.maxTokens},
-		shape:           s,
+		GenerateRequest: router.GenerateRequest{Identity: meta, Prompt: parsed.prompt, MaxTokens: parsed.maxTokens},
+		format:          f,
 		stream:          parsed.stream,
 		includeUsage:    parsed.includeUsage,
 		created:         x.arrival,
--- a/internal/api/generation_test.go
+++ b/internal/api/generation_test.go
@@ -53,7 +53,7 @@
 }
 
 func TestChatWhole(t *testing.T) {
-	Convey("Given a chat with two messages, of which one comes in parts", t, func() {
+	Convey("Given a chat with two messages, one of them a list of parts", t, func() {
 		var got router.GenerateRequest
 		f := &fakeRouter{generate: func(ctx context.Context, r router.GenerateRequest, sink router.TokenSink) (router.GenerateResult, error) {
 			got = r
@@ -64,7 +64,7 @@
 			"messages":[{"role":"system","content":"be brief"},{"role":"user","content":[{"type":"text","text":"what  now "}]}]}`,
 			map[string]string{"Idempotency-Key": "k-1", HeaderDeadline: "1500ms", "Authorization": "Bearer secret"})
 
-		Convey("the router gets the profile, the prompt in pieces and the caller's bounds", func() {
+		Convey("the router gets the profile, the prompt in pieces and the caller's limits", func() {
 			So(got.Profile, ShouldEqual, "drafts")
 			So(got.Prompt, ShouldResemble, []string{"be ", "brief", "what ", " ", "now "})
 			So(got.MaxTokens, ShouldEqual, 7)
@@ -73,8 +73,8 @@
 			So(got.BearerKey.Reveal(), ShouldEqual, "secret")
 		})
 
-		Convey("the caller gets the whole answer, its usage and its outcome", func() {
-			var answer wholeAnswer
+		Convey("the caller gets the complete text, the usage and the outcome", func() {
+			var answer generationResponse
 			So(json.Unmarshal([]byte(readAll(t, response)), &answer), ShouldBeNil)
 			So(answer.ID, ShouldEqual, "chatcmpl-"+response.Header.Get(HeaderRequestID))
 			So(answer.Object, ShouldEqual, "chat.completion")
@@ -86,9 +86,11 @@
 	})
 }
 
-// sseEvent is one event of a stream.
+// sseEvent is one server-sent event.
 type sseEvent struct{ name, data string }
 
+// readEvents reads a stream to its end and returns its events and the number of its
+// comments.
 func readEvents(t *testing.T, body io.Reader) (events []sseEvent, comments int) {
 	t.Helper()
 	scanner := bufio.NewScanner(body)
@@ -109,11 +111,12 @@
 	return events, comments
 }
 
+// chunk is the data of an event: a chunk of text, an error or an outcome.
 type chunk struct {
 	ID      string
 	Object  string
 	Choices []struct {
-		Delta        wholeMessage
+		Delta        generationMessage
 		Text         string
 		FinishReason *string `json:"finish_reason"`
 	}
@@ -167,7 +170,7 @@
 			t.Errorf("outcome event %+v %+v", end[2], c)
 		}
 		if len(c.Choices) != 1 || c.Choices[0].FinishReason != nil {
-			t.Errorf("the outcome event is not a chunk without text: %+v", c)
+			t.Errorf("the outcome event is not a valid chunk without text: %+v", c)
 		}
 		if end[3].data != "[DONE]" {
 			t.Errorf("last event %+v", end[3])
@@ -178,9 +181,9 @@
 	}
 }
 
-// The caller of a stream that is refused before its first token gets a status
-// and a problem body of their own, not a 200 and a broken stream: the status is
-// held back until the first token is there.
+// A stream that is refused before its first token is answered with an error status
+// and a problem body, not with a 200 and an error event: the status is not sent
+// before the first token.
 func TestStreamRefusedBeforeFirstToken(t *testing.T) {
 	Convey("A stream that is refused before its first token is answered with a problem", t, func() {
 		f := &fakeRouter{generate: func(context.Context, router.GenerateRequest, router.TokenSink) (router.GenerateResult, error) {
@@ -193,8 +196,8 @@
 	})
 }
 
-// The caller of a stream that fails after some tokens sees an error chunk and the
-// outcome, and no [DONE], which clients take for a whole answer.
+// A stream that fails after some tokens ends with an error chunk and the outcome,
+// without [DONE], which clients treat as success.
 func TestStreamFailsAfterTokens(t *testing.T) {
 	Convey("Given a stream that fails after a token", t, func() {
 		f := &fakeRouter{generate: func(_ context.Context, _ router.GenerateRequest, sink router.TokenSink) (router.GenerateResult, error) {
@@ -223,14 +226,14 @@
 	})
 }
 
-// A caller closes its stream. The request's context ends, so the engines' streams
-// are cancelled, though no token is due that would fail to be written.
-func TestCallerGoneCancels(t *testing.T) {
-	gone := make(chan struct{})
+// If the caller closes its connection, the request's context is cancelled even
+// while no token is being written, and with it the engines' streams.
+func TestClosedConnectionCancelsRequest(t *testing.T) {
+	cancelled := make(chan struct{})
 	f := &fakeRouter{generate: func(ctx context.Context, _ router.GenerateRequest, sink router.TokenSink) (router.GenerateResult, error) {
 		_ = sink.Token(0, "a")
 		<-ctx.Done()
-		close(gone)
+		close(cancelled)
 		return router.GenerateResult{}, outcome.Uncertain(outcome.ReasonCallerGone, "Gone.")
 	}}
 	server := newTestServer(t, f, Options{ReadTimeout: time.Hour})
@@ -239,5 +242,5 @@
 		t.Fatal(err)
 	}
 	response.Body.Close()
-	<-gone
+	<-cancelled
 }
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -8,7 +8,7 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// The paths of the callers' API.
+// Paths of the callers' API.
 const (
 	pathChat        = "/v1/chat/completions"
 	pathCompletions = "/v1/completions"
@@ -17,13 +17,13 @@
 	pathReady       = "/readyz"
 )
 
-// handler holds what all requests share.
+// handler holds the state that all requests share.
 type handler struct {
 	router  Router
 	options Options
 }
 
-// NewHandler returns the callers' API over r.
+// NewHandler returns an http.Handler that serves the callers' API with r.
 func NewHandler(r Router, o Options) http.Handler {
 	h := &handler{router: r, options: o.withDefaults()}
 	app := iris.New()
@@ -32,27 +32,28 @@
 		iris.WithoutStartupLog,
 		iris.WithoutBanner,
 		iris.WithoutPathCorrection,
-		// Problem bodies are written here; iris would add its own text to them.
+		// iris would append its own text to the problem bodies.
 		iris.WithoutAutoFireStatusCode,
 	)
-	h.route(app)
+	h.registerRoutes(app)
 	if err := app.Build(); err != nil {
 		panic("api: routes do not build: " + err.Error())
 	}
 	return app
 }
 
-func (h *handler) route(app *iris.Application) {
-	// Of two routes for one method and path iris keeps the later.
+func (h *handler) registerRoutes(app *iris.Application) {
+	// Any registers all methods. iris keeps the later of two routes for the same
+	// method and path, so the real handlers must follow.
 	for _, path := range []string{pathChat, pathCompletions, pathCalls, pathHealth, pathReady} {
-		app.Any(path, h.exchange((*exchange).methodNotAllowed))
+		app.Any(path, h.handle((*exchange).methodNotAllowed))
 	}
-	app.Post(pathChat, h.exchange((*exchange).chat))
-	app.Post(pathCompletions, h.exchange((*exchange).completions))
-	app.Post(pathCalls, h.exchange((*exchange).call))
+	app.Post(pathChat, h.handle((*exchange).chat))
+	app.Post(pathCompletions, h.handle((*exchange).completions))
+	app.Post(pathCalls, h.handle((*exchange).call))
 	app.Get(pathHealth, h.health)
 	app.Get(pathReady, h.ready)
-	app.Any("/{path:path}", h.exchange((*exchange).notFound))
+	app.Any("/{path:path}", h.handle((*exchange).notFound))
 }
 
 func (x *exchange) methodNotAllowed() {
@@ -63,24 +64,24 @@
 	x.refuse(outcome.Refuse(outcome.ReasonNotFound, "There is no such path; docs/api.md lists them."))
 }
 
-// health says that the process answers. It asks nobody, so that it is true while
-// everything else is stuck.
+// health reports that the process is alive. It depends on no other component, so
+// that it succeeds while all others hang.
 func (h *handler) health(ctx iris.Context) {
-	writeState(ctx.ResponseWriter(), http.StatusOK, "live")
+	writeStatus(ctx.ResponseWriter(), http.StatusOK, "live")
 }
 
-// ready says whether the balancer should send requests here.
+// ready reports whether the balancer should send requests to this VM.
 func (h *handler) ready(ctx iris.Context) {
 	if h.router.Ready() {
-		writeState(ctx.ResponseWriter(), http.StatusOK, "ready")
+		writeStatus(ctx.ResponseWriter(), http.StatusOK, "ready")
 		return
 	}
-	writeState(ctx.ResponseWriter(), http.StatusServiceUnavailable, "not ready")
+	writeStatus(ctx.ResponseWriter(), http.StatusServiceUnavailable, "not ready")
 }
 
-func writeState(w http.ResponseWriter, status int, state string) {
+func writeStatus(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(status)
-	_, _ = w.Write([]byte(state + "\n"))
+	_, _ = w.Write([]byte(text + "\n"))
 }
--- a/internal/api/bad_input_test.go
+++ b/internal/api/handler_test.go
@@ -15,12 +15,13 @@
 	"geraniumcroft/internal/router"
 )
 
-// problemBody is a Problem as callers read it.
+// problemBody is a Problem as callers decode it.
 type problemBody struct {
 	Type, Title, Detail, Instance, Outcome, Reason, RequestID string
 	Status                                                    int
 }
 
+// expectProblem checks the status, the headers and the problem body of a response.
 func expectProblem(t *testing.T, response *http.Response, status int, o outcome.Outcome, reason outcome.Reason) {
 	t.Helper()
 	var p problemBody
@@ -38,9 +39,9 @@
 	}
 }
 
-// A caller sends what cannot be served. It gets a 4xx with a problem body that
-// says not-run, and the router never hears of the request, so nothing is spent.
-func TestBadInput(t *testing.T) {
+// A request that is invalid or not supported gets a 4xx with a problem body whose
+// outcome is not-run. It does not reach the router, so it uses no engine or service.
+func TestInvalidInputIsRefused(t *testing.T) {
 	const chatHead = `{"model":"d","messages":[{"role":"user","content":"x"}]`
 	const good = chatHead + `}`
 	long := strings.Repeat("k", 300)
@@ -122,12 +123,12 @@
 			expectProblem(t, response, status, outcome.NotRun, reason)
 		})
 	}
-	if f.reached.Load() != 0 || refused != len(tests) {
-		t.Errorf("%d reached the router, %d of %d were reported as refused", f.reached.Load(), refused, len(tests))
+	if f.requests.Load() != 0 || refused != len(tests) {
+		t.Errorf("%d requests reached the router, %d of %d were reported as refused", f.requests.Load(), refused, len(tests))
 	}
 }
 
-// A body without a length is cut off at the bound as well.
+// A body without a Content-Length is refused as well once it exceeds the limit.
 func TestChunkedBodyTooLarge(t *testing.T) {
 	f := &fakeRouter{}
 	server := newTestServer(t, f, Options{MaxBodyBytes: 4096})
@@ -140,8 +141,8 @@
 	expectProblem(t, response, http.StatusRequestEntityTooLarge, outcome.NotRun, outcome.ReasonTooLarge)
 }
 
-func TestCallPassesOn(t *testing.T) {
-	Convey("Given a call that was answered before with a status of the service's own", t, func() {
+func TestCallIsForwarded(t *testing.T) {
+	Convey("Given a call whose stored response has a status chosen by the service", t, func() {
 		var got router.CallRequest
 		f := &fakeRouter{call: func(_ context.Context, r router.CallRequest) (router.CallResult, error) {
 			got = r
@@ -151,7 +152,7 @@
 		header := map[string]string{"Content-Type": "text/y", "Idempotency-Key": "k"}
 		response := post(t, server.URL+"/v1/profiles/holds/calls", "body", header)
 
-		Convey("the router gets the request as it was sent", func() {
+		Convey("the router gets the request unchanged", func() {
 			So(got.Profile, ShouldEqual, "holds")
 			So(string(got.Body), ShouldEqual, "body")
 			So(got.BodyBytes, ShouldEqual, 4)
@@ -159,7 +160,7 @@
 			So(got.IdempotencyKey, ShouldEqual, "k")
 		})
 
-		Convey("the caller gets the answer as the service gave it, marked as a replay", func() {
+		Convey("the caller gets the service's response unchanged, marked as replayed", func() {
 			So(response.StatusCode, ShouldEqual, 409)
 			So(readAll(t, response), ShouldEqual, "held")
 			So(response.Header.Get("Content-Type"), ShouldEqual, "text/x")
@@ -169,9 +170,9 @@
 	})
 }
 
-// A bug makes the router panic, or return an error that is not an outcome. The
-// caller is told unknown, and its client library is told not to repeat it.
-func TestBugIsUnknown(t *testing.T) {
+// If a bug makes the router panic or return an error of another type, the outcome
+// is unknown and the client library is told not to retry.
+func TestRouterBugIsAnsweredAsUnknown(t *testing.T) {
 	calls := map[string]func(context.Context, router.CallRequest) (router.CallResult, error){
 		"panics": func(context.Context, router.CallRequest) (router.CallResult, error) { panic("bug") },
 		"returns an untyped error": func(context.Context, router.CallRequest) (router.CallResult, error) {
@@ -179,7 +180,7 @@
 		},
 	}
 	for name, call := range calls {
-		Convey("A router that "+name+" is answered as unknown, not to be repeated", t, func() {
+		Convey("A router that "+name+" leads to the outcome unknown without a retry", t, func() {
 			server := newTestServer(t, &fakeRouter{call: call}, Options{})
 			response := post(t, server.URL+"/v1/profiles/p/calls", "", nil)
 			expectProblem(t, response, http.StatusInternalServerError, outcome.Unknown, outcome.ReasonInternal)
@@ -188,8 +189,8 @@
 	}
 }
 
-func TestHealthAndReady(t *testing.T) {
-	Convey("Given a VM that serves", t, func() {
+func TestHealthAndReadiness(t *testing.T) {
+	Convey("Given a VM that is ready", t, func() {
 		f := &fakeRouter{}
 		handler := NewHandler(f, Options{})
 		status := func(path string) int {
@@ -200,7 +201,7 @@
 		So(status(pathHealth), ShouldEqual, 200)
 		So(status(pathReady), ShouldEqual, 200)
 
-		Convey("it is healthy and not ready when it is about to stop", func() {
+		Convey("it stays healthy when it is no longer ready", func() {
 			f.unready.Store(true)
 			So(status(pathHealth), ShouldEqual, 200)
 			So(status(pathReady), ShouldEqual, 503)
--- a/internal/api/head.go
+++ b/internal/api/head.go
@@ -14,12 +14,13 @@
 	maxBearerBytes  = 1024
 	maxProfileBytes = 128
 	maxDeadline     = 24 * time.Hour
-	// perHeaderBytes is what a header line costs besides its name and value.
-	perHeaderBytes = 4
+	// headerOverheadBytes is the size of a header line without its name and value:
+	// colon, space, CR and LF.
+	headerOverheadBytes = 4
 )
 
-// checkConnection refuses the requests of a connection above the limit.
-func (x *exchange) checkConnection() *outcome.Failure {
+// checkConnectionLimit refuses requests on connections above MaxConnections.
+func (x *exchange) checkConnectionLimit() *outcome.Failure {
 	if !listener.AboveLimit(x.r.Context()) {
 		return nil
 	}
@@ -27,13 +28,14 @@
 	return outcome.Refuse(outcome.ReasonOverloaded, "Too many connections are open.").WithRetryAfter(time.Second)
 }
 
-// checkHead refuses a head that is too long. The server's own bound, which closes
-// the connection without a problem body, is far above this one.
-func (x *exchange) checkHead() *outcome.Failure {
+// checkHeadSize refuses a request whose URI and headers exceed MaxHeaderBytes. The
+// limit of http.Server, above which the connection is closed without a problem
+// body, is serverHeadLimitFactor times as high.
+func (x *exchange) checkHeadSize() *outcome.Failure {
 	size := len(x.r.RequestURI)
 	for name, values := range x.r.Header {
 		for _, value := range values {
-			size += len(name) + len(value) + perHeaderBytes
+			size += len(name) + len(value) + headerOverheadBytes
 		}
 	}
 	if size > x.options.MaxHeaderBytes {
@@ -42,27 +44,29 @@
 	return nil
 }
 
-// identity reads what the headers say of the request.
-func (x *exchange) identity() (router.Identity, *outcome.Failure) {
-	id := router.Identity{RequestID: x.id, Arrival: x.arrival}
+// metadata reads the idempotency key, the deadline and the bearer key from the
+// headers.
+func (x *exchange) metadata() (router.Identity, *outcome.Failure) {
+	meta := router.Identity{RequestID: x.requestID, Arrival: x.arrival}
 	var problem string
-	if id.IdempotencyKey, problem = parseKey(x.r.Header[HeaderIdempotencyKey], x.options.MaxKeyBytes); problem != "" {
-		return id, badRequest(problem)
+	if meta.IdempotencyKey, problem = parseIdempotencyKey(x.r.Header[HeaderIdempotencyKey], x.options.MaxKeyBytes); problem != "" {
+		return meta, badRequest(problem)
 	}
-	if id.Deadline, problem = parseDeadline(x.r.Header[HeaderDeadline]); problem != "" {
-		return id, badRequest(problem)
+	if meta.Deadline, problem = parseDeadline(x.r.Header[HeaderDeadline]); problem != "" {
+		return meta, badRequest(problem)
 	}
 	bearer, problem := parseBearer(x.r.Header["Authorization"])
 	if problem != "" {
-		return id, badRequest(problem)
+		return meta, badRequest(problem)
 	}
-	id.BearerKey = secret.New(bearer)
-	return id, nil
+	meta.BearerKey = secret.New(bearer)
+	return meta, nil
 }
 
-// parseKey returns the idempotency key, and what is wrong with it. Visible ASCII
-// alone keeps one key from having two spellings.
-func parseKey(values []string, maxBytes int) (key, problem string) {
+// parseIdempotencyKey returns the key, which is empty if there is no header, and
+// what is wrong with it, or "". Only visible ASCII is allowed, so that a key has a
+// single encoding.
+func parseIdempotencyKey(values []string, maxBytes int) (key, problem string) {
 	if len(values) == 0 {
 		return "", ""
 	}
@@ -81,23 +85,25 @@
 	return key, ""
 }
 
-// parseDeadline returns the caller's own deadline, and what is wrong with it.
-func parseDeadline(values []string) (deadline time.Duration, problem string) {
+// parseDeadline returns the time limit that the caller sets, 0 if there is no
+// header, and what is wrong with it, or "".
+func parseDeadline(values []string) (timeout time.Duration, problem string) {
 	if len(values) == 0 {
 		return 0, ""
 	}
 	if len(values) > 1 {
 		return 0, HeaderDeadline + " is given more than once."
 	}
-	deadline, err := time.ParseDuration(values[0])
-	if err != nil || deadline <= 0 || deadline > maxDeadline {
+	timeout, err := time.ParseDuration(values[0])
+	if err != nil || timeout <= 0 || timeout > maxDeadline {
 		return 0, HeaderDeadline + " is not a duration above zero and up to 24h, such as 1500ms."
 	}
-	return deadline, ""
+	return timeout, ""
 }
 
-// parseBearer returns the bearer key, and what is wrong with it. Other schemes are
-// not keys; the router refuses where one is needed.
+// parseBearer returns the bearer key, and what is wrong with it, or "". A header of
+// another scheme counts as no key; the router refuses the request if the profile
+// needs one.
 func parseBearer(values []string) (key, problem string) {
 	if len(values) == 0 {
 		return "", ""
@@ -114,14 +120,15 @@
 	return strings.TrimSpace(key), ""
 }
 
-func (x *exchange) setProfile(id *router.Identity, name string) *outcome.Failure {
+// setProfile checks the length of the profile's name and stores it in meta and x.
+func (x *exchange) setProfile(meta *router.Identity, name string) *outcome.Failure {
 	switch {
 	case name == "":
 		return badRequest("No profile is named.")
 	case len(name) > maxProfileBytes:
 		return badRequest("The profile's name is too long.")
 	}
-	id.Profile = name
+	meta.Profile = name
 	x.profile = name
 	return nil
 }
--- a/internal/api/headers.go
+++ b/internal/api/headers.go
@@ -1,20 +1,23 @@
 package api
 
-// The headers of the callers' API besides the standard ones.
+// Non-standard headers of the callers' API.
 const (
-	// HeaderOutcome is on every answer; a stream has it as a trailer.
+	// HeaderOutcome is the outcome of the request. Every response except those of
+	// the health checks has it; in a stream it is a trailer.
 	HeaderOutcome = "Geraniumcroft-Outcome"
-	// HeaderRequestID is on every answer.
+	// HeaderRequestID is the request ID. Every response except those of the health
+	// checks has it.
 	HeaderRequestID = "Geraniumcroft-Request-Id"
-	// HeaderDeadline is the caller's own bound; it only shortens the profile's.
+	// HeaderDeadline is the caller's time limit as a Go duration. It can shorten the
+	// profile's deadline, not extend it.
 	HeaderDeadline = "Geraniumcroft-Deadline"
-	// HeaderReplayed is on an answer that was kept from an earlier request with the
-	// same key.
+	// HeaderReplayed is "true" on a response that is stored from an earlier request
+	// with the same idempotency key.
 	HeaderReplayed = "Geraniumcroft-Replayed"
-	// HeaderIdempotencyKey names the request across retries.
+	// HeaderIdempotencyKey identifies a request across the caller's retries.
 	HeaderIdempotencyKey = "Idempotency-Key"
 
-	// headerShouldRetry keeps OpenAI clients from repeating by themselves what may
-	// have run: they retry on every 409, 429 and 5xx otherwise.
+	// headerShouldRetry is "false" to stop OpenAI clients from retrying a request
+	// that may have run. Without it they retry after every 409, 429 and 5xx.
 	headerShouldRetry = "X-Should-Retry"
 )
--- a/internal/api/options.go
+++ b/internal/api/options.go
@@ -11,7 +11,7 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	defaultMaxBodyBytes    = 1 << 20
 	defaultMaxHeaderBytes  = 16 << 10
@@ -25,32 +25,34 @@
 	defaultCommentInterval = 5 * time.Second
 )
 
-// Options bound what a caller may send and how long it may take. A zero field
-// takes the default.
+// Options configures the API and limits the size and duration of requests. A field
+// that is zero takes its default.
 type Options struct {
 	MaxBodyBytes   int64
 	MaxHeaderBytes int
-	// MaxKeyBytes bounds an Idempotency-Key.
+	// MaxKeyBytes limits the length of an Idempotency-Key.
 	MaxKeyBytes int
-	// MaxPromptPieces bounds the pieces of a prompt, which take more memory than
-	// the body that they came in.
+	// MaxPromptPieces limits the pieces of a prompt. The pieces take more memory
+	// than the body that holds them.
 	MaxPromptPieces int
 	MaxConnections  int
 	ReadTimeout     time.Duration
 	WriteTimeout    time.Duration
 	IdleTimeout     time.Duration
-	// StreamHeadWait is the latest moment at which a stream's status is sent.
+	// StreamHeadWait is how long a stream's status is held back for the first token.
 	StreamHeadWait time.Duration
-	// CommentInterval is the longest time without a byte on an open stream.
+	// CommentInterval is how long an open stream may be idle before a comment is
+	// sent.
 	CommentInterval time.Duration
 	// TLS is nil for plain connections.
 	TLS *tls.Config
-	// Listen replaces TCP and its limit on connections, for tests; it may be nil.
+	// Listen replaces the TCP listener and its connection limit in tests. It may be
+	// nil.
 	Listen func(address string) (net.Listener, error)
 	// Logger may be nil.
 	Logger *zap.Logger
-	// OnRefused, when not nil, is told of requests that the API refused itself; the
-	// router knows of all others.
+	// OnRefused, if not nil, is called for each request that the API refuses before
+	// it reaches the router. The router accounts for all others.
 	OnRefused func(requestID, profile string, f *outcome.Failure)
 }
 
--- a/internal/api/parse.go
+++ b/internal/api/parsed_body.go
@@ -6,11 +6,11 @@
 	"errors"
 )
 
-// maxTokensLimit bounds the tokens that a caller may ask for; profiles bound them
-// further.
+// maxTokensLimit is the most tokens that a caller may request. Profiles have lower
+// limits.
 const maxTokensLimit = 1 << 24
 
-// parsedBody is what a body of either shape asks for.
+// parsedBody is the content of a request body, independent of its format.
 type parsedBody struct {
 	model        string
 	prompt       []string
@@ -19,8 +19,9 @@
 	includeUsage bool
 }
 
-// decode reads one JSON object and nothing after it.
-func decode(body []byte, into any) string {
+// decodeObject decodes a body that must be a single JSON object. It returns what is
+// wrong with the body, or "".
+func decodeObject(body []byte, into any) string {
 	if trimmed := bytes.TrimLeft(body, " \t\r\n"); len(trimmed) == 0 || trimmed[0] != '{' {
 		return "The body is not a JSON object."
 	}
--- a/internal/api/problem.go
+++ b/internal/api/problem.go
@@ -9,7 +9,7 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// Problem is the body of a refusal, as RFC 9457 has it.
+// Problem is an RFC 9457 problem body.
 type Problem struct {
 	Type      string          `json:"type"`
 	Title     string          `json:"title"`
@@ -21,29 +21,31 @@
 	RequestID string          `json:"requestId"`
 }
 
-var titles = map[outcome.Outcome]string{
+var problemTitles = map[outcome.Outcome]string{
 	outcome.NotRun:  "The request was not run",
 	outcome.Unknown: "The request may have run",
 }
 
-// refuse answers a request that the router has not seen.
+// refuse answers a request that has not reached the router with a problem body, and
+// reports it to OnRefused.
 func (x *exchange) refuse(f *outcome.Failure) {
-	x.options.OnRefused(x.id, x.profile, f)
-	x.fail(f)
+	x.options.OnRefused(x.requestID, x.profile, f)
+	x.writeProblem(f)
 }
 
-// fail answers with a problem body.
-func (x *exchange) fail(f *outcome.Failure) {
+// writeProblem answers with a problem body. It tells clients not to retry, unless
+// the request was not run and the failure has a RetryAfter.
+func (x *exchange) writeProblem(f *outcome.Failure) {
 	status := f.Reason.Status()
 	body, err := json.Marshal(Problem{
 		Type:      "urn:geraniumcroft:problem:" + string(f.Reason),
-		Title:     titles[f.Outcome],
+		Title:     problemTitles[f.Outcome],
 		Status:    status,
 		Detail:    f.Detail,
-		Instance:  "urn:uuid:" + x.id,
+		Instance:  "urn:uuid:" + x.requestID,
 		Outcome:   f.Outcome,
 		Reason:    f.Reason,
-		RequestID: x.id,
+		RequestID: x.requestID,
 	})
 	if err != nil {
 		panic(err)
@@ -55,23 +57,23 @@
 	if f.Outcome == outcome.Unknown || f.RetryAfter == 0 {
 		header.Set(headerShouldRetry, "false")
 	}
-	x.answer(status, "application/problem+json", f.Outcome, body)
+	x.writeResponse(status, "application/problem+json", f.Outcome, body)
 }
 
-// answer writes a whole answer.
-func (x *exchange) answer(status int, contentType string, o outcome.Outcome, body []byte) {
+// writeResponse writes a response that is not streamed.
+func (x *exchange) writeResponse(status int, contentType string, o outcome.Outcome, body []byte) {
 	header := x.w.Header()
 	header.Set(HeaderOutcome, o.String())
 	header.Set("Content-Type", contentType)
 	header.Set("Content-Length", strconv.Itoa(len(body)))
-	x.boundWrite()
+	x.setWriteDeadline()
 	x.w.WriteHeader(status)
 	_, _ = x.w.Write(body)
 }
 
-// failureOf returns the router's error as a failure. An error of another type is
-// a bug, of which nobody can say what had run.
-func failureOf(err error) *outcome.Failure {
+// toFailure returns the router's error as a failure. An error of another type is a
+// bug; its outcome is unknown, since the request may have run.
+func toFailure(err error) *outcome.Failure {
 	var failure *outcome.Failure
 	if errors.As(err, &failure) {
 		return failure
@@ -79,7 +81,8 @@
 	return outcome.Uncertain(outcome.ReasonInternal, "The router failed while it worked on the request.").WithCause(err)
 }
 
-// wholeSeconds rounds up: a caller that comes back too early is refused again.
+// wholeSeconds returns d in seconds, rounded up: a caller that retries too early is
+// refused again.
 func wholeSeconds(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
--- a/internal/api/prompt.go
+++ b/internal/api/prompt_splitter.go
@@ -2,18 +2,19 @@
 
 import "strings"
 
-// prompt cuts texts into pieces that count as tokens.
-type prompt struct {
+// promptSplitter splits texts after each space into pieces, which count as tokens.
+type promptSplitter struct {
 	pieces    []string
 	maxPieces int
 	tooLong   bool
 }
 
-func (p *prompt) add(text string) {
+func (p *promptSplitter) add(text string) {
 	if text == "" || p.tooLong {
 		return
 	}
-	// Counted first, so that a body of blanks costs no more than it may.
+	// Count before splitting, so that a text of spaces can't allocate more than
+	// maxPieces pieces.
 	if len(p.pieces)+strings.Count(text, " ")+1 > p.maxPieces {
 		p.tooLong = true
 		return
@@ -25,7 +26,8 @@
 	p.pieces = append(p.pieces, pieces...)
 }
 
-func (p *prompt) problem() string {
+// problem returns what is wrong with the prompt, or "".
+func (p *promptSplitter) problem() string {
 	switch {
 	case p.tooLong:
 		return "The prompt has too many words."
--- a/internal/api/router.go
+++ b/internal/api/router.go
@@ -6,9 +6,9 @@
 	"geraniumcroft/internal/router"
 )
 
-// Router serves the requests that the API has read. Errors are *outcome.Failure.
+// Router runs the requests that the API has parsed. Errors are *outcome.Failure.
 type Router interface {
-	// Generate gives the tokens to the sink, in order, before it returns.
+	// Generate passes all tokens to the sink, in order, before it returns.
 	Generate(ctx context.Context, r router.GenerateRequest, sink router.TokenSink) (router.GenerateResult, error)
 	// Call calls a plain service.
 	Call(ctx context.Context, r router.CallRequest) (router.CallResult, error)
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -12,18 +12,18 @@
 	"geraniumcroft/internal/listener"
 )
 
-// headLimitFactor is how far the server's own bound on a head lies above the one
-// that is answered with a problem body.
-const headLimitFactor = 4
+// serverHeadLimitFactor is the ratio of http.Server's limit on the request head to
+// MaxHeaderBytes. A head between the two is answered with a problem body.
+const serverHeadLimitFactor = 4
 
-// Server is the callers' listener.
+// Server serves the callers' API on its own listener.
 type Server struct {
 	address string
 	options Options
 	http    *http.Server
 }
 
-// NewServer returns a server for the callers' API that is not yet listening.
+// NewServer returns a Server that is not yet listening.
 func NewServer(address string, r Router, o Options) *Server {
 	o = o.withDefaults()
 	return &Server{
@@ -33,40 +33,42 @@
 			Handler:           NewHandler(r, o),
 			ReadHeaderTimeout: o.ReadTimeout,
 			IdleTimeout:       o.IdleTimeout,
-			MaxHeaderBytes:    headLimitFactor * o.MaxHeaderBytes,
+			MaxHeaderBytes:    serverHeadLimitFactor * o.MaxHeaderBytes,
 			TLSConfig:         o.TLS,
 			Protocols:         onlyHTTP1(),
 			ConnContext:       listener.ConnContext,
-			ErrorLog:          errorLog(o.Logger),
+			ErrorLog:          connectionErrorLog(o.Logger),
 		},
 	}
 }
 
-// onlyHTTP1 keeps each request on a connection of its own while it is in hand: on
-// one shared connection a caller's urgent answer would wait behind its slow ones.
+// onlyHTTP1 disables HTTP/2, so that concurrent requests use separate connections.
+// On a shared connection a caller's urgent response would wait behind its slow ones.
 func onlyHTTP1() *http.Protocols {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
 	return protocols
 }
 
-// errorLog takes what net/http has to say of single connections.
-func errorLog(logger *zap.Logger) *log.Logger {
-	standard, err := zap.NewStdLogAt(logger.Named("callers"), zap.DebugLevel)
+// connectionErrorLog returns the logger for net/http's errors about single
+// connections.
+func connectionErrorLog(logger *zap.Logger) *log.Logger {
+	stdLogger, err := zap.NewStdLogAt(logger.Named("callers"), zap.DebugLevel)
 	if err != nil {
 		panic(err) // the level is a constant that the library knows
 	}
-	return standard
+	return stdLogger
 }
 
-// Start listens and serves in the background. It returns the address in use.
+// Start listens and serves in the background. It returns the address that it
+// listens on.
 func (s *Server) Start() (net.Addr, error) {
-	accepting, err := s.listen()
+	ln, err := s.listen()
 	if err != nil {
 		return nil, err
 	}
-	go s.serve(accepting)
-	return accepting.Addr(), nil
+	go s.serve(ln)
+	return ln.Addr(), nil
 }
 
 func (s *Server) listen() (net.Listener, error) {
@@ -76,21 +78,22 @@
 	return listener.Listen(s.address, s.options.MaxConnections)
 }
 
-func (s *Server) serve(accepting net.Listener) {
+func (s *Server) serve(ln net.Listener) {
 	var err error
 	if s.options.TLS != nil {
-		err = s.http.ServeTLS(accepting, "", "")
+		err = s.http.ServeTLS(ln, "", "")
 	} else {
-		err = s.http.Serve(accepting)
+		err = s.http.Serve(ln)
 	}
 	if !errors.Is(err, http.ErrServerClosed) {
 		s.options.Logger.Error("the callers' listener ended: " + err.Error())
 	}
 }
 
-// Shutdown stops listening and waits until the requests in hand have their
-// answers, or ctx ends.
+// Shutdown stops listening and waits until all requests in progress are answered or
+// ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
 
-// Close breaks off what is in hand.
+// Close stops listening and closes all connections without waiting for requests in
+// progress.
 func (s *Server) Close() error { return s.http.Close() }
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -34,10 +34,10 @@
 	return conn
 }
 
-// The listener is full of idle connections. One more gets an answer at once that
-// says not-run and when to come back, and the balancer's probe on it is answered
-// as ever; far above the limit connections are closed. When the idle ones go,
-// there is room again.
+// Idle connections use up the connection limit. A request on one more connection is
+// refused immediately as not-run with a Retry-After, while the balancer's health
+// check on it still succeeds. Above twice the limit connections are closed. Requests
+// are served again after the idle connections have closed.
 func TestConnectionsAreBounded(t *testing.T) {
 	f := &fakeRouter{generate: tokens("a")}
 	_, address := startServer(t, f, Options{MaxConnections: 2})
@@ -50,7 +50,7 @@
 		return err
 	}
 	for _, conn := range idle {
-		if err := probe(conn); err != nil { // they are counted by now
+		if err := probe(conn); err != nil { // afterwards the connection is counted
 			t.Fatal(err)
 		}
 	}
@@ -61,29 +61,30 @@
 	send(t, above, streamBody)
 	response := receive(t, above)
 	expectProblem(t, response, http.StatusServiceUnavailable, outcome.NotRun, outcome.ReasonOverloaded)
-	if response.Header.Get("Retry-After") != "1" || !response.Close || f.reached.Load() != 0 {
-		t.Errorf("headers %v, %d reached the router", response.Header, f.reached.Load())
+	if response.Header.Get("Retry-After") != "1" || !response.Close || f.requests.Load() != 0 {
+		t.Errorf("headers %v, %d requests reached the router", response.Header, f.requests.Load())
 	}
-	further := []net.Conn{dialTCP(t, address), dialTCP(t, address), dialTCP(t, address)}
+	extra := []net.Conn{dialTCP(t, address), dialTCP(t, address), dialTCP(t, address)}
 	closed := 0
-	for _, conn := range further {
+	for _, conn := range extra {
 		if probe(conn) != nil {
 			closed++
 		}
 	}
 	if closed == 0 {
-		t.Error("no connection is closed above twice the limit")
+		t.Error("no connection was closed above twice the limit")
 	}
-	for _, conn := range append(append(idle, further...), above) {
+	for _, conn := range append(append(idle, extra...), above) {
 		conn.Close()
 	}
-	if !eventuallyServed(t, address) {
-		t.Error("there is no room after all connections have gone")
+	if !waitUntilServed(t, address) {
+		t.Error("no request was served after all connections had closed")
 	}
 }
 
-// eventuallyServed tries until the server has noticed the connections' end.
-func eventuallyServed(t *testing.T, address string) bool {
+// waitUntilServed retries until the server has noticed that the connections closed.
+// It reports whether a request was served.
+func waitUntilServed(t *testing.T, address string) bool {
 	for range 5000 {
 		conn := dialTCP(t, address)
 		_, _ = conn.Write([]byte("POST " + pathChat + " HTTP/1.1\r\nHost: a\r\nContent-Length: " + strconv.Itoa(len(streamBody)) + "\r\n\r\n" + streamBody))
@@ -96,9 +97,9 @@
 	return false
 }
 
-// The VM is shut down while a stream and a whole answer are in hand. Both end
-// whole; only then does Shutdown return.
-func TestShutdownCutsNothingOff(t *testing.T) {
+// Shutdown is called while a stream is open. It returns only after the stream is
+// complete.
+func TestShutdownWaitsForRequestsInProgress(t *testing.T) {
 	release := make(chan struct{})
 	f := &fakeRouter{
 		generate: func(ctx context.Context, r router.GenerateRequest, sink router.TokenSink) (router.GenerateResult, error) {
@@ -134,15 +135,15 @@
 	}
 }
 
-// A head beyond the server's own bound is refused by net/http before there is a
-// request, and the connection closed; the router hears nothing of it.
-func TestHugeHeadIsRefused(t *testing.T) {
+// A head above the limit of http.Server is refused by net/http, which closes the
+// connection. The request does not reach the router.
+func TestHeadBeyondServerLimitIsRefused(t *testing.T) {
 	f := &fakeRouter{}
 	_, address := startServer(t, f, Options{MaxHeaderBytes: 1024})
 	conn := dialTCP(t, address)
 	head := append([]byte("GET / HTTP/1.1\r\nHost: a\r\nX: "), bytes.Repeat([]byte("x"), 1<<16)...)
-	_, _ = conn.Write(head) // may fail when the server has closed by now
-	if response := receive(t, conn); response.StatusCode != http.StatusRequestHeaderFieldsTooLarge || !response.Close || f.reached.Load() != 0 {
+	_, _ = conn.Write(head) // fails if the server has already closed the connection
+	if response := receive(t, conn); response.StatusCode != http.StatusRequestHeaderFieldsTooLarge || !response.Close || f.requests.Load() != 0 {
 		t.Errorf("status %d", response.StatusCode)
 	}
 }
--- a/internal/api/stream.go
+++ b/internal/api/stream.go
@@ -8,77 +8,80 @@
 	"geraniumcroft/internal/outcome"
 )
 
-// stream sends a generation's tokens as they come.
+// stream sends the tokens of a generation as server-sent events.
 type stream struct {
 	x       *exchange
 	encoder *encoder
-	ticker  *time.Timer
+	timer   *time.Timer
 
-	mu      sync.Mutex // guards the fields below
-	opened  bool
-	ended   bool
-	err     error
-	buffer  []byte
-	written time.Time
-	// bounded is when the write deadline was set.
-	bounded time.Time
+	mu          sync.Mutex // guards the fields below
+	headWritten bool
+	ended       bool
+	err         error
+	buffer      []byte
+	lastWrite   time.Time
+	// deadlineSetAt is when the write deadline was last set.
+	deadlineSetAt time.Time
 }
 
-func (x *exchange) stream(g *generation) {
+// respondStream runs a generation and sends its tokens as they arrive.
+func (x *exchange) respondStream(g *generation) {
 	s := &stream{x: x, encoder: newEncoder(g)}
-	x.broken = s.fail
-	s.start()
-	defer s.stop()
+	x.onPanic = s.fail
+	s.startTimer()
+	defer s.stopTimer()
 	result, err := x.router.Generate(x.r.Context(), g.GenerateRequest, s)
 	if err != nil {
-		s.fail(failureOf(err))
+		s.fail(toFailure(err))
 		return
 	}
 	s.complete(result.Finish)
 }
 
-// start sets the ticker before it can fire, so that tick may use it unlocked.
-func (s *stream) start() {
-	s.ticker = time.AfterFunc(time.Hour, s.tick)
-	s.ticker.Reset(s.x.options.StreamHeadWait)
+// startTimer starts the timer for the first comment. The first duration is long, so
+// that s.timer is set before onTimer, which uses it without the lock, can run.
+func (s *stream) startTimer() {
+	s.timer = time.AfterFunc(time.Hour, s.onTimer)
+	s.timer.Reset(s.x.options.StreamHeadWait)
 }
 
-// Token implements router.TokenSink. Its error says that the caller has gone.
+// Token implements router.TokenSink. An error means that the caller has
+// disconnected or does not read.
 func (s *stream) Token(_ int, text string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.buffer = s.encoder.token(s.buffer[:0], text)
-	return s.send()
+	s.buffer = s.encoder.appendToken(s.buffer[:0], text)
+	return s.flush()
 }
 
-// tick opens a stream whose first token is slow, and sends a comment on one that
-// has had nothing to send.
-func (s *stream) tick() {
-	if !s.mu.TryLock() { // a write is under way, so there is nothing to say
-		s.ticker.Reset(s.x.options.CommentInterval)
+// onTimer opens the stream if its first token is slow, and sends a comment if the
+// stream has been idle for CommentInterval.
+func (s *stream) onTimer() {
+	if !s.mu.TryLock() { // a write is in progress, so the stream is not idle
+		s.timer.Reset(s.x.options.CommentInterval)
 		return
 	}
 	defer s.mu.Unlock()
 	if s.ended || s.err != nil {
 		return
 	}
-	quiet := time.Since(s.written)
-	if !s.opened || quiet >= s.x.options.CommentInterval {
+	idle := time.Since(s.lastWrite)
+	if !s.headWritten || idle >= s.x.options.CommentInterval {
 		s.buffer = append(s.buffer[:0], comment...)
-		_ = s.send()
-		quiet = 0
+		_ = s.flush()
+		idle = 0
 	}
-	s.ticker.Reset(s.x.options.CommentInterval - quiet)
+	s.timer.Reset(s.x.options.CommentInterval - idle)
 }
 
-// send writes the buffer out. When a write fails net/http cancels the request's
-// context as well.
-func (s *stream) send() error {
+// flush writes the buffer to the connection. If a write fails, net/http cancels the
+// request's context, and all later calls return the error.
+func (s *stream) flush() error {
 	if s.err != nil {
 		return s.err
 	}
-	s.open()
-	s.bound()
+	s.writeHead()
+	s.extendWriteDeadline()
 	_, err := s.x.w.Write(s.buffer)
 	if err == nil {
 		err = s.x.control.Flush()
@@ -89,11 +92,12 @@
 	return err
 }
 
-func (s *stream) open() {
-	if s.opened {
+// writeHead sends the status and the headers, once.
+func (s *stream) writeHead() {
+	if s.headWritten {
 		return
 	}
-	s.opened = true
+	s.headWritten = true
 	header := s.x.w.Header()
 	header.Set("Content-Type", "text/event-stream; charset=utf-8")
 	header.Set("X-Accel-Buffering", "no")
@@ -101,48 +105,53 @@
 	s.x.w.WriteHeader(http.StatusOK)
 }
 
-// bound renews the write deadline, but not for every token, as that costs a timer.
-func (s *stream) bound() {
-	s.written = time.Now()
-	if s.written.Sub(s.bounded) > s.x.options.WriteTimeout/4 {
-		s.bounded = s.written
-		s.x.boundWrite()
+// extendWriteDeadline extends the write deadline. It does so only after a quarter of
+// WriteTimeout, not for every token, since setting a deadline resets a timer.
+func (s *stream) extendWriteDeadline() {
+	s.lastWrite = time.Now()
+	if s.lastWrite.Sub(s.deadlineSetAt) > s.x.options.WriteTimeout/4 {
+		s.deadlineSetAt = s.lastWrite
+		s.x.setWriteDeadline()
 	}
 }
 
+// complete ends the stream successfully.
 func (s *stream) complete(finish string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.buffer = s.encoder.finish(s.buffer[:0], finish, s.encoder.sent)
-	s.buffer = s.encoder.outcome(s.buffer, outcome.Complete, "")
-	s.buffer = append(s.buffer, doneData...)
-	s.end(outcome.Complete)
+	s.buffer = s.encoder.appendFinish(s.buffer[:0], finish, s.encoder.tokensSent)
+	s.buffer = s.encoder.appendOutcome(s.buffer, outcome.Complete, "")
+	s.buffer = append(s.buffer, doneEvent...)
+	s.finish(outcome.Complete)
 }
 
-// fail ends the stream without [DONE], which clients take for success.
+// fail ends the stream without [DONE], which clients treat as success. If the status
+// has not been sent, it answers with a problem body instead.
 func (s *stream) fail(f *outcome.Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.opened {
+	if !s.headWritten {
 		s.ended = true
-		s.x.fail(f)
+		s.x.writeProblem(f)
 		return
 	}
-	s.buffer = s.encoder.failed(s.buffer[:0], f)
-	s.buffer = s.encoder.outcome(s.buffer, f.Outcome, f.Reason)
-	s.end(f.Outcome)
+	s.buffer = s.encoder.appendError(s.buffer[:0], f)
+	s.buffer = s.encoder.appendOutcome(s.buffer, f.Outcome, f.Reason)
+	s.finish(f.Outcome)
 }
 
-func (s *stream) end(o outcome.Outcome) {
+// finish sends the last events and sets the trailer.
+func (s *stream) finish(o outcome.Outcome) {
 	s.ended = true
-	_ = s.send()
+	_ = s.flush()
 	s.x.w.Header().Set(HeaderOutcome, o.String())
 }
 
-// stop ends the ticker. After it the writer is not touched again, also by a tick
-// that is under way: it holds the lock, or finds the stream ended.
-func (s *stream) stop() {
-	s.ticker.Stop()
+// stopTimer stops the timer. Nothing is written after it returns: an onTimer that is
+// already running either holds the lock, for which stopTimer waits, or finds the
+// stream ended.
+func (s *stream) stopTimer() {
+	s.timer.Stop()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ended = true
--- a/internal/api/stream_error.go
+++ b/internal/api/stream_error.go
@@ -1,5 +1,6 @@
 package api
 
+// streamError is the data of an error chunk.
 type streamError struct {
 	Error streamErrorBody `json:"error"`
 }
--- a/internal/api/unserved.go
+++ b/internal/api/unserved.go
@@ -5,8 +5,9 @@
 	"encoding/json"
 )
 
-// unserved are fields that change what the answer is. To accept one without
-// effect would answer another question than the one asked.
+// unserved holds the fields that are not supported and would change the result. A
+// request that sets one is refused, since ignoring it would return something other
+// than requested. See commonBody before renaming this type.
 type unserved struct {
 	Stop           json.RawMessage `json:"stop"`
 	Tools          json.RawMessage `json:"tools"`
@@ -18,10 +19,12 @@
 	ResponseFormat *responseFormat `json:"response_format"`
 }
 
+// responseFormat is the response_format field.
 type responseFormat struct {
 	Type string `json:"type"`
 }
 
+// problem names the first unsupported field that is set, or returns "".
 func (u *unserved) problem() string {
 	fields := []struct {
 		name  string
@@ -31,7 +34,7 @@
 		{"logprobs", u.Logprobs}, {"echo", u.Echo}, {"suffix", u.Suffix},
 	}
 	for _, field := range fields {
-		if asksForSomething(field.value) {
+		if isSet(field.value) {
 			return "The field " + field.name + " is not served."
 		}
 	}
@@ -41,8 +44,8 @@
 	return ""
 }
 
-// asksForSomething reports whether a value is other than null, false, zero or empty.
-func asksForSomething(value json.RawMessage) bool {
+// isSet reports whether a value is other than absent, null, false, zero or empty.
+func isSet(value json.RawMessage) bool {
 	switch string(bytes.Join(bytes.Fields(value), nil)) {
 	case "", "null", "false", "0", `""`, "[]", "{}":
 		return false
--- a/internal/api/usage.go
+++ b/internal/api/usage.go
@@ -1,5 +1,6 @@
 package api
 
+// usage is the token counts in a response.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
