--- a/internal/adminapi/api.go
+++ b/internal/adminapi/api.go
@@ -16,57 +16,58 @@
 	readHeaderTimeout = 5 * time.Second
 	readTimeout       = 15 * time.Second
 	idleTimeout       = time.Minute
-	// writeSlack is what an answer may take beyond the longest wait.
-	writeSlack = 15 * time.Second
+	// writeMargin is the time to write a response after the longest wait.
+	writeMargin = 15 * time.Second
 )
 
-// API is the operators' API as an http.Handler.
+// API is an http.Handler that serves the operators' API.
 type API struct {
 	options Options
 	app     *iris.Application
 	dumper  *dumper
-	// waits has a place for each request that waits for a change to be in force.
-	waits chan struct{}
+	// waitSlots holds an element for each request that is waiting for a change to be
+	// in force.
+	waitSlots chan struct{}
 }
 
-// New returns the API.
+// New returns an API. It fails if the routes can't be built.
 func New(o Options) (*API, error) {
 	o = o.withDefaults()
 	a := &API{options: o, app: iris.New(), dumper: newDumper(o.Dump, o.DumpTimeout)}
-	a.waits = make(chan struct{}, maxWaits)
+	a.waitSlots = make(chan struct{}, maxConcurrentWaits)
 	a.app.Logger().SetLevel("disable")
 	a.app.Configure(iris.WithoutPathCorrection, iris.WithoutStartupLog)
-	a.routes()
+	a.registerRoutes()
 	if err := a.app.Build(); err != nil {
 		return nil, errors.Wrap(err, "build the admin API")
 	}
 	return a, nil
 }
 
-// Server returns a server for the API with bounds on every wait and size.
+// Server returns an http.Server for the API with timeouts and size limits.
 func (a *API) Server() *http.Server {
 	return &http.Server{
 		Handler:           a,
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       readTimeout,
-		WriteTimeout:      MaxWait + writeSlack,
+		WriteTimeout:      MaxWait + writeMargin,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    MaxHeaderBytes,
 		ErrorLog:          a.errorLog(),
 	}
 }
 
-// errorLog takes what net/http has to say, such as failed handshakes.
+// errorLog returns the logger for net/http's errors, such as failed TLS handshakes.
 func (a *API) errorLog() *log.Logger {
 	errorLog, err := zap.NewStdLogAt(a.options.Logger, zap.WarnLevel)
 	if err != nil {
-		return nil // only for an unknown level
+		return nil // the level is a constant, so this can't happen
 	}
 	return errorLog
 }
 
-// ServeHTTP implements http.Handler. Unknown paths need a token as well, so that
-// nobody without one learns what there is.
+// ServeHTTP implements http.Handler. Unknown paths require a token as well, so that
+// a client without one can't find out which paths exist.
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Cache-Control", "no-store")
 	request, problem := a.authenticate(r)
@@ -78,32 +79,32 @@
 	a.app.ServeHTTP(w, request)
 }
 
-func (a *API) routes() {
+func (a *API) registerRoutes() {
 	admin := a.app.Party("/admin/v1")
 	for collection, kind := range collections {
-		a.entityRoutes(admin.Party("/"+collection), kind)
+		a.registerEntityRoutes(admin.Party("/"+collection), kind)
 	}
 	admin.Post("/targets/{name}/drain", a.setState(config.StateDraining))
 	admin.Post("/targets/{name}/undrain", a.setState(config.StateActive))
 	admin.Get("/changes", a.listChanges)
 	admin.Get("/changes/{version}", a.showChange)
-	admin.Get("/vms", a.show(a.options.VMs))
-	admin.Get("/leases", a.show(a.options.Leases))
-	admin.Get("/dump", a.dump)
-	admin.Get("/version", a.version)
-	a.app.OnErrorCode(http.StatusNotFound, a.noRoute)
-	a.app.OnErrorCode(http.StatusMethodNotAllowed, a.noRoute)
+	admin.Get("/vms", a.serveState(a.options.VMs))
+	admin.Get("/leases", a.serveState(a.options.Leases))
+	admin.Get("/dump", a.serveDump)
+	admin.Get("/version", a.serveVersion)
+	a.app.OnErrorCode(http.StatusNotFound, a.routeNotFound)
+	a.app.OnErrorCode(http.StatusMethodNotAllowed, a.routeNotFound)
 }
 
-func (a *API) entityRoutes(party iris.Party, kind config.EntityKind) {
+func (a *API) registerEntityRoutes(party iris.Party, kind config.EntityKind) {
 	party.Get("/", a.list(kind))
-	party.Get("/{name}", a.read(kind))
+	party.Get("/{name}", a.get(kind))
 	party.Put("/{name}", a.put(kind))
 	party.Delete("/{name}", a.remove(kind))
 }
 
-func (a *API) noRoute(ctx iris.Context) {
-	fail(ctx, &Problem{
+func (a *API) routeNotFound(ctx iris.Context) {
+	writeProblem(ctx, &Problem{
 		Status: http.StatusNotFound,
 		Code:   CodeNotFound,
 		Title:  "No such path or method",
--- a/internal/adminapi/api_test.go
+++ b/internal/adminapi/api_test.go
@@ -13,7 +13,7 @@
 
 const digest = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
 
-func crews() confstore.Proposal {
+func crewsWorkspace() confstore.Proposal {
 	return confstore.Proposal{
 		ID: "c1", Kind: config.EntityWorkspace, Name: "crews",
 		Value: []byte(`{"weight":2,"keyDigests":["` + digest + `"]}`),
@@ -28,7 +28,7 @@
 	}
 }
 
-// withState returns the target with a state of its own.
+// withState returns the target's JSON with a state added.
 func withState(target []byte, state string) []byte {
 	return []byte(strings.Replace(string(target), `"slots":4`, `"slots":4,"state":"`+state+`"`, 1))
 }
@@ -39,52 +39,53 @@
 	}
 }
 
-// An operator creates, reads and changes a workspace. A change without the ETag
-// that was read, or with an old one, is refused and shows the present entity;
-// the two operators would otherwise overwrite each other.
-func TestChangeNeedsTheETagThatWasRead(t *testing.T) {
+// Operators must not overwrite each other's changes: a change with an outdated ETag
+// or without one is refused, and after a conflict the response contains the present
+// entity.
+func TestChangeRequiresCurrentETag(t *testing.T) {
 	const path = "/admin/v1/workspaces/crews"
 	Convey("Given an API without workspaces", t, func() {
 		store := newFakeStore(t)
 		c := newClient(t, Options{Store: store})
 
 		Convey("a change without a condition is refused", func() {
-			c.want(c.send("PUT", path, `{"weight":2}`), 428, "precondition-required")
+			c.expect(c.send("PUT", path, `{"weight":2}`), 428, "precondition-required")
 			So(store.proposed, ShouldBeEmpty)
 		})
 
-		Convey("and a workspace that was created in the author's name", func() {
-			c.want(c.send("PUT", path, `{"weight":2}`, "If-None-Match: *"), 200, `"status":"accepted"`, `"version":1`)
+		Convey("and a workspace whose creation records the author", func() {
+			c.expect(c.send("PUT", path, `{"weight":2}`, "If-None-Match: *"), 200, `"status":"accepted"`, `"version":1`)
 			So(store.proposed[0].Author, ShouldEqual, "ana")
 			read := c.send("GET", path, "")
-			c.want(read, 200, `"weight":2`)
+			c.expect(read, 200, `"weight":2`)
 			tag := "If-Match: " + read.header.Get("ETag")
 
 			Convey("it cannot be created again", func() {
-				c.want(c.send("PUT", path, `{"weight":3}`, "If-None-Match: *"), 412, `"weight":2`)
+				c.expect(c.send("PUT", path, `{"weight":3}`, "If-None-Match: *"), 412, `"weight":2`)
 			})
 
-			Convey("the ETag that was read changes it once, and then shows what is there", func() {
-				c.want(c.send("PUT", path, `{"weight":5}`, tag), 200, `"version":2`)
+			Convey("its ETag can be used for one change, then the response has the present entity", func() {
+				c.expect(c.send("PUT", path, `{"weight":5}`, tag), 200, `"version":2`)
 				lost := c.send("PUT", path, `{"weight":7}`, tag)
-				c.want(lost, 412, `"weight":5`, `"code":"conflict"`, `"revision":2`)
+				c.expect(lost, 412, `"weight":5`, `"code":"conflict"`, `"revision":2`)
 				So(lost.header.Get("ETag"), ShouldEqual, `"2"`)
 			})
 
-			Convey("it is deleted with its ETag alone", func() {
-				c.want(c.send("DELETE", path, ""), 428)
-				c.want(c.send("PUT", path, `{"weight":5}`, tag), 200, `"version":2`)
-				c.want(c.send("DELETE", path, "", tag), 412)
-				c.want(c.send("DELETE", path, "", `If-Match: "2"`), 200, `"version":3`)
-				c.want(c.send("GET", path, ""), 404)
+			Convey("it can only be deleted with its present ETag", func() {
+				c.expect(c.send("DELETE", path, ""), 428)
+				c.expect(c.send("PUT", path, `{"weight":5}`, tag), 200, `"version":2`)
+				c.expect(c.send("DELETE", path, "", tag), 412)
+				c.expect(c.send("DELETE", path, "", `If-Match: "2"`), 200, `"version":3`)
+				c.expect(c.send("GET", path, ""), 404)
 			})
 		})
 	})
 }
 
-// While a VM has not confirmed the change, the operator is told which, and that
-// the change is committed. An answer that was lost is pending too, with its id.
-func TestPendingIsSaidWithNames(t *testing.T) {
+// While a VM has not confirmed a change, the response names the VM and says that the
+// change is committed. If the table's response was lost, the change is pending as
+// well and the response has its ID.
+func TestPendingChangeNamesMissingVMs(t *testing.T) {
 	Convey("Given a VM that confirms nothing", t, func() {
 		store := newFakeStore(t)
 		store.missing = []string{"vm-5"}
@@ -94,83 +95,83 @@
 		}
 
 		Convey("a change is pending with the VM's name, and so is a wait for it", func() {
-			c.want(create("crews"), 202, `"status":"pending"`, `"committed":true`, `"missing":["vm-5"]`)
-			c.want(c.send("GET", "/admin/v1/changes/1?wait=1ms", ""), 200, `"missing":["vm-5"]`, `"name":"crews"`)
+			c.expect(create("crews"), 202, `"status":"pending"`, `"committed":true`, `"missing":["vm-5"]`)
+			c.expect(c.send("GET", "/admin/v1/changes/1?wait=1ms", ""), 200, `"missing":["vm-5"]`, `"name":"crews"`)
 		})
 
-		Convey("a change whose answer was lost is pending with its id, and not called committed", func() {
-			store.fail = &confstore.PendingError{ID: "abc", Version: 2, Cause: errors.New("lost")}
-			c.want(create("desk"), 202, `"status":"pending"`, `"committed":false`, `"id":"abc"`)
+		Convey("a change whose result was lost is pending with its ID and not committed", func() {
+			store.proposeErr = &confstore.PendingError{ID: "abc", Version: 2, Cause: errors.New("lost")}
+			c.expect(create("desk"), 202, `"status":"pending"`, `"committed":false`, `"id":"abc"`)
 		})
 
-		Convey("a change that was certainly not written is refused", func() {
-			store.fail = &confstore.NotWrittenError{ID: "abc", Cause: errors.New("table is out")}
-			c.want(create("desk"), 503, "Nothing was written")
+		Convey("a change that was definitely not written is refused", func() {
+			store.proposeErr = &confstore.NotWrittenError{ID: "abc", Cause: errors.New("table is out")}
+			c.expect(create("desk"), 503, "Nothing was written")
 		})
 	})
 }
 
-// Everything that is wrong with an entity comes in one answer, with its place.
+// One response reports all errors of an entity, each with its field.
 func TestAllFindingsAreReportedTogether(t *testing.T) {
-	Convey("A profile with four faults is refused with all four", t, func() {
+	Convey("A profile with four errors is refused with all four", t, func() {
 		c := newClient(t, Options{Store: newFakeStore(t)})
 		r := c.send("PUT", "/admin/v1/profiles/permits",
 			`{"workspace":"nobody","class":"call","urgency":"urgent","service":"","path":"x","deadline":"0s","limits":{}}`,
 			"If-None-Match: *")
-		c.want(r, 422, "profile.permits.workspace", "profile.permits.service", "profile.permits.path", "profile.permits.deadline")
+		c.expect(r, 422, "profile.permits.workspace", "profile.permits.service", "profile.permits.path", "profile.permits.deadline")
 		So(r.header.Get("Content-Type"), ShouldEqual, "application/problem+json")
 	})
 }
 
-// Whoever has no token, a wrong one or too weak a role learns nothing and changes
-// nothing, on unknown paths as well.
+// Without a valid token a client learns nothing, not even whether a path exists. With
+// a role that is not sufficient it changes nothing.
 func TestTokensAndRoles(t *testing.T) {
 	const path = "/admin/v1/workspaces/crews"
 	const reader = "Authorization: Bearer reader"
 	Convey("Given a workspace", t, func() {
-		store := newFakeStore(t, crews())
+		store := newFakeStore(t, crewsWorkspace())
 		c := newClient(t, Options{Store: store})
 
 		Convey("an unknown token and another scheme are refused on every path", func() {
 			for _, path := range []string{path, "/admin/v1/dump", "/nothing"} {
-				c.want(c.send("GET", path, "", "Authorization: Bearer wrong"), 401, "not known")
-				c.want(c.send("GET", path, "", "Authorization: Basic x"), 401, "Bearer TOKEN")
+				c.expect(c.send("GET", path, "", "Authorization: Bearer wrong"), 401, "not known")
+				c.expect(c.send("GET", path, "", "Authorization: Basic x"), 401, "Bearer TOKEN")
 			}
 		})
 
-		Convey("a reader reads, and neither deletes nor drains", func() {
-			c.want(c.send("GET", path, "", reader), 200)
-			c.want(c.send("DELETE", path, "", reader, `If-Match: "1"`), 403, "rosa has the role read")
-			c.want(c.send("POST", "/admin/v1/targets/gpu-1/drain", "", reader), 403)
+		Convey("a reader can read, but neither delete nor drain", func() {
+			c.expect(c.send("GET", path, "", reader), 200)
+			c.expect(c.send("DELETE", path, "", reader, `If-Match: "1"`), 403, "rosa has the role read")
+			c.expect(c.send("POST", "/admin/v1/targets/gpu-1/drain", "", reader), 403)
 		})
 
-		Convey("an operator's unknown path or method is not found", func() {
-			c.want(c.send("GET", "/nothing", ""), 404, "not-found")
-			c.want(c.send("PATCH", path, ""), 404, "not-found")
+		Convey("an operator gets 404 for an unknown path or method", func() {
+			c.expect(c.send("GET", "/nothing", ""), 404, "not-found")
+			c.expect(c.send("PATCH", path, ""), 404, "not-found")
 		})
 
 		So(store.changes, ShouldHaveLength, 1)
 	})
 }
 
-// An operator reads a workspace, changes its weight and sends it back. No answer
-// shows a key's digest, and the keys are still there afterwards.
+// An operator reads a workspace, changes its weight and sends it back. The workspace
+// keeps its keys, although no response contains their digests.
 func TestKeyDigestsAreHiddenAndKept(t *testing.T) {
 	const path = "/admin/v1/workspaces/crews"
-	Convey("Given a workspace with a key that was read and sent back", t, func() {
-		store := newFakeStore(t, crews())
+	Convey("Given a workspace with a key that was read, edited and sent back", t, func() {
+		store := newFakeStore(t, crewsWorkspace())
 		c := newClient(t, Options{Store: store})
 		read := c.send("GET", path, "")
-		c.want(read, 200, `"keyDigestCount":1`)
+		c.expect(read, 200, `"keyDigestCount":1`)
 		edited := strings.Replace(read.body, `"weight":2`, `"weight":9`, 1)
-		c.want(c.send("PUT", path, edited, `If-Match: "1"`), 200)
+		c.expect(c.send("PUT", path, edited, `If-Match: "1"`), 200)
 
-		Convey("the change is in force and the key kept", func() {
+		Convey("the change is in force and the key is kept", func() {
 			So(store.Current().Workspaces["crews"].Weight, ShouldEqual, 9)
 			So(store.Current().Workspaces["crews"].KeyDigests, ShouldHaveLength, 1)
 		})
 
-		Convey("no answer shows the digest, a refusal neither", func() {
+		Convey("no response contains the digest, refusals included", func() {
 			for _, r := range []reply{
 				read, c.send("GET", "/admin/v1/workspaces", ""), c.send("GET", "/admin/v1/changes", ""),
 				c.send("GET", "/admin/v1/changes/1", ""), c.send("GET", "/admin/v1/changes?id=c1", ""),
@@ -182,8 +183,8 @@
 			}
 		})
 
-		Convey("an empty list of digests takes the key away", func() {
-			c.want(c.send("PUT", path, `{"keyDigests":[]}`, `If-Match: "2"`), 200)
+		Convey("an empty list of digests removes the key", func() {
+			c.expect(c.send("PUT", path, `{"keyDigests":[]}`, `If-Match: "2"`), 200)
 			So(store.Current().Workspaces["crews"].KeyDigests, ShouldBeEmpty)
 		})
 	})
--- a/internal/adminapi/authenticate.go
+++ b/internal/adminapi/authenticate.go
@@ -6,14 +6,15 @@
 	"strings"
 )
 
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
+// authorKey is the context key of the author's name.
 type authorKey struct{}
 
-// authenticate returns the request with its author, or the refusal. The refusal
-// says what is missing and never repeats the token.
+// authenticate returns the request with its author in the context, or the problem to
+// answer with. The problem says what is missing and never includes the token.
 func (a *API) authenticate(r *http.Request) (*http.Request, *Problem) {
-	token, found := strings.CutPrefix(r.Header.Get("Authorization"), bearer)
+	token, found := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
 	if !found || token == "" {
 		return nil, unauthorized("Send the operator's token as \"Authorization: Bearer TOKEN\".")
 	}
@@ -21,18 +22,19 @@
 	if !ok {
 		return nil, unauthorized("The token is not known to this VM.")
 	}
-	if needed := neededRole(r.Method); !role.Allows(needed) {
+	if required := requiredRole(r.Method); !role.Allows(required) {
 		return nil, &Problem{
 			Status: http.StatusForbidden,
 			Code:   CodeForbidden,
 			Title:  "Not allowed",
-			Detail: author + " has the role " + string(role) + "; " + r.Method + " needs the role " + string(needed) + ".",
+			Detail: author + " has the role " + string(role) + "; " + r.Method + " needs the role " + string(required) + ".",
 		}
 	}
 	return r.WithContext(context.WithValue(r.Context(), authorKey{}, author)), nil
 }
 
-func neededRole(method string) Role {
+// requiredRole returns the role that a request with the method needs.
+func requiredRole(method string) Role {
 	if method == http.MethodGet || method == http.MethodHead {
 		return RoleRead
 	}
@@ -43,6 +45,7 @@
 	return &Problem{Status: http.StatusUnauthorized, Code: CodeUnauthorized, Title: "A token is needed", Detail: detail}
 }
 
+// authorOf returns the author's name from a request's context.
 func authorOf(ctx context.Context) string {
 	author, _ := ctx.Value(authorKey{}).(string)
 	return author
--- a/internal/adminapi/change_details.go
+++ b/internal/adminapi/change_details.go
@@ -2,9 +2,9 @@
 
 import "geraniumcroft/internal/config"
 
-// ChangeDetails is a change and where it is in force.
+// ChangeDetails is a change with the VMs on which it is in force.
 type ChangeDetails struct {
 	ChangeResponse
-	// Change is null when compaction has dropped it.
+	// Change is nil if compaction has removed it from the history.
 	Change *config.Change `json:"change"`
 }
--- a/internal/adminapi/change_entity.go
+++ b/internal/adminapi/change_entity.go
@@ -14,6 +14,7 @@
 	"geraniumcroft/internal/confstore"
 )
 
+// put returns the handler that creates or replaces an entity.
 func (a *API) put(kind config.EntityKind) iris.Handler {
 	return func(ctx iris.Context) {
 		e, problem := readEdit(ctx, kind, true)
@@ -21,24 +22,27 @@
 			e.value, problem = a.readValue(ctx, e)
 		}
 		if problem != nil {
-			fail(ctx, problem)
+			writeProblem(ctx, problem)
 			return
 		}
 		a.change(ctx, e)
 	}
 }
 
+// remove returns the handler that deletes an entity.
 func (a *API) remove(kind config.EntityKind) iris.Handler {
 	return func(ctx iris.Context) {
 		e, problem := readEdit(ctx, kind, false)
 		if problem != nil {
-			fail(ctx, problem)
+			writeProblem(ctx, problem)
 			return
 		}
 		a.change(ctx, e)
 	}
 }
 
+// readValue reads the entity from the body. It only checks that the body is JSON
+// and not null; the store validates the entity.
 func (a *API) readValue(ctx iris.Context, e edit) (json.RawMessage, *Problem) {
 	body, err := io.ReadAll(ctx.Request().Body)
 	var tooLarge *http.MaxBytesError
@@ -58,11 +62,12 @@
 		return nil, badRequest("The body is null; use DELETE to delete.")
 	}
 	if e.kind == config.EntityWorkspace {
-		return a.keepKeyDigests(ctx, e, body)
+		return a.fillKeyDigests(ctx, e, body)
 	}
 	return body, nil
 }
 
+// change proposes an edit and answers with its result.
 func (a *API) change(ctx iris.Context, e edit) {
 	request := ctx.Request().Context()
 	change, err := a.options.Store.Propose(request, confstore.Proposal{
@@ -74,11 +79,11 @@
 		IfRevision: e.revision,
 	})
 	if err != nil {
-		a.failChange(ctx, err)
+		a.writeChangeError(ctx, err)
 		return
 	}
 	a.options.Logger.Info("configuration changed",
 		zap.String("author", change.Author), zap.String("kind", string(e.kind)), zap.String("name", change.Name),
 		zap.Uint64("version", change.Version), zap.Bool("delete", change.IsDelete()))
-	a.answerChange(ctx, change, e.wait)
+	a.writeChange(ctx, change, e.wait)
 }
--- a/internal/adminapi/changes.go
+++ b/internal/adminapi/changes.go
@@ -16,30 +16,31 @@
 	maxChangesLimit     = 256
 )
 
+// listChanges lists the history after a version, or the change with the given ID.
 func (a *API) listChanges(ctx iris.Context) {
 	if id := ctx.URLParam("id"); id != "" {
-		a.lookUpChange(ctx, id)
+		a.lookupChange(ctx, id)
 		return
 	}
 	after, problem := numberParam(ctx, "after", 0)
 	if problem != nil {
-		fail(ctx, problem)
+		writeProblem(ctx, problem)
 		return
 	}
 	limit, problem := numberParam(ctx, "limit", defaultChangesLimit)
 	if problem != nil {
-		fail(ctx, problem)
+		writeProblem(ctx, problem)
 		return
 	}
 	changes, err := a.options.Store.History(ctx.Request().Context(), after, int(min(limit, maxChangesLimit)))
 	if err != nil {
-		fail(ctx, unreadable(err))
+		writeProblem(ctx, historyUnavailable(err))
 		return
 	}
-	answer(ctx, http.StatusOK, a.changesAnswer(changes))
+	writeJSON(ctx, http.StatusOK, a.newChangesResponse(changes))
 }
 
-func (a *API) changesAnswer(changes []config.Change) ChangesResponse {
+func (a *API) newChangesResponse(changes []config.Change) ChangesResponse {
 	body := ChangesResponse{Version: a.options.Store.Current().Version, Changes: []config.Change{}}
 	for _, change := range changes {
 		body.Changes = append(body.Changes, viewOfChange(change))
@@ -47,42 +48,45 @@
 	return body
 }
 
-func (a *API) lookUpChange(ctx iris.Context, id string) {
+// lookupChange answers with the result of the change with the given ID.
+func (a *API) lookupChange(ctx iris.Context, id string) {
 	change, err := a.options.Store.Lookup(ctx.Request().Context(), id)
 	var unknown *confstore.UnknownChangeError
 	var notWritten *confstore.NotWrittenError
 	var pending *confstore.PendingError
 	switch {
 	case err == nil:
-		answer(ctx, http.StatusOK, a.changesAnswer([]config.Change{change}))
+		writeJSON(ctx, http.StatusOK, a.newChangesResponse([]config.Change{change}))
 	case errors.As(err, &unknown):
-		fail(ctx, &Problem{
+		writeProblem(ctx, &Problem{
 			Status: http.StatusNotFound, Code: CodeUnknownChange, Title: "Unknown change", Detail: err.Error(), ID: id,
 		})
 	case errors.As(err, &notWritten):
-		fail(ctx, &Problem{
+		writeProblem(ctx, &Problem{
 			Status: http.StatusGone, Code: CodeNotWritten, Title: "Not written", ID: id,
 			Detail: "The change was not written and will not be.",
 		})
 	case errors.As(err, &pending):
-		a.failChange(ctx, err)
+		a.writeChangeError(ctx, err)
 	default:
-		fail(ctx, unreadable(err))
+		writeProblem(ctx, historyUnavailable(err))
 	}
 }
 
+// showChange answers with one change and where it is in force. The change itself is
+// left out if the history can't be read or no longer holds it.
 func (a *API) showChange(ctx iris.Context) {
 	version, err := strconv.ParseUint(ctx.Params().Get("version"), 10, 64)
 	if err != nil || version == 0 {
-		fail(ctx, badRequest("A version is a whole number from 1 on."))
+		writeProblem(ctx, badRequest("A version is a whole number from 1 on."))
 		return
 	}
-	wait, problem := waitOf(ctx)
+	wait, problem := waitParam(ctx)
 	if problem != nil {
-		fail(ctx, problem)
+		writeProblem(ctx, problem)
 		return
 	}
-	body := ChangeDetails{ChangeResponse: changeAnswer(a.acceptance(ctx, version, wait))}
+	body := ChangeDetails{ChangeResponse: newChangeResponse(a.waitForAcceptance(ctx, version, wait))}
 	changes, err := a.options.Store.History(ctx.Request().Context(), version-1, 1)
 	if err == nil && len(changes) == 1 && changes[0].Version == version {
 		shown := viewOfChange(changes[0])
@@ -90,13 +94,14 @@
 		body.ID = shown.ID
 	}
 	body.Committed = body.Change != nil || version <= a.options.Store.Current().Version
-	answer(ctx, http.StatusOK, body)
+	writeJSON(ctx, http.StatusOK, body)
 }
 
-func numberParam(ctx iris.Context, name string, otherwise uint64) (uint64, *Problem) {
+// numberParam returns a query parameter as a number, or defaultValue without it.
+func numberParam(ctx iris.Context, name string, defaultValue uint64) (uint64, *Problem) {
 	text := ctx.URLParam(name)
 	if text == "" {
-		return otherwise, nil
+		return defaultValue, nil
 	}
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
@@ -105,7 +110,8 @@
 	return number, nil
 }
 
-func unreadable(err error) *Problem {
+// historyUnavailable is the problem for an error of reading the table.
+func historyUnavailable(err error) *Problem {
 	return &Problem{
 		Status: http.StatusServiceUnavailable, Code: CodeUnavailable, Title: "The history can't be read now",
 		Detail: err.Error(),
--- a/internal/adminapi/changes_response.go
+++ b/internal/adminapi/changes_response.go
@@ -2,9 +2,9 @@
 
 import "geraniumcroft/internal/config"
 
-// ChangesResponse is a part of the history.
+// ChangesResponse is a section of the history.
 type ChangesResponse struct {
-	// Version is the configuration's, as this VM has it in force.
+	// Version is the configuration version that is in force on this VM.
 	Version uint64          `json:"version"`
 	Changes []config.Change `json:"changes"`
 }
--- a/internal/adminapi/code.go
+++ b/internal/adminapi/code.go
@@ -1,9 +1,10 @@
 package adminapi
 
-// Code names a kind of problem; scripts may rely on it.
+// Code identifies a kind of problem. Codes are stable, so that scripts can match
+// them.
 type Code string
 
-// The kinds of problems.
+// Kinds of problems.
 const (
 	CodeUnauthorized         Code = "unauthorized"
 	CodeForbidden            Code = "forbidden"
--- a/internal/adminapi/collections.go
+++ b/internal/adminapi/collections.go
@@ -2,7 +2,7 @@
 
 import "geraniumcroft/internal/config"
 
-// collections are the tables of the configuration by their path.
+// collections maps the name of a collection in the path to the kind of its entities.
 var collections = map[string]config.EntityKind{
 	"workspaces": config.EntityWorkspace,
 	"profiles":   config.EntityProfile,
--- a/internal/adminapi/doc.go
+++ b/internal/adminapi/doc.go
@@ -1,15 +1,16 @@
-// Package adminapi is the operators' HTTP API: it lists, reads and changes the
-// configuration and shows what the process knows.
+// Package adminapi serves the operators' HTTP API. It lists, reads and changes the
+// configuration and shows the state of the process.
 //
-// Every request needs a bearer token. An entity is read with an ETag and changed
-// only with that ETag in If-Match, or created with If-None-Match: *; an operator
-// who has read an older revision gets the present entity and changes nothing.
-// A change answers "accepted" once it is in force on every VM that may serve, and
-// "pending" with the names of the others until then. When the table's answer to
-// the write was lost and could not be read back, the answer is "pending" too and
-// says so, for the change may take effect; its id can be looked up.
+// Every request needs a bearer token. Reading an entity returns an ETag. A change
+// must send that ETag in If-Match, or If-None-Match: * to create the entity; if the
+// ETag is outdated, nothing is written and the response contains the present entity.
+// The status of a change is "accepted" once it is in force on every VM that may
+// serve. Until then it is "pending", and the response names the other VMs. If the
+// table's response to the write was lost and the result could not be read back, the
+// status is "pending" as well and the response says that the change may take effect;
+// it can be looked up by its ID.
 //
-// The dump answers while everything else is stuck: it takes its turn behind no
-// queue, and after a bound it answers with the stacks of the process instead.
-// Answers never hold a secret: digests of keys are replaced by their count.
+// The dump works while other parts of the process hang: it waits in no queue, and
+// after Options.DumpTimeout the response contains the stacks of the process instead.
+// Responses never contain secrets: key digests are replaced by their number.
 package adminapi
--- a/internal/adminapi/dumper.go
+++ b/internal/adminapi/dumper.go
@@ -12,79 +12,83 @@
 	"github.com/kataras/iris/v12"
 )
 
-// stackDetail merges equal stacks and shows no argument, so no value gets out.
-const stackDetail = 1
+// goroutineProfileDebug is the debug level of the goroutine profile that merges equal
+// stacks and omits arguments, so that no secret is disclosed.
+const goroutineProfileDebug = 1
 
-// dumper runs one dump at a time and bounds the wait for it. A dump that waits
-// for a lock which is never released would otherwise hang just when it is needed,
-// and each new try would leave one more goroutine behind.
+// dumper runs one dump at a time and limits the wait for it. Without the limit, a
+// dump that waits for a lock that is never released would hang when it is needed
+// most. Without sharing a run, each further request would leak a goroutine.
 type dumper struct {
-	take  func() any
-	bound time.Duration
+	collect func() any
+	timeout time.Duration
 
 	mu      sync.Mutex // guards the field below
-	running *dumpRun
+	current *dumpRun
 }
 
-func newDumper(take func() any, bound time.Duration) *dumper {
-	return &dumper{take: take, bound: bound}
+func newDumper(collect func() any, timeout time.Duration) *dumper {
+	return &dumper{collect: collect, timeout: timeout}
 }
 
-// dump returns the dump as JSON, or the stacks when it does not end in time.
+// dump returns the dump as JSON, or a StuckDump if it does not finish in time.
 func (d *dumper) dump() ([]byte, error) {
-	run := d.join()
-	timer := time.NewTimer(d.bound)
+	run := d.startOrJoin()
+	timer := time.NewTimer(d.timeout)
 	defer timer.Stop()
 	select {
 	case <-run.done:
 		return run.body, run.err
 	case <-timer.C:
-		return json.Marshal(StuckDump{Stuck: true, Since: run.since, Stacks: stacks()})
+		return json.Marshal(StuckDump{Stuck: true, Since: run.startedAt, Stacks: goroutineStacks()})
 	}
 }
 
-// join returns the dump under way, or starts one.
-func (d *dumper) join() *dumpRun {
+// startOrJoin returns the run in progress, or starts one.
+func (d *dumper) startOrJoin() *dumpRun {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.running != nil {
-		return d.running
+	if d.current != nil {
+		return d.current
 	}
-	run := &dumpRun{since: time.Now(), done: make(chan struct{})}
-	d.running = run
-	go d.finish(run)
+	run := &dumpRun{startedAt: time.Now(), done: make(chan struct{})}
+	d.current = run
+	go d.execute(run)
 	return run
 }
 
-func (d *dumper) finish(run *dumpRun) {
+// execute collects the dump and completes the run.
+func (d *dumper) execute(run *dumpRun) {
 	run.body, run.err = d.encode()
 	d.mu.Lock()
-	d.running = nil
+	d.current = nil
 	d.mu.Unlock()
 	close(run.done)
 }
 
-// encode turns a panic into an error. The dump runs in a goroutine of its own, where
-// a bug in one part's dump would otherwise end the process with all its requests.
+// encode collects the dump and encodes it. It returns a panic as an error: the dump
+// runs in its own goroutine, where a panic in one component's dump would otherwise
+// end the process and all requests in progress.
 func (d *dumper) encode() (body []byte, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = errors.Newf("the dump panicked: %v", cause)
 		}
 	}()
-	return json.Marshal(d.take())
+	return json.Marshal(d.collect())
 }
 
-func stacks() string {
+// goroutineStacks returns the stacks of all goroutines.
+func goroutineStacks() string {
 	var text bytes.Buffer
-	_ = pprof.Lookup("goroutine").WriteTo(&text, stackDetail)
+	_ = pprof.Lookup("goroutine").WriteTo(&text, goroutineProfileDebug)
 	return text.String()
 }
 
-func (a *API) dump(ctx iris.Context) {
+func (a *API) serveDump(ctx iris.Context) {
 	body, err := a.dumper.dump()
 	if err != nil {
-		a.failInternal(ctx, err)
+		a.writeInternalError(ctx, err)
 		return
 	}
 	writer := ctx.ResponseWriter()
--- a/internal/adminapi/edit.go
+++ b/internal/adminapi/edit.go
@@ -12,34 +12,34 @@
 
 const maxIDLength = 128
 
-// edit is one change as a request asks for it.
+// edit is a change as requested.
 type edit struct {
 	kind config.EntityKind
 	name string
 	id   string
-	// revision is what the author has read; 0 creates.
+	// revision is the revision that the author has read. 0 creates the entity.
 	revision uint64
-	// value is the entity as JSON; nil deletes it.
+	// value is the entity as JSON. nil deletes it.
 	value json.RawMessage
 	wait  time.Duration
 }
 
-// readEdit reads all but the value.
+// readEdit reads an edit, except its value, from the path, the query and the headers.
 func readEdit(ctx iris.Context, kind config.EntityKind, mayCreate bool) (edit, *Problem) {
 	e := edit{kind: kind, name: ctx.Params().Get("name")}
 	var problem *Problem
-	if e.revision, problem = precondition(ctx, mayCreate); problem != nil {
+	if e.revision, problem = expectedRevision(ctx, mayCreate); problem != nil {
 		return e, problem
 	}
-	if e.wait, problem = waitOf(ctx); problem != nil {
+	if e.wait, problem = waitParam(ctx); problem != nil {
 		return e, problem
 	}
 	e.id, problem = changeID(ctx)
 	return e, problem
 }
 
-// changeID is the caller's Idempotency-Key, so that a repeated request is not a
-// second change.
+// changeID returns the caller's Idempotency-Key, so that a repeated request does not
+// make a second change, or a new ID if there is none.
 func changeID(ctx iris.Context) (string, *Problem) {
 	id := ctx.GetHeader("Idempotency-Key")
 	if id == "" {
--- a/internal/adminapi/fakes_test.go
+++ b/internal/adminapi/fakes_test.go
@@ -16,17 +16,17 @@
 	"geraniumcroft/internal/confstore"
 )
 
-// fakeStore is a store without a table: a proposal is in force at once.
+// fakeStore is a Store without a table. Proposals are in force at once.
 type fakeStore struct {
 	config.StaticSource
-	mu       sync.Mutex // guards the fields below
-	changes  []config.Change
-	missing  []string
-	fail     error
-	before   func()        // runs before a proposal, without the lock
-	onPoll   func()        // what a poll brings; nil brings nothing
-	waiting  chan struct{} // gets an element for each wait that lasts; nil lasts none
-	proposed []confstore.Proposal
+	mu            sync.Mutex // guards the fields below
+	changes       []config.Change
+	missing       []string
+	proposeErr    error
+	beforePropose func()        // called once by the next Propose, without the lock
+	onPoll        func()        // called by Poll; may be nil
+	waitStarted   chan struct{} // receives an element per blocking Wait; if nil, Wait doesn't block
+	proposed      []confstore.Proposal
 }
 
 func newFakeStore(t *testing.T, proposals ...confstore.Proposal) *fakeStore {
@@ -47,15 +47,15 @@
 }
 
 func (s *fakeStore) Propose(_ context.Context, p confstore.Proposal) (config.Change, error) {
-	if before := s.before; before != nil {
-		s.before = nil
+	if before := s.beforePropose; before != nil {
+		s.beforePropose = nil
 		before()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.proposed = append(s.proposed, p)
-	if s.fail != nil {
-		return config.Change{}, s.fail
+	if s.proposeErr != nil {
+		return config.Change{}, s.proposeErr
 	}
 	snapshot := s.Current()
 	entity, revision := snapshot.Entity(p.Kind, p.Name)
@@ -102,8 +102,8 @@
 }
 
 func (s *fakeStore) Wait(ctx context.Context, version uint64, _ confstore.Confirmer) confstore.Acceptance {
-	if s.waiting != nil && ctx.Err() == nil {
-		s.waiting <- struct{}{}
+	if s.waitStarted != nil && ctx.Err() == nil {
+		s.waitStarted <- struct{}{}
 		<-ctx.Done()
 	}
 	return confstore.Acceptance{
@@ -111,7 +111,7 @@
 	}
 }
 
-// fakeAuthenticator knows the tokens "reader" and "operator".
+// fakeAuthenticator accepts the tokens "reader" and "operator".
 type fakeAuthenticator struct{}
 
 func (fakeAuthenticator) Authenticate(token string) (string, Role, bool) {
@@ -124,7 +124,7 @@
 	return "", "", false
 }
 
-// client sends requests to an API on a listener of its own.
+// client sends requests to an API that has its own listener.
 type client struct {
 	t      *testing.T
 	server *httptest.Server
@@ -144,8 +144,8 @@
 	return &client{t: t, server: server}
 }
 
-// sendIn sends a GET that ends with ctx and ignores the answer.
-func (c *client) sendIn(ctx context.Context, method, path string) {
+// sendWithContext sends a request that is cancelled with ctx and ignores the response.
+func (c *client) sendWithContext(ctx context.Context, method, path string) {
 	request, err := http.NewRequestWithContext(ctx, method, c.server.URL+path, nil)
 	if err != nil {
 		c.t.Error(err)
@@ -157,7 +157,7 @@
 	}
 }
 
-// reply is a whole answer.
+// reply is a complete response.
 type reply struct {
 	status int
 	header http.Header
@@ -188,8 +188,9 @@
 	return reply{status: response.StatusCode, header: response.Header, body: string(text)}
 }
 
-// want checks an answer within a Convey; its body holds all the parts.
-func (c *client) want(r reply, status int, parts ...string) {
+// expect checks within a Convey that a response has the status and that its body
+// contains all parts.
+func (c *client) expect(r reply, status int, parts ...string) {
 	c.t.Helper()
 	SoMsg(r.body, r.status, ShouldEqual, status)
 	for _, part := range parts {
--- a/internal/adminapi/key_digests.go
+++ b/internal/adminapi/key_digests.go
@@ -9,18 +9,18 @@
 	"geraniumcroft/internal/confstore"
 )
 
-// keepKeyDigests lets an operator send back the workspace that was read, which
-// has no digests: without the field the present digests stay, an empty list
-// removes them. The digests are taken from just the revision that the operator
-// has read; from an older one a key that was revoked meanwhile would come back.
-func (a *API) keepKeyDigests(ctx iris.Context, e edit, body json.RawMessage) (json.RawMessage, *Problem) {
+// fillKeyDigests completes a workspace that an operator has read, edited and sent
+// back. Responses omit the digests, so a body without the field keeps the present
+// ones; an empty list removes them. The digests are taken only from the revision that
+// the operator has read: an older one could restore a key that was revoked since.
+func (a *API) fillKeyDigests(ctx iris.Context, e edit, body json.RawMessage) (json.RawMessage, *Problem) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return body, nil // validation says what is wrong with it
+		return body, nil // validation reports the error
 	}
 	delete(fields, "keyDigestCount")
 	if _, given := fields["keyDigests"]; !given {
-		digests, problem := a.digestsFor(ctx, e)
+		digests, problem := a.keyDigestsFor(ctx, e)
 		if problem != nil {
 			return nil, problem
 		}
@@ -33,22 +33,23 @@
 	return encoded, nil
 }
 
-// digestsFor returns the digests of the revision that was read, or those that the
-// same request has written when its author sends it again.
-func (a *API) digestsFor(ctx iris.Context, e edit) (json.RawMessage, *Problem) {
-	w := workspaceOf(a.options.Store.Current(), e.name)
+// keyDigestsFor returns the digests of the revision that the author has read. If the
+// edit is a retry of a request that was already written, it returns the digests that
+// were written.
+func (a *API) keyDigestsFor(ctx iris.Context, e edit) (json.RawMessage, *Problem) {
+	w := workspaceOrEmpty(a.options.Store.Current(), e.name)
 	if w.Revision != e.revision {
 		if err := a.options.Store.Poll(ctx.Request().Context()); err != nil {
-			return nil, unreadable(err)
+			return nil, historyUnavailable(err)
 		}
-		w = workspaceOf(a.options.Store.Current(), e.name)
+		w = workspaceOrEmpty(a.options.Store.Current(), e.name)
 	}
 	if w.Revision != e.revision {
-		written := a.writtenBefore(ctx, e)
-		if written == nil {
-			return nil, staleWorkspace(w, e)
+		previous := a.previouslyWritten(ctx, e)
+		if previous == nil {
+			return nil, workspaceConflict(w, e)
 		}
-		w = written
+		w = previous
 	}
 	digests, err := json.Marshal(w.KeyDigests)
 	if err != nil {
@@ -57,9 +58,9 @@
 	return digests, nil
 }
 
-// writtenBefore returns the workspace as the change with the edit's id wrote it,
-// or nil. The store compares all of it with what is proposed now.
-func (a *API) writtenBefore(ctx iris.Context, e edit) *config.Workspace {
+// previouslyWritten returns the workspace that an earlier change with the edit's ID
+// has written, or nil. The store compares it in full with the new proposal.
+func (a *API) previouslyWritten(ctx iris.Context, e edit) *config.Workspace {
 	change, err := a.options.Store.Lookup(ctx.Request().Context(), e.id)
 	if err != nil || change.Kind != e.kind || change.Name != e.name {
 		return nil
@@ -71,15 +72,17 @@
 	return w
 }
 
-// workspaceOf returns an empty workspace at revision 0 when there is none.
-func workspaceOf(snapshot *config.Snapshot, name string) *config.Workspace {
+// workspaceOrEmpty returns the workspace, or an empty one at revision 0 if it does
+// not exist.
+func workspaceOrEmpty(snapshot *config.Snapshot, name string) *config.Workspace {
 	if w := snapshot.Workspaces[name]; w != nil {
 		return w
 	}
 	return &config.Workspace{KeyDigests: []string{}}
 }
 
-func staleWorkspace(w *config.Workspace, e edit) *Problem {
+// workspaceConflict is the problem for an edit of another revision than w's.
+func workspaceConflict(w *config.Workspace, e edit) *Problem {
 	conflict := &confstore.ConflictError{Kind: e.kind, Name: e.name, Revision: w.Revision, Wanted: e.revision}
 	if w.Revision > 0 {
 		conflict.Current, _ = json.Marshal(w)
--- a/internal/adminapi/list_response.go
+++ b/internal/adminapi/list_response.go
@@ -2,30 +2,32 @@
 
 import "geraniumcroft/internal/config"
 
-// ListResponse is one table of the configuration.
+// ListResponse lists all entities of one kind.
 type ListResponse struct {
-	// Version is the configuration's, as this VM has it in force.
+	// Version is the configuration version that is in force on this VM.
 	Version uint64 `json:"version"`
 	Items   []any  `json:"items"`
-	// UncheckedCallers are the targets that do not check who gives them an order,
-	// IgnoreFencing the engines that take orders with an old fencing number.
+	// UncheckedCallers lists the targets that do not authenticate the sender of an
+	// order. IgnoreFencing lists the engines that accept orders with an old fencing
+	// number.
 	UncheckedCallers []string `json:"uncheckedCallers,omitempty"`
 	IgnoreFencing    []string `json:"ignoreFencing,omitempty"`
 }
 
-func listOf(snapshot *config.Snapshot, kind config.EntityKind) ListResponse {
-	answer := ListResponse{Version: snapshot.Version, Items: []any{}}
+func newListResponse(snapshot *config.Snapshot, kind config.EntityKind) ListResponse {
+	response := ListResponse{Version: snapshot.Version, Items: []any{}}
 	for _, name := range snapshot.Names(kind) {
 		entity, _ := snapshot.Entity(kind, name)
-		answer.Items = append(answer.Items, viewOf(entity))
+		response.Items = append(response.Items, viewOf(entity))
 		if target, ok := entity.(*config.Target); ok {
-			answer.noteTarget(target)
+			response.addTargetWarnings(target)
 		}
 	}
-	return answer
+	return response
 }
 
-func (a *ListResponse) noteTarget(t *config.Target) {
+// addTargetWarnings adds t to the lists of targets that check too little.
+func (a *ListResponse) addTargetWarnings(t *config.Target) {
 	if !t.ChecksCallers {
 		a.UncheckedCallers = append(a.UncheckedCallers, t.Name)
 	}
--- a/internal/adminapi/options.go
+++ b/internal/adminapi/options.go
@@ -10,27 +10,31 @@
 )
 
 const (
-	// MaxBodyBytes bounds a request's body; an entity is smaller still.
+	// MaxBodyBytes is the maximum size of a request body. Entities have a lower
+	// limit.
 	MaxBodyBytes = 2 * confstore.MaxValueBytes
-	// MaxHeaderBytes bounds a request's header.
+	// MaxHeaderBytes is the maximum size of a request's headers.
 	MaxHeaderBytes = 16 << 10
-	// DefaultWait is how long a change waits to be in force everywhere, MaxWait
-	// the longest that a caller may ask for.
+	// DefaultWait is how long a request waits for a change to be in force on all VMs
+	// if it has no wait parameter. MaxWait is the maximum of that parameter.
 	DefaultWait = 2 * time.Second
 	MaxWait     = 30 * time.Second
-	// maxWaits bounds the requests that wait for a change at one time; those beyond
-	// it are told at once what is in force, and may ask again.
-	maxWaits = 64
-	// DefaultDumpTimeout is how long the dump may take before the stacks are shown.
+	// maxConcurrentWaits is the maximum number of requests that wait at the same
+	// time. Further requests are answered at once with the present state and can be
+	// repeated.
+	maxConcurrentWaits = 64
+	// DefaultDumpTimeout is how long a dump may take before the response contains
+	// the stacks instead.
 	DefaultDumpTimeout = 2 * time.Second
 )
 
-// Options set up the API. Store, Confirmer and Authenticator are needed.
+// Options configures the API. Store, Confirmer and Authenticator are required.
 type Options struct {
 	Store         Store
 	Confirmer     confstore.Confirmer
 	Authenticator Authenticator
-	// VMs, Leases and Dump return values that stand as JSON; nil answers null.
+	// VMs, Leases and Dump return values that are sent as JSON. If the function is
+	// nil, the response is null.
 	VMs    func() any
 	Leases func() any
 	Dump   func() any
@@ -51,6 +55,7 @@
 	return o
 }
 
+// orNull returns f, or a function that returns nil if f is nil.
 func orNull(f func() any) func() any {
 	if f == nil {
 		return func() any { return nil }
--- a/internal/adminapi/precondition.go
+++ b/internal/adminapi/precondition.go
@@ -8,9 +8,10 @@
 	"github.com/kataras/iris/v12"
 )
 
-// precondition returns the revision that the caller has read; 0 creates. A change
-// without one would overwrite what its author has not seen.
-func precondition(ctx iris.Context, mayCreate bool) (uint64, *Problem) {
+// expectedRevision returns the revision that the caller has read, from If-Match, or 0
+// to create the entity. A change without such a condition could overwrite a revision
+// that its author has not seen.
+func expectedRevision(ctx iris.Context, mayCreate bool) (uint64, *Problem) {
 	match := ctx.GetHeader("If-Match")
 	create := ctx.GetHeader("If-None-Match") == "*"
 	switch {
@@ -29,6 +30,7 @@
 	}
 }
 
+// parseETag returns the revision in a single strong ETag.
 func parseETag(tag string) (uint64, *Problem) {
 	unquoted, ok := strings.CutPrefix(tag, `"`)
 	unquoted, closed := strings.CutSuffix(unquoted, `"`)
--- a/internal/adminapi/read.go
+++ b/internal/adminapi/read.go
@@ -10,32 +10,34 @@
 	"geraniumcroft/internal/config"
 )
 
+// list returns the handler that lists all entities of a kind.
 func (a *API) list(kind config.EntityKind) iris.Handler {
 	return func(ctx iris.Context) {
 		snapshot := a.options.Store.Current()
-		if unchanged(ctx, fmt.Sprintf(`"v%d"`, snapshot.Version)) {
+		if notModified(ctx, fmt.Sprintf(`"v%d"`, snapshot.Version)) {
 			return
 		}
-		answer(ctx, http.StatusOK, listOf(snapshot, kind))
+		writeJSON(ctx, http.StatusOK, newListResponse(snapshot, kind))
 	}
 }
 
-func (a *API) read(kind config.EntityKind) iris.Handler {
+// get returns the handler that reads one entity.
+func (a *API) get(kind config.EntityKind) iris.Handler {
 	return func(ctx iris.Context) {
 		name := ctx.Params().Get("name")
 		entity, revision := a.options.Store.Current().Entity(kind, name)
 		if entity == nil {
-			fail(ctx, noEntity(kind, name))
+			writeProblem(ctx, entityNotFound(kind, name))
 			return
 		}
-		if unchanged(ctx, etag(revision)) {
+		if notModified(ctx, etag(revision)) {
 			return
 		}
-		answer(ctx, http.StatusOK, viewOf(entity))
+		writeJSON(ctx, http.StatusOK, viewOf(entity))
 	}
 }
 
-func noEntity(kind config.EntityKind, name string) *Problem {
+func entityNotFound(kind config.EntityKind, name string) *Problem {
 	return &Problem{
 		Status: http.StatusNotFound,
 		Code:   CodeNotFound,
@@ -44,8 +46,9 @@
 	}
 }
 
-// unchanged sets the ETag and answers 304 when the caller has that one already.
-func unchanged(ctx iris.Context, tag string) bool {
+// notModified sets the ETag. It answers 304 and returns true if the caller already
+// has that ETag.
+func notModified(ctx iris.Context, tag string) bool {
 	ctx.Header("ETag", tag)
 	if ctx.GetHeader("If-None-Match") != tag {
 		return false
@@ -56,7 +59,7 @@
 
 func etag(revision uint64) string { return fmt.Sprintf(`"%d"`, revision) }
 
-func answer(ctx iris.Context, status int, body any) {
+func writeJSON(ctx iris.Context, status int, body any) {
 	writer := ctx.ResponseWriter()
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
--- a/internal/adminapi/role.go
+++ b/internal/adminapi/role.go
@@ -2,10 +2,10 @@
 
 import "geraniumcroft/internal/security"
 
-// Role is what an operator may do.
+// Role defines what an operator may do.
 type Role = security.Role
 
-// The roles.
+// Roles of operators.
 const (
 	RoleRead    = security.RoleRead
 	RoleOperate = security.RoleOperate
--- a/internal/adminapi/set_state.go
+++ b/internal/adminapi/set_state.go
@@ -14,52 +14,56 @@
 	"geraniumcroft/internal/confstore"
 )
 
-// maxStateAttempts bounds how often other changes of a target may come first.
+// maxStateAttempts is how often a state change is tried if concurrent changes of the
+// target conflict with it.
 const maxStateAttempts = 5
 
-// setState drains a target or takes it back. It needs no If-Match: it changes the
-// state alone, of whatever the target is by then, so it overwrites nobody's change.
+// setState returns the handler that sets a target's state, to drain or undrain it. It
+// needs no If-Match: it changes only the state in the target's latest revision, so it
+// can't overwrite a concurrent change.
 func (a *API) setState(state config.TargetState) iris.Handler {
 	return func(ctx iris.Context) {
-		wait, problem := waitOf(ctx)
+		wait, problem := waitParam(ctx)
 		if problem != nil {
-			fail(ctx, problem)
+			writeProblem(ctx, problem)
 			return
 		}
-		a.changeState(ctx, state, wait)
+		a.setStateWithRetries(ctx, state, wait)
 	}
 }
 
-func (a *API) changeState(ctx iris.Context, state config.TargetState, wait time.Duration) {
-	// This VM may lag: by its old view the target may be in that state already,
-	// while someone has just taken it out of it.
+// setStateWithRetries sets the state and repeats the attempt after a conflict.
+func (a *API) setStateWithRetries(ctx iris.Context, state config.TargetState, wait time.Duration) {
+	// This VM's configuration may be outdated: in it the target may still have the
+	// requested state although that has changed since.
 	if err := a.options.Store.Poll(ctx.Request().Context()); err != nil {
-		fail(ctx, unreadable(err))
+		writeProblem(ctx, historyUnavailable(err))
 		return
 	}
 	var conflict *confstore.ConflictError
-	err := a.tryState(ctx, state, wait)
+	err := a.trySetState(ctx, state, wait)
 	for attempts := 1; attempts < maxStateAttempts && errors.As(err, &conflict); attempts++ {
-		err = a.tryState(ctx, state, wait)
+		err = a.trySetState(ctx, state, wait)
 	}
 	if err != nil {
-		a.failChange(ctx, err)
+		a.writeChangeError(ctx, err)
 	}
 }
 
-// tryState makes one attempt and answers, unless the proposal fails.
-func (a *API) tryState(ctx iris.Context, state config.TargetState, wait time.Duration) error {
+// trySetState makes one attempt. It returns an error if the proposal fails; otherwise
+// it has answered the request.
+func (a *API) trySetState(ctx iris.Context, state config.TargetState, wait time.Duration) error {
 	name := ctx.Params().Get("name")
 	target, ok := a.options.Store.Current().Targets[name]
 	switch {
 	case !ok:
-		fail(ctx, noEntity(config.EntityTarget, name))
+		writeProblem(ctx, entityNotFound(config.EntityTarget, name))
 		return nil
 	case target.State == state:
-		a.answerUnchanged(ctx, target, wait)
+		a.writeUnchanged(ctx, target, wait)
 		return nil
 	case target.State == config.StateReloading && state == config.StateActive:
-		fail(ctx, reloading(target))
+		writeProblem(ctx, reloadingProblem(target))
 		return nil
 	}
 	change, err := a.proposeState(ctx, target, state)
@@ -68,12 +72,12 @@
 	}
 	a.options.Logger.Info("target's state changed", zap.String("author", change.Author),
 		zap.String("name", change.Name), zap.String("state", string(state)))
-	a.answerChange(ctx, change, wait)
+	a.writeChange(ctx, change, wait)
 	return nil
 }
 
-// proposeState takes a fresh id for each attempt: the target's other fields may
-// differ from those of the attempt before.
+// proposeState proposes target with another state. Each attempt needs a new change
+// ID, since the target's other fields may differ from the previous attempt.
 func (a *API) proposeState(ctx iris.Context, target *config.Target, state config.TargetState) (config.Change, error) {
 	changed := *target
 	changed.State = state
@@ -92,16 +96,18 @@
 	})
 }
 
-func (a *API) answerUnchanged(ctx iris.Context, target *config.Target, wait time.Duration) {
-	body := changeAnswer(a.acceptance(ctx, target.Revision, wait))
+// writeUnchanged answers for a target that already has the requested state.
+func (a *API) writeUnchanged(ctx iris.Context, target *config.Target, wait time.Duration) {
+	body := newChangeResponse(a.waitForAcceptance(ctx, target.Revision, wait))
 	body.Unchanged = true
 	ctx.Header("ETag", etag(target.Revision))
-	answer(ctx, body.httpStatus(), body)
+	writeJSON(ctx, body.httpStatus(), body)
 }
 
-// reloading refuses to give work to a target that is being reloaded: the reload
-// would cut it off. The holder of the orders' lease makes the target active again.
-func reloading(target *config.Target) *Problem {
+// reloadingProblem refuses to undrain a target that is being reloaded, since the
+// reload would abort its requests. The holder of the orders lease makes the target
+// active again.
+func reloadingProblem(target *config.Target) *Problem {
 	return &Problem{
 		Status: http.StatusConflict, Code: CodeReloading, Title: "The target is being reloaded",
 		Detail: target.Name + " takes work again by itself when it is loaded.", Revision: target.Revision,
--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -4,8 +4,9 @@
 type Status string
 
 const (
-	// StatusAccepted: in force on every VM that may serve.
+	// StatusAccepted means that the change is in force on every VM that may serve.
 	StatusAccepted Status = "accepted"
-	// StatusPending: not, or not known to be, in force everywhere.
+	// StatusPending means that the change is not in force on all of these VMs, or
+	// that this is not known.
 	StatusPending Status = "pending"
 )
--- a/internal/adminapi/stuck_dump.go
+++ b/internal/adminapi/stuck_dump.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// StuckDump stands in for a dump that did not end in time.
+// StuckDump is sent instead of a dump that did not finish in time.
 type StuckDump struct {
 	Stuck bool `json:"stuck"`
-	// Since is when the dump that has not ended began.
+	// Since is when the unfinished dump started.
 	Since  time.Time `json:"since"`
 	Stacks string    `json:"stacks"`
 }
--- a/internal/adminapi/version_response.go
+++ b/internal/adminapi/version_response.go
@@ -1,6 +1,6 @@
 package adminapi
 
-// VersionResponse names the program's version and the configuration's.
+// VersionResponse holds the versions of the program and of the configuration.
 type VersionResponse struct {
 	Program       string `json:"program"`
 	Configuration uint64 `json:"configuration"`
--- a/internal/adminapi/views.go
+++ b/internal/adminapi/views.go
@@ -6,16 +6,17 @@
 	"geraniumcroft/internal/config"
 )
 
-// WorkspaceView is a workspace without its keys' digests.
+// WorkspaceView is a workspace without its key digests.
 type WorkspaceView struct {
 	Name        string `json:"name"`
 	Weight      int    `json:"weight,omitempty"`
 	MaxInFlight int    `json:"maxInFlight,omitempty"`
-	// KeyDigestCount is how many keys the workspace has.
+	// KeyDigestCount is the number of the workspace's keys.
 	KeyDigestCount int    `json:"keyDigestCount"`
 	Revision       uint64 `json:"revision"`
 }
 
+// viewOf returns the entity as responses show it: without key digests.
 func viewOf(entity any) any {
 	w, ok := entity.(*config.Workspace)
 	if !ok {
@@ -30,8 +31,8 @@
 	}
 }
 
-// viewOfJSON is viewOf for an entity in JSON. What does not decode is left out
-// whole, as nobody can say that it holds no secret.
+// viewOfJSON is viewOf for an encoded entity. A workspace that can't be decoded is
+// omitted, since it might contain a secret.
 func viewOfJSON(kind config.EntityKind, raw json.RawMessage) json.RawMessage {
 	if kind != config.EntityWorkspace || len(raw) == 0 || string(raw) == "null" {
 		return raw
@@ -47,6 +48,7 @@
 	return encoded
 }
 
+// viewOfChange returns the change with its value as viewOfJSON returns it.
 func viewOfChange(change config.Change) config.Change {
 	change.Value = viewOfJSON(change.Kind, change.Value)
 	return change
--- a/internal/adminapi/wait_param.go
+++ b/internal/adminapi/wait_param.go
@@ -6,8 +6,8 @@
 	"github.com/kataras/iris/v12"
 )
 
-// waitOf returns how long the caller waits for a change to be in force.
-func waitOf(ctx iris.Context) (time.Duration, *Problem) {
+// waitParam returns how long the request waits for a change to be in force.
+func waitParam(ctx iris.Context) (time.Duration, *Problem) {
 	text := ctx.URLParam("wait")
 	if text == "" {
 		return DefaultWait, nil
--- a/internal/adminapi/answer_change.go
+++ b/internal/adminapi/write_change.go
@@ -13,30 +13,32 @@
 	"geraniumcroft/internal/confstore"
 )
 
-// acceptance waits for a version to be in force. Waiting costs a goroutine and a
-// look at every VM each 100 ms, so a few careless scripts must not add up.
-func (a *API) acceptance(ctx iris.Context, version uint64, wait time.Duration) confstore.Acceptance {
+// waitForAcceptance waits up to wait for a version to be in force. Each wait takes a
+// goroutine and checks every VM each 100 ms, so the number of concurrent waits is
+// limited: without a free slot it returns the present state at once.
+func (a *API) waitForAcceptance(ctx iris.Context, version uint64, wait time.Duration) confstore.Acceptance {
 	select {
-	case a.waits <- struct{}{}:
-		defer func() { <-a.waits }()
+	case a.waitSlots <- struct{}{}:
+		defer func() { <-a.waitSlots }()
 	default:
 		wait = 0
 	}
-	bounded, cancel := context.WithTimeout(ctx.Request().Context(), wait)
+	waitCtx, cancel := context.WithTimeout(ctx.Request().Context(), wait)
 	defer cancel()
-	return a.options.Store.Wait(bounded, version, a.options.Confirmer)
+	return a.options.Store.Wait(waitCtx, version, a.options.Confirmer)
 }
 
-func (a *API) answerChange(ctx iris.Context, change config.Change, wait time.Duration) {
-	body := changeAnswer(a.acceptance(ctx, change.Version, wait))
+// writeChange answers with the state of a committed change, after up to wait.
+func (a *API) writeChange(ctx iris.Context, change config.Change, wait time.Duration) {
+	body := newChangeResponse(a.waitForAcceptance(ctx, change.Version, wait))
 	body.ID = change.ID
 	if !change.IsDelete() {
 		ctx.Header("ETag", etag(change.Version))
 	}
-	answer(ctx, body.httpStatus(), body)
+	writeJSON(ctx, body.httpStatus(), body)
 }
 
-func changeAnswer(acceptance confstore.Acceptance) ChangeResponse {
+func newChangeResponse(acceptance confstore.Acceptance) ChangeResponse {
 	body := ChangeResponse{
 		Status:    StatusPending,
 		Version:   acceptance.Version,
@@ -50,6 +52,7 @@
 	return body
 }
 
+// httpStatus returns 200 for an accepted change and 202 for a pending one.
 func (b ChangeResponse) httpStatus() int {
 	if b.Status == StatusAccepted {
 		return http.StatusOK
@@ -57,8 +60,9 @@
 	return http.StatusAccepted
 }
 
-// failChange maps every error of a proposal to its answer, in this one place.
-func (a *API) failChange(ctx iris.Context, err error) {
+// writeChangeError answers with the response for an error of Store.Propose. It is
+// the only place that maps these errors to responses.
+func (a *API) writeChangeError(ctx iris.Context, err error) {
 	var invalid *config.ValidationError
 	var conflict *confstore.ConflictError
 	var reused *confstore.IDReusedError
@@ -66,30 +70,30 @@
 	var notWritten *confstore.NotWrittenError
 	switch {
 	case errors.As(err, &invalid):
-		fail(ctx, &Problem{
+		writeProblem(ctx, &Problem{
 			Status: http.StatusUnprocessableEntity, Code: CodeInvalid, Title: "Not valid",
 			Detail: invalid.Error(), Findings: invalid.Findings,
 		})
 	case errors.As(err, &conflict):
-		fail(ctx, conflictProblem(conflict))
+		writeProblem(ctx, conflictProblem(conflict))
 	case errors.As(err, &reused):
-		fail(ctx, &Problem{
+		writeProblem(ctx, &Problem{
 			Status: http.StatusConflict, Code: CodeIDReused, Title: "Idempotency-Key was used for another change",
 			Detail: reused.Error(), ID: reused.ID,
 		})
 	case errors.As(err, &pending):
-		answer(ctx, http.StatusAccepted, ChangeResponse{
+		writeJSON(ctx, http.StatusAccepted, ChangeResponse{
 			Status: StatusPending, ID: pending.ID, Version: pending.Version,
 			Detail: "The table's answer was lost: the change may take effect. Look it up by its id before you repeat it.",
 		})
 	case errors.As(err, &notWritten):
 		a.options.Logger.Warn("configuration change not written", zap.Error(err))
-		fail(ctx, &Problem{
+		writeProblem(ctx, &Problem{
 			Status: http.StatusServiceUnavailable, Code: CodeUnavailable, Title: "Nothing was written",
 			Detail: "The change was not written and will not be. Repeat it later.", ID: notWritten.ID,
 		})
 	default:
-		a.failInternal(ctx, err)
+		a.writeInternalError(ctx, err)
 	}
 }
 
@@ -104,9 +108,10 @@
 	}
 }
 
-func (a *API) failInternal(ctx iris.Context, err error) {
+// writeInternalError logs err and answers without it.
+func (a *API) writeInternalError(ctx iris.Context, err error) {
 	a.options.Logger.Error("admin request failed", zap.Error(err))
-	fail(ctx, &Problem{
+	writeProblem(ctx, &Problem{
 		Status: http.StatusInternalServerError, Code: CodeInternal, Title: "Internal error",
 		Detail: "The log of this VM tells more.",
 	})
