--- a/internal/api/fake_time_test.go
+++ b/internal/api/virtual_time_test.go
@@ -17,7 +17,7 @@
 )
 
 // pipeListener accepts in-process pipes instead of TCP connections, so that complete
-// exchanges run in the fake time of synctest.
+// exchanges run in virtual time.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -46,8 +46,8 @@
 	return client
 }
 
-// withFakeTime runs test in a synctest bubble against a server that listens on l.
-func withFakeTime(t *testing.T, f *fakeRouter, o Options, test func(t *testing.T, l *pipeListener)) {
+// inVirtualTime runs test in virtual time against a server that listens on l.
+func inVirtualTime(t *testing.T, f *fakeRouter, o Options, test func(t *testing.T, l *pipeListener)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		listener := &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
@@ -102,7 +102,7 @@
 		}
 		return router.GenerateResult{Tokens: 2, Finish: "stop"}, nil
 	}}
-	withFakeTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
+	inVirtualTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
 		conn := l.dial()
 		defer conn.Close()
 		began := time.Now()
@@ -134,7 +134,7 @@
 		cancelled = ctx.Err() != nil
 		return router.GenerateResult{}, outcome.Uncertain(outcome.ReasonCallerGone, "Gone.")
 	}}
-	withFakeTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
+	inVirtualTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
 		conn := l.dial()
 		defer conn.Close()
 		send(t, conn, streamBody)
@@ -149,7 +149,7 @@
 // The caller sends only a part of the body. The request is refused as not-run after
 // ReadTimeout, and the connection is closed.
 func TestIncompleteBodyIsRefused(t *testing.T) {
-	withFakeTime(t, &fakeRouter{}, Options{}, func(t *testing.T, l *pipeListener) {
+	inVirtualTime(t, &fakeRouter{}, Options{}, func(t *testing.T, l *pipeListener) {
 		conn := l.dial()
 		defer conn.Close()
 		if _, err := conn.Write([]byte("POST " + pathChat + " HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\n{")); err != nil {
@@ -168,7 +168,7 @@
 // resources for it. A caller that reads later gets a truncated response.
 func TestWholeAnswerToSilentCallerEnds(t *testing.T) {
 	f := &fakeRouter{generate: tokens(strings.Repeat("x", 100000))}
-	withFakeTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
+	inVirtualTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
 		conn := l.dial()
 		defer conn.Close()
 		send(t, conn, strings.Replace(streamBody, "true", "false", 1))
@@ -186,7 +186,7 @@
 		_ = sink.Token(0, "a")
 		panic("bug")
 	}}
-	withFakeTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
+	inVirtualTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
 		conn := l.dial()
 		defer conn.Close()
 		send(t, conn, streamBody)
@@ -202,7 +202,7 @@
 func TestUnreadyServerClosesConnections(t *testing.T) {
 	f := &fakeRouter{generate: tokens("a")}
 	f.unready.Store(true)
-	withFakeTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
+	inVirtualTime(t, f, Options{}, func(t *testing.T, l *pipeListener) {
 		conn := l.dial()
 		defer conn.Close()
 		send(t, conn, `{"model":"d","messages":[{"role":"user","content":"x"}]}`)
