--- a/cmd/geraniumcroft/relay.go
+++ b/cmd/geraniumcroft/relay.go
@@ -117,7 +117,7 @@
 func relayOptions(s *settings.Settings, logger *zap.Logger, dropped func() uint64) entry.Options {
 	bounds := transport.Settings{}.WithDefaults()
 	pool := transport.NewPool(bounds, transport.NewDialer(bounds))
-	store := platform.NewStore(s.Relay.StoreAddress, transport.NewWary(&http.Transport{
+	store := platform.NewStore(s.Relay.StoreAddress, transport.CloseIdleOnError(&http.Transport{
 		DialContext: transport.NewDialer(bounds), IdleConnTimeout: storeIdle, DisableCompression: true,
 	}))
 	return entry.Options{
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -29,7 +29,7 @@
 	if expires.Before(bound) {
 		bound = expires
 	}
-	return context.WithDeadline(platform.WithLane(ctx, platform.LaneUrgent), bound)
+	return context.WithDeadline(platform.WithRateClass(ctx, platform.RateClassUrgent), bound)
 }
 
 func (c *Claims) decide(ctx context.Context, k Key, requestID string, digest [32]byte, expires time.Time) Decision {
--- a/internal/claim/finish.go
+++ b/internal/claim/finish.go
@@ -45,7 +45,7 @@
 	}
 	// The end is written also when the caller is gone and its context has ended: a
 	// copy of its request may still come.
-	ctx = platform.WithLane(context.WithoutCancel(ctx), platform.LaneUrgent)
+	ctx = platform.WithRateClass(context.WithoutCancel(ctx), platform.RateClassUrgent)
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
 	row := newRow{key: claim.key.endRow(), value: value}
--- a/internal/claim/group_writer.go
+++ b/internal/claim/group_writer.go
@@ -109,7 +109,7 @@
 // sent. Formed before, it would wait for its turn while later claims formed groups of
 // their own behind it, and each claim would wait for several turns in place of one.
 func (w *groupWriter) run() {
-	ctx := platform.WithLane(context.Background(), platform.LaneUrgent)
+	ctx := platform.WithRateClass(context.Background(), platform.RateClassUrgent)
 	ctx, cancel := context.WithTimeout(ctx, w.settings.Timeout)
 	defer cancel()
 	if w.settings.Linger > 0 {
@@ -129,11 +129,11 @@
 }
 
 func takeTurn(ctx context.Context, table platform.Table) (context.Context, error) {
-	taker, ok := table.(platform.TurnTaker)
+	taker, ok := table.(platform.WriteReserver)
 	if !ok {
 		return ctx, nil
 	}
-	return taker.Turn(ctx)
+	return taker.ReserveWrite(ctx)
 }
 
 // take removes the next group from the queue, and lets the one after it collect.
--- a/internal/claim/late_ends.go
+++ b/internal/claim/late_ends.go
@@ -68,7 +68,7 @@
 	if !healthy(c.table) {
 		return
 	}
-	ctx = platform.WithLane(ctx, platform.LaneUrgent)
+	ctx = platform.WithRateClass(ctx, platform.RateClassUrgent)
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
 	var writes sync.WaitGroup
--- a/internal/claim/planted_test.go
+++ b/internal/claim/planted_test.go
@@ -21,7 +21,7 @@
 		ID:         uuid.NewString(),
 		Conditions: []platform.Condition{{Key: fresh}},
 		Writes:     []platform.Write{{Key: fresh}, {Key: row.key, Value: row.value}},
-		Witness:    platform.WrittenOnce,
+		Resolver:   platform.ResolveWriteOnce,
 	})
 }
 
--- a/internal/claim/single_writer.go
+++ b/internal/claim/single_writer.go
@@ -20,7 +20,7 @@
 // createTxn returns a transaction that creates all the rows or none. They are
 // written once, so a row of another transaction proves that this one was refused.
 func createTxn(rows []newRow) platform.Txn {
-	txn := platform.Txn{ID: uuid.NewString(), Witness: platform.WrittenOnce}
+	txn := platform.Txn{ID: uuid.NewString(), Resolver: platform.ResolveWriteOnce}
 	for _, row := range rows {
 		txn.Conditions = append(txn.Conditions, platform.Condition{Key: row.key})
 		txn.Writes = append(txn.Writes, platform.Write{Key: row.key, Value: row.value})
--- a/internal/confstore/compact.go
+++ b/internal/confstore/compact.go
@@ -141,11 +141,11 @@
 
 func (s *Store) drop(ctx context.Context, rows []platform.Row) error {
 	// Rows of changes are never written again, so a drop that comes late drops what
-	// is gone; condition and witness let the client find out what became of it.
+	// is gone; condition and resolver let the client find out what became of it.
 	txn := platform.Txn{
 		ID:         uuid.NewString(),
 		Conditions: []platform.Condition{{Key: rows[0].Key, Revision: rows[0].Revision}},
-		Witness:    droppedRow(rows[0].Key),
+		Resolver:   droppedRow(rows[0].Key),
 	}
 	for _, row := range rows {
 		txn.Writes = append(txn.Writes, platform.Write{Key: row.Key, Delete: true})
@@ -153,14 +153,14 @@
 	return errors.Wrap(s.options.Table.Commit(ctx, txn), "drop rows")
 }
 
-// droppedRow is the witness of a drop: a row that is gone was dropped, by this
+// droppedRow is the resolver of a drop: a row that is gone was dropped, by this
 // transaction or by another one to the same effect.
-func droppedRow(key string) platform.Witness {
-	return func(rows []platform.Row) platform.Verdict {
+func droppedRow(key string) platform.Resolver {
+	return func(rows []platform.Row) platform.Resolution {
 		row, err := rowOf(rows, key)
 		if err != nil || row.Revision != 0 {
-			return platform.VerdictUnknown
+			return platform.ResolutionUnknown
 		}
-		return platform.VerdictCommitted
+		return platform.ResolutionCommitted
 	}
 }
--- a/internal/confstore/propose.go
+++ b/internal/confstore/propose.go
@@ -71,20 +71,20 @@
 			// another value.
 			ID:         uuid.NewString(),
 			Conditions: conditions,
-			Witness:    writtenRow(changeKey(change.Version)),
+			Resolver:   writtenRow(changeKey(change.Version)),
 			Writes:     []platform.Write{{Key: changeKey(change.Version), Value: row}, {Key: headKey, Value: newHead}},
 		},
 	}, nil
 }
 
-// writtenRow is the witness of a proposal: a row of the version that another
+// writtenRow is the resolver of a proposal: a row of the version that another
 // transaction wrote proves that this one was refused, as it is never written again.
-func writtenRow(key string) platform.Witness {
-	return func(rows []platform.Row) platform.Verdict {
+func writtenRow(key string) platform.Resolver {
+	return func(rows []platform.Row) platform.Resolution {
 		row, err := rowOf(rows, key)
 		if err != nil || row.Revision == 0 {
-			return platform.VerdictUnknown
+			return platform.ResolutionUnknown
 		}
-		return platform.VerdictRefused
+		return platform.ResolutionRefused
 	}
 }
--- a/internal/engine/httpengine/client.go
+++ b/internal/engine/httpengine/client.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return false, err
 	}
-	resp, err := c.pool.Kept(address).RoundTrip(req)
+	resp, err := c.pool.Transport(address).RoundTrip(req)
 	if err != nil {
 		c.suspectIfSilent(ctx, address)
 		return left.Load(), errors.Wrapf(err, "%s %s", method, path)
@@ -111,7 +111,7 @@
 
 func (c *Client) suspectIfSilent(ctx context.Context, address string) {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		c.pool.Suspect(address)
+		c.pool.CloseIdle(address)
 	}
 }
 
--- a/internal/engine/httpengine/open.go
+++ b/internal/engine/httpengine/open.go
@@ -28,13 +28,13 @@
 		failure.Cause = err
 		return nil, failure
 	}
-	wire.Until(start.Add(c.settings.OpenTimeout))
+	wire.SetDeadline(start.Add(c.settings.OpenTimeout))
 	s := newStream(ctx, c, address, wire)
 	if err := s.begin(req, failure); err != nil {
 		failure.Cause = s.why(err)
 		failure.Busy = isBusy(failure.Cause)
-		if transport.IsSilence(failure.Cause) {
-			c.pool.Suspect(address)
+		if transport.IsTimeout(failure.Cause) {
+			c.pool.CloseIdle(address)
 		}
 		s.Close()
 		return nil, failure
@@ -69,11 +69,11 @@
 		return readRefusal(resp)
 	}
 	s.body = resp.Body
-	s.wire.Limit(math.MaxInt64)
+	s.wire.SetReadLimit(math.MaxInt64)
 	if err := s.awaitReady(); err != nil {
 		return err
 	}
-	s.wire.Until(time.Time{})
-	s.wire.Bound(s.client.settings.Idle)
+	s.wire.SetDeadline(time.Time{})
+	s.wire.SetIOTimeout(s.client.settings.Idle)
 	return nil
 }
--- a/internal/engine/httpengine/stream.go
+++ b/internal/engine/httpengine/stream.go
@@ -76,9 +76,9 @@
 
 func (s *stream) broken(err error) error {
 	cause := s.why(err)
-	failure := &engine.StreamError{Address: s.address, Silent: transport.IsSilence(cause), Cause: cause}
+	failure := &engine.StreamError{Address: s.address, Silent: transport.IsTimeout(cause), Cause: cause}
 	if failure.Silent {
-		s.client.pool.Suspect(s.address)
+		s.client.pool.CloseIdle(s.address)
 	}
 	s.Close()
 	return failure
--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -86,7 +86,7 @@
 
 // onRestart discards the idle connections to a replica's earlier incarnation. They ended with
 // it, and the first call on each would fail.
-func (p *Process) onRestart(r relay.Replica) { p.Pool.Suspect(r.Address) }
+func (p *Process) onRestart(r relay.Replica) { p.Pool.CloseIdle(r.Address) }
 
 func (p *Process) buildRequestPath() {
 	p.handler = relay.New(relay.Options{
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -95,8 +95,8 @@
 	s := n.settings
 	n.tracker = drain.New(drain.Options{ConfigSource: n.store, OnChange: n.onLeaving, Logger: n.logger})
 	n.watcher = watch.New(watch.Options{
-		Source: n.store, Engines: n.wiring.Engines, Services: n.wiring.Services,
-		Sink: reportSink{n.balancer, n.tracker}, Watched: n.isWatched, Interval: s.Targets.ReportInterval,
+		ConfigSource: n.store, Engines: n.wiring.Engines, Services: n.wiring.Services,
+		Sink: reportSink{n.balancer, n.tracker}, IsWatched: n.isWatched, Interval: s.Targets.ReportInterval,
 	})
 	n.peers = peer.New(peer.Options{
 		VM: s.VM.Name, DataCentre: s.VM.DataCentre, Address: n.PeerAddress(), Seeds: s.Peers.Seeds,
--- a/internal/platform/httpplatform/table.go
+++ b/internal/platform/httpplatform/table.go
@@ -14,7 +14,7 @@
 func (c *Client) Commit(ctx context.Context, txn platform.Txn) error {
 	body, err := json.Marshal(txn)
 	if err != nil {
-		return &platform.InvalidTxnError{TxnID: txn.ID, Fault: err.Error()}
+		return &platform.InvalidTxnError{TxnID: txn.ID, Reason: err.Error()}
 	}
 	answer, err := c.attempt(ctx, http.MethodPost, PathCommit, body)
 	if err != nil {
--- a/internal/platform/resilient/client_test.go
+++ b/internal/platform/resilient/client_test.go
@@ -75,18 +75,18 @@
 // row. Whether the first write took effect cannot be seen from the rows: without a
 // witness the writer is told ambiguous, and with one it is told what the witness says.
 func TestOverwrittenCommitNeedsAWitness(t *testing.T) {
-	witness := func(verdict platform.Verdict) platform.Witness {
-		return func([]platform.Row) platform.Verdict { return verdict }
+	witness := func(verdict platform.Resolution) platform.Resolver {
+		return func([]platform.Row) platform.Resolution { return verdict }
 	}
 	cases := []struct {
 		name    string
-		witness platform.Witness
+		witness platform.Resolver
 		want    error
 	}{
 		{"none", nil, platform.ErrAmbiguous},
-		{"unknown", witness(platform.VerdictUnknown), platform.ErrAmbiguous},
-		{"committed", witness(platform.VerdictCommitted), nil},
-		{"refused", witness(platform.VerdictRefused), platform.ErrRefused},
+		{"unknown", witness(platform.ResolutionUnknown), platform.ErrAmbiguous},
+		{"committed", witness(platform.ResolutionCommitted), nil},
+		{"refused", witness(platform.ResolutionRefused), platform.ErrRefused},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 				defer client.Close()
 				store.Faults.Set(platformsim.Order{LoseAnswers: 1})
 				txn := create("t", "a")
-				txn.Witness = c.witness
+				txn.Resolver = c.witness
 				if err := client.Commit(t.Context(), txn); !errors.Is(err, c.want) {
 					t.Fatalf("got %v, want %v", err, c.want)
 				}
@@ -131,7 +131,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := platformsim.NewStore()
 		client := wrap(t, store, resilient.Settings{VMs: 1, WritesPerSecond: 4, Burst: 1})
-		ctx, err := client.Turn(t.Context())
+		ctx, err := client.ReserveWrite(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -167,7 +167,7 @@
 		}
 		synctest.Wait()
 		began := time.Now()
-		if _, err := client.Get(platform.WithLane(t.Context(), platform.LaneUrgent), "a"); err != nil {
+		if _, err := client.Get(platform.WithRateClass(t.Context(), platform.RateClassUrgent), "a"); err != nil {
 			t.Fatal(err)
 		}
 		if waited := time.Since(began); waited != 0 || background.Load() == line {
--- a/internal/platform/resilient/commit.go
+++ b/internal/platform/resilient/commit.go
@@ -13,7 +13,7 @@
 // Commit implements platform.Table. The transaction needs a condition on the row
 // that it writes first. The error is ambiguous only when what became of the
 // transaction could not be learnt before the context ended, or its rows were
-// overwritten and it has no Witness that tells.
+// overwritten and it has no Resolver that tells.
 func (c *Client) Commit(ctx context.Context, txn platform.Txn) error {
 	if err := txn.Validate(); err != nil {
 		return err
@@ -92,14 +92,14 @@
 			return nil
 		}
 	}
-	verdict := platform.VerdictUnknown
-	if txn.Witness != nil {
-		verdict = txn.Witness(rows)
+	verdict := platform.ResolutionUnknown
+	if txn.Resolver != nil {
+		verdict = txn.Resolver(rows)
 	}
 	switch verdict {
-	case platform.VerdictCommitted:
+	case platform.ResolutionCommitted:
 		return nil
-	case platform.VerdictRefused:
+	case platform.ResolutionRefused:
 		return &platform.RefusedError{Rows: failedRows(txn, rows)}
 	default:
 		return lost
--- a/internal/platform/resilient/doc.go
+++ b/internal/platform/resilient/doc.go
@@ -6,7 +6,7 @@
 // still hold, the same transaction is sent again: its conditions let it take effect
 // at most once, whether the first copy is lost or merely late. If the conditions no
 // longer hold, another writer was first, or this transaction was overwritten; the
-// transaction's Witness tells, and without one the error stays ambiguous, with the
+// transaction's Resolver tells, and without one the error stays ambiguous, with the
 // rows. That argument needs rows that do not return to an earlier revision: a row
 // that is created by a transaction must not be deleted while a copy of that
 // transaction can still be under way.
--- a/internal/platform/resilient/turn.go
+++ b/internal/platform/resilient/reservation.go
@@ -7,15 +7,15 @@
 	"geraniumcroft/internal/platform"
 )
 
-var _ platform.TurnTaker = (*Client)(nil)
+var _ platform.WriteReserver = (*Client)(nil)
 
 type turnKey struct{}
 
 // turn is a write that was taken from the budget before it was sent.
 type turn struct{ spent atomic.Bool }
 
-// Turn implements platform.TurnTaker. It fails at once while the table is down.
-func (c *Client) Turn(ctx context.Context) (context.Context, error) {
+// ReserveWrite implements platform.WriteReserver. It fails at once while the table is down.
+func (c *Client) ReserveWrite(ctx context.Context) (context.Context, error) {
 	if err := c.spend(ctx, c.writes, c.table, "turn"); err != nil {
 		return ctx, err
 	}
--- a/internal/platform/resilient/settings.go
+++ b/internal/platform/resilient/settings.go
@@ -35,7 +35,7 @@
 	WritesPerSecond float64
 	ReadsPerSecond  float64
 	// UrgentWriteShare and UrgentReadShare are the parts, between 0 and 1, that only
-	// platform.LaneUrgent draws on; the rest is the background's.
+	// platform.RateClassUrgent draws on; the rest is the background's.
 	UrgentWriteShare float64
 	UrgentReadShare  float64
 	// Burst bounds the operations that a lane may carry out at once after a quiet
--- a/internal/platform/witness.go
+++ b/internal/platform/resolver.go
@@ -1,11 +1,11 @@
 package platform
 
-// Witness looks at the present rows of a transaction whose answer was lost, none
+// Resolver looks at the present rows of a transaction whose answer was lost, none
 // of which carries its ID while a condition no longer holds. Either another writer
 // was first, or this transaction took effect and was overwritten; only the writer
 // knows how to tell from the values.
-type Witness func(rows []Row) Verdict
+type Resolver func(rows []Row) Resolution
 
-// WrittenOnce is the Witness of rows that nobody overwrites while the writer waits:
+// ResolveWriteOnce is the Resolver of rows that nobody overwrites while the writer waits:
 // a row of another transaction proves that this one was refused.
-func WrittenOnce([]Row) Verdict { return VerdictRefused }
+func ResolveWriteOnce([]Row) Resolution { return ResolutionRefused }
--- a/internal/platform/txn.go
+++ b/internal/platform/txn.go
@@ -7,7 +7,7 @@
 	ID         string      `json:"id"`
 	Conditions []Condition `json:"conditions"`
 	Writes     []Write     `json:"writes"`
-	// Witness decides what became of the transaction after a lost answer when none of
+	// Resolver decides what became of the transaction after a lost answer when none of
 	// its rows carries its ID; it may be nil. It stays on the writer's side.
-	Witness Witness `json:"-"`
+	Resolver Resolver `json:"-"`
 }
--- a/internal/platform/validate.go
+++ b/internal/platform/validate.go
@@ -5,17 +5,17 @@
 // that it takes effect at most once however often it is sent.
 func (t Txn) Validate() error {
 	if t.ID == "" {
-		return &InvalidTxnError{Fault: "it has no ID"}
+		return &InvalidTxnError{Reason: "it has no ID"}
 	}
 	if len(t.Writes) == 0 {
-		return &InvalidTxnError{TxnID: t.ID, Fault: "it writes nothing"}
+		return &InvalidTxnError{TxnID: t.ID, Reason: "it writes nothing"}
 	}
 	for _, condition := range t.Conditions {
 		if condition.Key == t.Writes[0].Key {
 			return nil
 		}
 	}
-	return &InvalidTxnError{TxnID: t.ID, Fault: "it has no condition on the row that it writes first"}
+	return &InvalidTxnError{TxnID: t.ID, Reason: "it has no condition on the row that it writes first"}
 }
 
 // Keys returns the keys of all rows that the transaction reads or writes, each once.
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -55,7 +55,7 @@
 		return nil, &sendError{Address: to.address, Cause: errors.New("request ended before it was sent")}
 	}
 	x := &exchange{conn: conn, stop: context.AfterFunc(ctx, conn.Close)}
-	conn.Until(q.deadline)
+	conn.SetDeadline(q.deadline)
 	out := h.outgoingRequest(q, to, lastEvent)
 	sentAt := time.Now()
 	h.Pushback.Sent(to.incarnation)
--- a/internal/security/options.go
+++ b/internal/security/options.go
@@ -10,10 +10,10 @@
 type Options struct {
 	// Logger may be nil.
 	Logger *zap.Logger
-	// Poll is the time between two looks at the files; 0 takes the default.
-	Poll time.Duration
-	// Reloaded, when not nil, is told the result of each reload.
-	Reloaded func(error)
+	// PollInterval is the time between two looks at the files; 0 takes the default.
+	PollInterval time.Duration
+	// OnReload, when not nil, is told the result of each reload.
+	OnReload func(error)
 	// pollOnly is for tests: the system gives no notices.
 	pollOnly bool
 }
@@ -26,8 +26,8 @@
 }
 
 func (o Options) poll() time.Duration {
-	if o.Poll == 0 {
+	if o.PollInterval == 0 {
 		return pollInterval
 	}
-	return o.Poll
+	return o.PollInterval
 }
--- a/internal/security/reloading.go
+++ b/internal/security/reloading.go
@@ -19,7 +19,7 @@
 
 // newReloading loads the value and, until close, watches the files.
 func newReloading[T any](what string, paths []string, o Options, load func() (*T, error)) (*reloading[T], error) {
-	r := &reloading[T]{what: what, load: load, logger: o.logger(), reloaded: o.Reloaded}
+	r := &reloading[T]{what: what, load: load, logger: o.logger(), reloaded: o.OnReload}
 	value, err := load()
 	if err != nil {
 		return nil, err
--- a/internal/security/tls_test.go
+++ b/internal/security/tls_test.go
@@ -15,8 +15,8 @@
 
 func newSource(t *testing.T, files TLSFiles, o Options) *TLSSource {
 	t.Helper()
-	if o.Poll == 0 {
-		o.Poll = time.Hour
+	if o.PollInterval == 0 {
+		o.PollInterval = time.Hour
 	}
 	source, err := NewTLSSource(files, o)
 	if err != nil {
@@ -125,9 +125,9 @@
 			files, first := a.write(directory, "127.0.0.1")
 			core, logged := observer.New(zap.ErrorLevel)
 			results := make(chan error, 100)
-			o := Options{Logger: zap.New(core), Reloaded: func(err error) { results <- err }}
+			o := Options{Logger: zap.New(core), OnReload: func(err error) { results <- err }}
 			if way == "poll" {
-				o.Poll, o.pollOnly = time.Millisecond, true
+				o.PollInterval, o.pollOnly = time.Millisecond, true
 			}
 			source := newSource(t, files, o)
 			server, client := source.ServerConfig(), source.ClientConfig("127.0.0.1")
@@ -174,7 +174,7 @@
 	serverFiles, _ := ours.write(directory, "127.0.0.1")
 	clientFiles, _ := ours.write(t.TempDir(), "10.0.0.1")
 	results := make(chan error, 100)
-	source := newSource(t, serverFiles, Options{Reloaded: func(err error) { results <- err }})
+	source := newSource(t, serverFiles, Options{OnReload: func(err error) { results <- err }})
 	server := source.ServerConfig()
 	client := newSource(t, clientFiles, Options{}).ClientConfig("127.0.0.1")
 	client.ClientSessionCache = tls.NewLRUClientSessionCache(1)
@@ -209,7 +209,7 @@
 	}
 	write("ana operate " + DigestOf("a") + "\nben read " + DigestOf("b") + "\n")
 	results := make(chan error, 100)
-	authenticator, err := NewAuthenticator(path, Options{Poll: time.Hour, Reloaded: func(err error) { results <- err }})
+	authenticator, err := NewAuthenticator(path, Options{PollInterval: time.Hour, OnReload: func(err error) { results <- err }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/service/httpservice/client.go
+++ b/internal/service/httpservice/client.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return report, err
 	}
-	resp, err := c.pool.Kept(address).RoundTrip(req)
+	resp, err := c.pool.Transport(address).RoundTrip(req)
 	if err != nil {
 		c.suspectIfSilent(ctx, address)
 		return report, errors.Wrap(err, "load report")
@@ -83,5 +83,5 @@
 // suspect drops every unused connection to a peer of which one was found silent.
 func (c *Client) suspect(address string) {
 	c.kept.drop(address)
-	c.pool.Suspect(address)
+	c.pool.CloseIdle(address)
 }
--- a/internal/service/httpservice/conn.go
+++ b/internal/service/httpservice/conn.go
@@ -127,7 +127,7 @@
 // failed closes the connection and says what is known of the call.
 func (c *conn) failed(ctx context.Context, sent bool, err error) error {
 	c.wire.Close()
-	failure := &service.CallError{Address: c.address, Sent: sent, Silent: transport.IsSilence(err), Cause: err}
+	failure := &service.CallError{Address: c.address, Sent: sent, Silent: transport.IsTimeout(err), Cause: err}
 	if cause := context.Cause(ctx); cause != nil {
 		failure.Cause = cause
 		failure.Silent = errors.Is(cause, context.DeadlineExceeded)
--- a/internal/transport/wary.go
+++ b/internal/transport/close_idle_on_error.go
@@ -10,8 +10,8 @@
 // limit is enough to know.
 type wary struct{ *http.Transport }
 
-// NewWary returns a transport that trusts no idle connection after a request failed.
-func NewWary(t *http.Transport) http.RoundTripper { return wary{t} }
+// CloseIdleOnError returns a transport that trusts no idle connection after a request failed.
+func CloseIdleOnError(t *http.Transport) http.RoundTripper { return wary{t} }
 
 // RoundTrip implements http.RoundTripper.
 func (w wary) RoundTrip(req *http.Request) (*http.Response, error) {
--- a/internal/transport/wary_test.go
+++ b/internal/transport/close_idle_on_error_test.go
@@ -18,7 +18,7 @@
 	server := httptest.NewServer(s)
 	defer server.Close()
 	defer s.release()
-	client := &http.Client{Transport: NewWary(&http.Transport{})}
+	client := &http.Client{Transport: CloseIdleOnError(&http.Transport{})}
 	s.openIdle(t, client, server.URL, idle)
 	s.silence()
 	failed := 0
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -41,11 +41,11 @@
 	return c
 }
 
-// Bound changes the longest wait for bytes.
-func (c *Conn) Bound(silence time.Duration) { c.silence = silence }
+// SetIOTimeout changes the longest wait for bytes.
+func (c *Conn) SetIOTimeout(silence time.Duration) { c.silence = silence }
 
-// Until bounds all waits together; the zero time lifts the bound.
-func (c *Conn) Until(t time.Time) { c.until = t }
+// SetDeadline bounds all waits together; the zero time lifts the bound.
+func (c *Conn) SetDeadline(t time.Time) { c.until = t }
 
 // deadline returns when a wait that starts now is too long.
 func (c *Conn) deadline() time.Time {
@@ -56,8 +56,8 @@
 	return bound
 }
 
-// Limit sets how many more bytes may be read from the network.
-func (c *Conn) Limit(bytes int64) { c.left = bytes }
+// SetReadLimit sets how many more bytes may be read from the network.
+func (c *Conn) SetReadLimit(bytes int64) { c.left = bytes }
 
 // Buffered returns how many bytes were read from the network and not yet used.
 func (c *Conn) Buffered() int { return c.reader.Buffered() }
@@ -95,8 +95,8 @@
 	return nil, errInterim
 }
 
-// IsSilence reports whether an error says that nothing arrived within the bound:
+// IsTimeout reports whether an error says that nothing arrived within the bound:
 // our own bound, or the kernel's TCP_USER_TIMEOUT or keepalive.
-func IsSilence(err error) bool {
+func IsTimeout(err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, syscall.ETIMEDOUT)
 }
--- a/internal/transport/dialer_test.go
+++ b/internal/transport/dialer_test.go
@@ -85,7 +85,7 @@
 			break
 		}
 	}
-	if !errors.Is(err, syscall.ETIMEDOUT) || !IsSilence(err) {
+	if !errors.Is(err, syscall.ETIMEDOUT) || !IsTimeout(err) {
 		t.Fatalf("%v, expected the kernel's timeout", err)
 	}
 }
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -5,7 +5,7 @@
 // layers. TCP keepalive and TCP_USER_TIMEOUT let the kernel break a connection
 // whose peer acknowledges nothing. The clients above this package bound each
 // wait for bytes. When one of them finds a connection silent it calls
-// Pool.Suspect, which drops the idle connections to the same peer, as they went
+// Pool.CloseIdle, which drops the idle connections to the same peer, as they went
 // the same way; the peer itself is not declared dead for it, and the
 // next request dials anew.
 //
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -37,10 +37,10 @@
 	return newConn(raw, silence, p.settings), nil
 }
 
-// Kept returns the transport that keeps connections to a peer for control calls:
+// Transport returns the transport that keeps connections to a peer for control calls:
 // load reports, cancels, orders. It has no limit on connections, so that no call
 // waits for another one's.
-func (p *Pool) Kept(address string) http.RoundTripper {
+func (p *Pool) Transport(address string) http.RoundTripper {
 	if t, ok := p.peers.Get(address); ok {
 		return t
 	}
@@ -51,11 +51,11 @@
 	return t
 }
 
-// Suspect drops the idle connections to a peer, because one connection to it was
+// CloseIdle drops the idle connections to a peer, because one connection to it was
 // found silent. The others may have gone silent with it, and a request sent on one
 // would wait its whole bound for nothing. Connections in use stay, as each has a
 // bound of its own.
-func (p *Pool) Suspect(address string) {
+func (p *Pool) CloseIdle(address string) {
 	if t, ok := p.peers.Peek(address); ok {
 		t.CloseIdleConnections()
 	}
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -15,11 +15,11 @@
 func TestPeersHaveTheirOwnConnections(t *testing.T) {
 	pool := NewPool(Settings{}, nil)
 	defer pool.Close()
-	first := pool.Kept("192.0.2.1:80")
-	if pool.Kept("192.0.2.1:80") != first {
+	first := pool.Transport("192.0.2.1:80")
+	if pool.Transport("192.0.2.1:80") != first {
 		t.Error("connections are not kept")
 	}
-	if pool.Kept("192.0.2.2:80") == first {
+	if pool.Transport("192.0.2.2:80") == first {
 		t.Error("peers share a transport")
 	}
 }
@@ -39,7 +39,7 @@
 	const suspect, other = "192.0.2.1:80", "192.0.2.2:80"
 	get := func(address string) {
 		t.Helper()
-		client := http.Client{Transport: pool.Kept(address)}
+		client := http.Client{Transport: pool.Transport(address)}
 		response, err := client.Get("http://" + address)
 		if err != nil {
 			t.Fatal(err)
@@ -54,7 +54,7 @@
 	if dials[suspect] != 1 || dials[other] != 1 {
 		t.Fatalf("dialled %v, want one kept connection each", dials)
 	}
-	pool.Suspect(suspect)
+	pool.CloseIdle(suspect)
 	get(suspect)
 	get(other)
 	if dials[suspect] != 2 || dials[other] != 1 {
--- a/internal/watch/bench_test.go
+++ b/internal/watch/bench_test.go
@@ -83,7 +83,7 @@
 	})
 	b.Cleanup(pool.Close)
 	w := New(Options{
-		Source: source, Engines: httpengine.New(pool, httpengine.Settings{}), Sink: discard{}, Interval: 100 * time.Millisecond,
+		ConfigSource: source, Engines: httpengine.New(pool, httpengine.Settings{}), Sink: discard{}, Interval: 100 * time.Millisecond,
 	})
 	w.round(context.Background()) // connects
 	w.readings.Wait()
--- a/internal/watch/watcher.go
+++ b/internal/watch/watcher.go
@@ -28,8 +28,8 @@
 
 // New returns a watcher; Run makes it read.
 func New(o Options) *Watcher {
-	if o.Watched == nil {
-		o.Watched = func(string) bool { return true }
+	if o.IsWatched == nil {
+		o.IsWatched = func(string) bool { return true }
 	}
 	return &Watcher{options: o, reading: map[string]bool{}}
 }
@@ -89,8 +89,8 @@
 
 func (w *Watcher) watched() []*config.Target {
 	var targets []*config.Target
-	for _, target := range w.options.Source.Current().Targets {
-		if w.options.Watched(target.Name) {
+	for _, target := range w.options.ConfigSource.Current().Targets {
+		if w.options.IsWatched(target.Name) {
 			targets = append(targets, target)
 		}
 	}
--- a/internal/watch/watcher_test.go
+++ b/internal/watch/watcher_test.go
@@ -100,8 +100,8 @@
 	}
 	fake, sink := newFakeTargets(), &recordingSink{reports: map[string]int{}}
 	w := New(Options{
-		Source: config.NewStaticSource(snapshot), Engines: fake, Services: fake, Sink: sink,
-		Watched: watched, Interval: interval,
+		ConfigSource: config.NewStaticSource(snapshot), Engines: fake, Services: fake, Sink: sink,
+		IsWatched: watched, Interval: interval,
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(count)*interval-time.Millisecond)
 	defer cancel()
