--- a/internal/platform/accounted/counts.go
+++ b/internal/platform/accounted/counts.go
@@ -2,21 +2,22 @@
 
 import "geraniumcroft/internal/platform"
 
-// Count is how many calls of one purpose were made since the start.
+// Count holds the number of calls of one purpose since the start of the process.
 type Count struct {
 	Calls uint64 `json:"calls"`
-	// Failed are those of them that brought no answer, or one that nothing was done.
+	// Failed counts the calls without a response, and those whose response says that
+	// nothing was done, other than refusals and ErrHistoryGone.
 	Failed uint64 `json:"failed"`
 }
 
-// Counts are the calls by the name of their purpose; those never made are left out.
+// Counts maps the names of purposes to their calls. It omits purposes without calls.
 type Counts map[string]Count
 
-// Counts returns the calls since the start.
+// Counts returns the counts since the start of the process.
 func (s *Store) Counts() Counts {
 	counts := Counts{}
 	for purpose := range platform.Purpose(platform.PurposeCount) {
-		c := Count{Calls: s.counted[purpose].calls.Load(), Failed: s.counted[purpose].failed.Load()}
+		c := Count{Calls: s.counters[purpose].calls.Load(), Failed: s.counters[purpose].failed.Load()}
 		if c.Calls > 0 {
 			counts[purpose.String()] = c
 		}
--- a/internal/platform/accounted/store.go
+++ b/internal/platform/accounted/store.go
@@ -16,27 +16,28 @@
 	_ platform.Feed  = (*Store)(nil)
 )
 
-// Store passes calls on and counts them. It is safe for concurrent use.
+// Store forwards calls and counts them. It is safe for concurrent use.
 type Store struct {
-	table   platform.Table
-	feed    platform.Feed
-	counted [platform.PurposeCount]counted
+	table    platform.Table
+	feed     platform.Feed
+	counters [platform.PurposeCount]counters
 }
 
-// counted are the counters of one purpose: those of the metrics, and the sums for the dump.
-type counted struct {
+// counters holds the counters of one purpose: atomic ones for the dump, and those of the
+// metrics.
+type counters struct {
 	calls, failed         atomic.Uint64
 	callsTotal, failTotal tally.Counter
 }
 
-// New wraps a store's table and feed. Its metrics, store_calls_total and
-// store_calls_failed_total by purpose, are below scope.
+// New wraps a store's table and feed. It adds the counters store_calls_total and
+// store_calls_failed_total, tagged by purpose, to scope.
 func New(table platform.Table, feed platform.Feed, scope tally.Scope) *Store {
 	s := &Store{table: table, feed: feed}
 	for purpose := range platform.Purpose(platform.PurposeCount) {
 		tagged := scope.Tagged(map[string]string{"purpose": purpose.String()})
-		s.counted[purpose].callsTotal = tagged.Counter("store_calls_total")
-		s.counted[purpose].failTotal = tagged.Counter("store_calls_failed_total")
+		s.counters[purpose].callsTotal = tagged.Counter("store_calls_total")
+		s.counters[purpose].failTotal = tagged.Counter("store_calls_failed_total")
 	}
 	return s
 }
@@ -77,17 +78,17 @@
 }
 
 func (s *Store) count(ctx context.Context, err error) {
-	c := &s.counted[platform.PurposeOf(ctx)]
+	c := &s.counters[platform.PurposeOf(ctx)]
 	c.calls.Add(1)
 	c.callsTotal.Inc(1)
-	if err == nil || answered(err) {
+	if err == nil || isRegularResponse(err) {
 		return
 	}
 	c.failed.Add(1)
 	c.failTotal.Inc(1)
 }
 
-// answered reports whether an error is a plain answer of a store that is well.
-func answered(err error) bool {
+// isRegularResponse reports whether an error is a regular response of a working store.
+func isRegularResponse(err error) bool {
 	return errors.Is(err, platform.ErrRefused) || errors.Is(err, platform.ErrHistoryGone)
 }
--- a/internal/platform/accounted/store_test.go
+++ b/internal/platform/accounted/store_test.go
@@ -13,29 +13,29 @@
 	"geraniumcroft/internal/platform/accounted"
 )
 
-// scripted is a store whose calls all end with one error.
-type scripted struct{ err error }
+// fakeStore is a store whose calls all return the same error.
+type fakeStore struct{ err error }
 
-func (s *scripted) Commit(context.Context, platform.Txn) error { return s.err }
+func (s *fakeStore) Commit(context.Context, platform.Txn) error { return s.err }
 
-func (s *scripted) Get(context.Context, ...string) ([]platform.Row, error) { return nil, s.err }
+func (s *fakeStore) Get(context.Context, ...string) ([]platform.Row, error) { return nil, s.err }
 
-func (s *scripted) Scan(context.Context, string, string, int) ([]platform.Row, error) {
+func (s *fakeStore) Scan(context.Context, string, string, int) ([]platform.Row, error) {
 	return nil, s.err
 }
 
-func (s *scripted) ReadAll(context.Context, string) (platform.TableView, error) {
+func (s *fakeStore) ReadAll(context.Context, string) (platform.TableView, error) {
 	return platform.TableView{}, s.err
 }
 
-func (s *scripted) Changes(context.Context, string, uint64, time.Duration) (platform.TableChange, error) {
+func (s *fakeStore) Changes(context.Context, string, uint64, time.Duration) (platform.TableChange, error) {
 	return platform.TableChange{}, s.err
 }
 
-// On-call people see the store's calls treble. Which part of the program makes them, and how
-// many end without an answer, has to be told from the counts of one VM.
+// When the number of store calls rises, the counts of one VM must show which part of the
+// program makes the calls, and how many of them fail without a response.
 func TestCallsAreCountedByPurpose(t *testing.T) {
-	store := &scripted{}
+	store := &fakeStore{}
 	scope := tally.NewTestScope("", nil)
 	counting := accounted.New(store, store, scope)
 	all := func(p platform.Purpose) {
@@ -70,7 +70,7 @@
 	}
 }
 
-// A purpose without a name would be counted under another one, or end the process.
+// A purpose without a name would be counted under another one, or cause a panic.
 func TestEachPurposeHasAName(t *testing.T) {
 	names := map[string]bool{}
 	for p := range platform.Purpose(platform.PurposeCount) {
--- a/internal/platform/condition.go
+++ b/internal/platform/condition.go
@@ -1,6 +1,6 @@
 package platform
 
-// Condition demands that a row is at a revision; 0 demands that there is no row.
+// Condition requires that a row is at a revision. Revision 0 requires that the row does not exist.
 type Condition struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// ErrHistoryGone means that the changes since a revision are no longer kept; read
-// the whole table again.
+// ErrHistoryGone means that the store no longer keeps the changes since the requested
+// revision. The reader has to read the whole table again.
 var ErrHistoryGone = historyGoneError{}
 
 type historyGoneError struct{}
 
-// Error implements error.
+// Error implements the error interface.
 func (historyGoneError) Error() string { return "the platform no longer keeps these changes" }
 
-// Feed reads whole tables that others write, and what changes in them. A table is
-// read only, so no operation here is ambiguous.
+// Feed reads whole tables that others write, and the changes to them. It never writes,
+// so no operation is ambiguous.
 type Feed interface {
-	// ReadAll returns all rows of a table as of one moment.
+	// ReadAll returns a consistent snapshot of all rows of a table.
 	ReadAll(ctx context.Context, table string) (TableView, error)
-	// Changes waits until something changed after the revision, at most for the given
-	// time, and returns the changes in order. Without any it returns the revision up to
-	// which there are none. The error is ErrHistoryGone when they are no longer kept.
+	// Changes waits up to the given time for changes after the revision and returns them
+	// in order. If there are none it returns the revision up to which the table is
+	// unchanged. The error is ErrHistoryGone when the changes are no longer kept.
 	Changes(ctx context.Context, table string, after uint64, wait time.Duration) (TableChange, error)
 }
 
-// TableView is a whole table at one revision.
+// TableView is a snapshot of a whole table at one revision.
 type TableView struct {
 	Revision uint64            `json:"revision"`
 	Rows     map[string][]byte `json:"rows"`
 }
 
-// TableChange is what changed in a table up to a revision. Whole says that Written is the
-// whole table.
+// TableChange holds the changes to a table up to a revision. If Whole is set, Written is
+// the whole table.
 type TableChange struct {
 	Revision uint64            `json:"revision"`
 	Whole    bool              `json:"whole,omitempty"`
 	Written  map[string][]byte `json:"written,omitempty"`
 	Deleted  []string          `json:"deleted,omitempty"`
-	// UnchangedUpTo is, in what peers tell each other, the store's revision up to which nothing
-	// more has changed in the table.
+	// UnchangedUpTo is the store's revision up to which the table has no further changes.
+	// Set only in changes that peers exchange.
 	UnchangedUpTo uint64 `json:"unchangedUpTo,omitempty"`
-	// Settling says, in what peers tell each other, that the store was away a moment ago,
-	// so rows that are missing may still come back.
+	// Settling reports that the store was unavailable shortly before, so missing rows may
+	// still be restored. Set only in changes that peers exchange.
 	Settling bool `json:"settling,omitempty"`
-	// SettlingLeft is for how long yet; 0 with Settling if the peer did not say.
+	// SettlingLeft is the remaining time of Settling; 0 if the peer did not report it.
 	SettlingLeft time.Duration `json:"settlingLeft,omitempty"`
-	// ByFeed says, in what peers tell each other, that the peer follows the store's feed
-	// itself.
+	// ByFeed reports that the sending peer follows the store's feed itself. Set only in
+	// changes that peers exchange.
 	ByFeed bool `json:"byFeed,omitempty"`
 }
 
-// Empty reports whether nothing changed.
+// Empty reports whether c contains no changes.
 func (c TableChange) Empty() bool { return !c.Whole && len(c.Written)+len(c.Deleted) == 0 }
 
-// Apply returns the view with the change made. The view itself stays as it is.
+// Apply returns the view with c applied. It does not modify v.
 func (v TableView) Apply(c TableChange) TableView {
 	if c.Whole {
 		return TableView{Revision: c.Revision, Rows: c.Written}
--- a/internal/platform/httpplatform/attempt.go
+++ b/internal/platform/httpplatform/attempt.go
@@ -12,26 +12,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// response is a whole answer.
+// response is a complete HTTP response.
 type response struct {
 	status int
 	body   []byte
 }
 
-// attempt sends one request once and reads its whole answer. The error is an
+// attempt sends a request once and reads the complete response. The error is an
 // *attemptError.
 func (c *Client) attempt(ctx context.Context, method, path string, body []byte) (response, error) {
-	bounded, cancel := c.bounded(ctx)
+	bounded, cancel := c.withTimeout(ctx)
 	defer cancel()
 	var sent, reused atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		// From here on the transport may write at any moment.
+		// From here on the transport may write the request at any time.
 		sent.Store(true)
 		reused.Store(info.Reused)
 	}}
-	answer, err := c.roundTrip(httptrace.WithClientTrace(bounded, trace), method, path, body)
+	resp, err := c.roundTrip(httptrace.WithClientTrace(bounded, trace), method, path, body)
 	if err == nil {
-		return answer, nil
+		return resp, nil
 	}
 	failure := &attemptError{
 		path:     path,
@@ -40,8 +40,8 @@
 		timedOut: errors.Is(bounded.Err(), context.DeadlineExceeded),
 		cause:    err,
 	}
-	if failure.wentSilent() {
-		c.suspectIdle()
+	if failure.connectionSilent() {
+		c.dropIdle()
 	}
 	return response{}, failure
 }
@@ -51,33 +51,34 @@
 	if err != nil {
 		return response{}, err
 	}
-	// Without GetBody the transport cannot send the body again by itself when a
-	// kept connection turns out dead: a commit sent twice is for the caller to weigh.
+	// Without GetBody the transport cannot resend the body by itself when a kept
+	// connection turns out to be dead. Whether a commit may be sent twice is up to the
+	// caller.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
-	answer, err := c.transport.RoundTrip(request)
+	resp, err := c.transport.RoundTrip(request)
 	if err != nil {
 		return response{}, err
 	}
-	defer answer.Body.Close()
-	limited := io.LimitReader(answer.Body, c.settings.MaxResponseBytes+1)
+	defer resp.Body.Close()
+	limited := io.LimitReader(resp.Body, c.settings.MaxResponseBytes+1)
 	read, err := io.ReadAll(limited)
 	if err != nil {
 		return response{}, err
 	}
 	if int64(len(read)) > c.settings.MaxResponseBytes {
-		return response{}, fmt.Errorf("answer exceeds %d bytes", c.settings.MaxResponseBytes)
+		return response{}, fmt.Errorf("resp exceeds %d bytes", c.settings.MaxResponseBytes)
 	}
-	return response{status: answer.StatusCode, body: read}, nil
+	return response{status: resp.StatusCode, body: read}, nil
 }
 
-// readAttempt is attempt for operations that may be repeated: one that ran into a
-// silent connection is sent again once, on a new connection.
-func (c *Client) readAttempt(ctx context.Context, method, path string, body []byte) (response, error) {
-	answer, err := c.attempt(ctx, method, path, body)
+// idempotentAttempt is attempt for operations that may be repeated. A request that timed
+// out on a silent connection is sent again once, on a new connection.
+func (c *Client) idempotentAttempt(ctx context.Context, method, path string, body []byte) (response, error) {
+	resp, err := c.attempt(ctx, method, path, body)
 	var failure *attemptError
-	if errors.As(err, &failure) && failure.wentSilent() && ctx.Err() == nil {
+	if errors.As(err, &failure) && failure.connectionSilent() && ctx.Err() == nil {
 		return c.attempt(ctx, method, path, body)
 	}
-	return answer, err
+	return resp, err
 }
--- a/internal/platform/httpplatform/attempt_error.go
+++ b/internal/platform/httpplatform/attempt_error.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// attemptError reports one request without a whole answer.
+// attemptError reports a request without a complete response.
 type attemptError struct {
 	path string
-	// sent says whether a byte may have left this VM.
+	// sent is set if bytes of the request may have left this VM.
 	sent bool
-	// reused says that the connection had carried a request before.
+	// reused is set if the connection had carried a request before.
 	reused bool
-	// timedOut says that the attempt's own bound ran out.
+	// timedOut is set if the attempt's context reached its deadline.
 	timedOut bool
 	cause    error
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *attemptError) Error() string {
 	return fmt.Sprintf("%s (sent %t, used connection %t, timed out %t): %v", e.path, e.sent, e.reused, e.timedOut, e.cause)
 }
@@ -22,5 +22,6 @@
 // Unwrap returns the cause.
 func (e *attemptError) Unwrap() error { return e.cause }
 
-// wentSilent says that a connection which had worked no longer answers.
-func (e *attemptError) wentSilent() bool { return e.sent && e.reused && e.timedOut }
+// connectionSilent reports whether the attempt timed out on a connection that had worked
+// before.
+func (e *attemptError) connectionSilent() bool { return e.sent && e.reused && e.timedOut }
--- a/internal/platform/httpplatform/bench_test.go
+++ b/internal/platform/httpplatform/bench_test.go
@@ -13,9 +13,9 @@
 	"geraniumcroft/internal/platform/httpplatform"
 )
 
-// BenchmarkVMList gives what one reading of the platform's list costs, for the 49
-// VMs of today and the 920 of the size to design for: entry VMs and targets' VMs.
-// The service's end is in it.
+// BenchmarkVMList measures the cost of reading the platform's list of VMs once, with the
+// current 49 VMs and with the design size of 920, entry VMs and targets' VMs together. The
+// result includes the server side.
 func BenchmarkVMList(b *testing.B) {
 	for _, c := range []struct{ entries, targets int }{{6, 43}, {320, 600}} {
 		b.Run(fmt.Sprint(c.entries+c.targets), func(b *testing.B) {
--- a/internal/platform/httpplatform/client.go
+++ b/internal/platform/httpplatform/client.go
@@ -23,7 +23,7 @@
 	silences  atomic.Uint64
 }
 
-// New returns a client; it opens no connection before the first operation.
+// New returns a client. It opens no connection before the first operation.
 func New(settings Settings) *Client {
 	settings = settings.withDefaults()
 	dialer := &net.Dialer{Timeout: settings.ConnectTimeout}
@@ -42,17 +42,17 @@
 // Close closes unused connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Silences returns how many times an open connection was found silent.
+// Silences returns how many times an open connection was found to be silent.
 func (c *Client) Silences() uint64 { return c.silences.Load() }
 
-// suspectIdle closes the idle connections after one was found silent: what lost
-// track of that one may have lost the others, and each would cost a whole bound
-// to find out.
-func (c *Client) suspectIdle() {
+// dropIdle closes the idle connections after a connection was found to be silent. A
+// firewall that dropped the state of one connection may have dropped that of the others,
+// and each of them would cost a full timeout to detect.
+func (c *Client) dropIdle() {
 	c.silences.Add(1)
 	c.transport.CloseIdleConnections()
 }
 
-func (c *Client) bounded(ctx context.Context) (context.Context, context.CancelFunc) {
+func (c *Client) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, c.settings.AttemptTimeout)
 }
--- a/internal/platform/httpplatform/client_test.go
+++ b/internal/platform/httpplatform/client_test.go
@@ -13,7 +13,7 @@
 	"geraniumcroft/internal/platform/httpplatform"
 )
 
-func start(t *testing.T) (*platformsim.Server, *httpplatform.Client) {
+func newClient(t *testing.T) (*platformsim.Server, *httpplatform.Client) {
 	t.Helper()
 	server, err := platformsim.Start("")
 	if err != nil {
@@ -34,7 +34,7 @@
 }
 
 func TestTableObjectsAndVMs(t *testing.T) {
-	server, client := start(t)
+	server, client := newClient(t)
 	ctx := context.Background()
 	if err := client.Commit(ctx, create("t1", "a", "one")); err != nil {
 		t.Fatal(err)
@@ -69,18 +69,18 @@
 	}
 }
 
-// The writer is told unavailable when the service certainly did not take its commit,
-// and ambiguous when it may have. The outage refuses connections, or the service
-// vouches with its own code; a 502 without the code may come from a proxy on the way,
-// behind which the commit goes on.
-func TestCommitFailuresAreSortedByWhatTheyProve(t *testing.T) {
+// A failed commit is unavailable when the service certainly did not apply it, and ambiguous
+// when it may have. It is certain when the connection is refused or the service responds
+// with CodeNotApplied. A 502 without the code may come from a proxy, behind which the commit
+// continues.
+func TestCommitFailuresAreClassified(t *testing.T) {
 	cases := []struct {
 		name   string
 		status int
 		body   string
 		want   error
 	}{
-		{"vouched for", http.StatusServiceUnavailable, `{"code":"not-applied"}`, platform.ErrUnavailable},
+		{"not applied", http.StatusServiceUnavailable, `{"code":"not-applied"}`, platform.ErrUnavailable},
 		{"bare 503", http.StatusServiceUnavailable, "", platform.ErrAmbiguous},
 		{"bare 502", http.StatusBadGateway, "<html>", platform.ErrAmbiguous},
 		{"409 cut short", http.StatusConflict, `{"rows":[`, platform.ErrAmbiguous},
@@ -100,7 +100,7 @@
 		})
 	}
 	t.Run("connection refused", func(t *testing.T) {
-		server, client := start(t)
+		server, client := newClient(t)
 		if err := server.Order(platformsim.Order{Outage: platformsim.OutageRefuse}); err != nil {
 			t.Fatal(err)
 		}
@@ -116,11 +116,11 @@
 	})
 }
 
-// The writer's answer is lost after the write took effect: the connection, used
-// before, is cut. The error is ambiguous, and the commit reached the service once:
-// the transport has not sent it again by itself.
+// The response is lost after the write took effect, as the reused connection is closed. The
+// error is ambiguous, and the commit reached the service once: the transport must not
+// resend it by itself.
 func TestLostAnswerIsAmbiguousAndSentOnce(t *testing.T) {
-	server, client := start(t)
+	server, client := newClient(t)
 	ctx := context.Background()
 	if _, err := client.Get(ctx, "a"); err != nil {
 		t.Fatal(err)
@@ -140,11 +140,11 @@
 	}
 }
 
-// Open connections go silent while new ones work. A reader still gets its rows: its
-// attempt on the silent connection runs out, the idle connections are closed, and the
-// read is repeated on a new one. A commit is ambiguous, as nothing may repeat it here.
+// Open connections go silent while new ones work. A read still succeeds: its attempt on the
+// silent connection times out, the idle connections are closed, and the read is repeated on
+// a new one. A commit is ambiguous, as this package never repeats it.
 func TestSilentConnection(t *testing.T) {
-	server, client := start(t)
+	server, client := newClient(t)
 	ctx := context.Background()
 	silence := func() {
 		t.Helper()
@@ -160,13 +160,13 @@
 		t.Fatalf("read over a silent connection: %v", err)
 	}
 	if client.Silences() != 1 {
-		t.Fatalf("%d silences found, want 1", client.Silences())
+		t.Fatalf("%d silent connections detected, want 1", client.Silences())
 	}
 	silence()
 	if err := client.Commit(ctx, create("t", "a", "v")); !errors.Is(err, platform.ErrAmbiguous) {
 		t.Fatalf("commit over a silent connection: %v, want ambiguous", err)
 	}
 	if err := client.Commit(ctx, create("t", "a", "v")); err != nil {
-		t.Fatalf("commit after the silence was found: %v", err)
+		t.Fatalf("commit after the silent connection was detected: %v", err)
 	}
 }
--- a/internal/platform/httpplatform/get_request.go
+++ b/internal/platform/httpplatform/get_request.go
@@ -1,6 +1,6 @@
 package httpplatform
 
-// GetRequest is the body of PathGet.
+// GetRequest is the request body of PathGet.
 type GetRequest struct {
 	Keys []string `json:"keys"`
 }
--- a/internal/platform/httpplatform/problem.go
+++ b/internal/platform/httpplatform/problem.go
@@ -1,6 +1,6 @@
 package httpplatform
 
-// Problem is the body of a failed request.
+// Problem is the response body of a failed request.
 type Problem struct {
 	Code   string `json:"code"`
 	Detail string `json:"detail"`
--- a/internal/platform/httpplatform/rows_response.go
+++ b/internal/platform/httpplatform/rows_response.go
@@ -2,8 +2,8 @@
 
 import "geraniumcroft/internal/platform"
 
-// RowsResponse answers PathGet and PathScan, and a refused PathCommit with the
-// present rows of the conditions that failed.
+// RowsResponse is the response body of PathGet and PathScan. For a refused PathCommit it
+// holds the current rows of the conditions that failed.
 type RowsResponse struct {
 	Rows []platform.Row `json:"rows"`
 }
--- a/internal/platform/httpplatform/scan_request.go
+++ b/internal/platform/httpplatform/scan_request.go
@@ -1,6 +1,6 @@
 package httpplatform
 
-// ScanRequest is the body of PathScan.
+// ScanRequest is the request body of PathScan.
 type ScanRequest struct {
 	From  string `json:"from"`
 	To    string `json:"to"`
--- a/internal/platform/httpplatform/settings.go
+++ b/internal/platform/httpplatform/settings.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The defaults of Settings.
+// Defaults of Settings.
 const (
 	DefaultConnectTimeout   = time.Second
 	DefaultAttemptTimeout   = 1 * time.Second
@@ -15,22 +15,23 @@
 	DefaultMaxIdle          = 16
 )
 
-// Settings of a Client. A zero field takes its default.
+// Settings configures a Client. A zero field takes its default.
 type Settings struct {
-	// BaseURL is the service's, such as "http://10.0.0.1:7000".
+	// BaseURL is the service's URL without a path, such as "http://10.0.0.1:7000".
 	BaseURL string
-	// TLS is used for an https BaseURL; nil takes the system's roots.
+	// TLS is used for an https BaseURL; nil selects the system's root certificates.
 	TLS *tls.Config
-	// ConnectTimeout bounds opening a connection.
+	// ConnectTimeout bounds the dial and, separately, the TLS handshake.
 	ConnectTimeout time.Duration
-	// AttemptTimeout bounds one request from taking its connection to its last byte.
+	// AttemptTimeout bounds one request, from getting a connection to the last byte of the
+	// response.
 	AttemptTimeout time.Duration
-	// IdleTimeout closes unused connections, so that few are old enough for
-	// a firewall on the way to have dropped its state of them.
+	// IdleTimeout is the time after which idle connections are closed, so that few are
+	// idle long enough for a firewall to drop their state.
 	IdleTimeout time.Duration
-	// MaxIdle bounds the unused connections kept.
+	// MaxIdle bounds the number of idle connections.
 	MaxIdle int
-	// MaxResponseBytes bounds a response's body.
+	// MaxResponseBytes bounds the size of a response body.
 	MaxResponseBytes int64
 }
 
--- a/internal/platform/httpplatform/table.go
+++ b/internal/platform/httpplatform/table.go
@@ -10,20 +10,20 @@
 	"geraniumcroft/internal/platform"
 )
 
-// Commit implements platform.Table. It sends the transaction once.
+// Commit implements platform.Table. It sends the transaction at most once.
 func (c *Client) Commit(ctx context.Context, txn platform.Txn) error {
 	body, err := json.Marshal(txn)
 	if err != nil {
 		return &platform.InvalidTxnError{TxnID: txn.ID, Reason: err.Error()}
 	}
-	answer, err := c.attempt(ctx, http.MethodPost, PathCommit, body)
+	resp, err := c.attempt(ctx, http.MethodPost, PathCommit, body)
 	if err != nil {
-		return commitFailure(txn.ID, err)
+		return commitError(txn.ID, err)
 	}
-	return commitResult(txn.ID, answer)
+	return commitResult(txn.ID, resp)
 }
 
-func commitFailure(txnID string, err error) error {
+func commitError(txnID string, err error) error {
 	var failure *attemptError
 	if errors.As(err, &failure) && !failure.sent {
 		return &platform.UnavailableError{Operation: "commit", Cause: err}
@@ -31,20 +31,20 @@
 	return &platform.AmbiguousError{TxnID: txnID, Cause: err}
 }
 
-func commitResult(txnID string, answer response) error {
-	switch answer.status {
+func commitResult(txnID string, resp response) error {
+	switch resp.status {
 	case http.StatusOK:
 		return nil
 	case http.StatusConflict:
 		var refused RowsResponse
-		if err := json.Unmarshal(answer.body, &refused); err != nil {
+		if err := json.Unmarshal(resp.body, &refused); err != nil {
 			return &platform.AmbiguousError{TxnID: txnID, Cause: err}
 		}
 		return &platform.RefusedError{Rows: refused.Rows}
 	}
-	status := statusError(answer)
-	// Only the service itself can vouch that nothing took effect; a bare 5xx may
-	// come from a proxy on the way, behind which the commit goes on.
+	status := statusError(resp)
+	// Only the service itself can state that nothing took effect. A 5xx without its code
+	// may come from a proxy, behind which the commit continues.
 	if status.Problem.Code == CodeNotApplied {
 		return &platform.UnavailableError{Operation: "commit", Cause: status}
 	}
@@ -66,20 +66,20 @@
 	if err != nil {
 		return nil, err
 	}
-	var answer RowsResponse
-	if err := c.readJSON(ctx, http.MethodPost, path, body, &answer); err != nil {
+	var resp RowsResponse
+	if err := c.readJSON(ctx, http.MethodPost, path, body, &resp); err != nil {
 		return nil, err
 	}
-	return answer.Rows, nil
+	return resp.Rows, nil
 }
 
 func (c *Client) readJSON(ctx context.Context, method, path string, body []byte, into any) error {
-	answer, err := c.readAttempt(ctx, method, path, body)
-	if err == nil && answer.status != http.StatusOK {
-		err = statusError(answer)
+	resp, err := c.idempotentAttempt(ctx, method, path, body)
+	if err == nil && resp.status != http.StatusOK {
+		err = statusError(resp)
 	}
 	if err == nil {
-		err = json.Unmarshal(answer.body, into)
+		err = json.Unmarshal(resp.body, into)
 	}
 	if err != nil {
 		return &platform.UnavailableError{Operation: path, Cause: err}
@@ -87,9 +87,9 @@
 	return nil
 }
 
-func statusError(answer response) *StatusError {
-	status := &StatusError{Status: answer.status}
-	// A body that is no problem leaves the code empty, which vouches for nothing.
-	_ = json.Unmarshal(answer.body, &status.Problem)
+func statusError(resp response) *StatusError {
+	status := &StatusError{Status: resp.status}
+	// If the body is not a Problem the code stays empty, so it is never CodeNotApplied.
+	_ = json.Unmarshal(resp.body, &status.Problem)
 	return status
 }
--- a/internal/platform/httpplatform/vms_response.go
+++ b/internal/platform/httpplatform/vms_response.go
@@ -2,7 +2,7 @@
 
 import "geraniumcroft/internal/platform"
 
-// VMsResponse answers PathVMs.
+// VMsResponse is the response body of PathVMs.
 type VMsResponse struct {
 	VMs []platform.VM `json:"vms"`
 }
--- a/internal/platform/httpplatform/wire.go
+++ b/internal/platform/httpplatform/wire.go
@@ -1,6 +1,6 @@
 package httpplatform
 
-// The paths of the protocol.
+// URL paths of the protocol.
 const (
 	PathCommit  = "/v1/table/commit"
 	PathGet     = "/v1/table/get"
@@ -9,6 +9,6 @@
 	PathVMs     = "/v1/vms"
 )
 
-// CodeNotApplied is the Problem code by which the service declares that a commit
-// did not and will not take effect.
+// CodeNotApplied is the Problem code with which the service states that a commit did not
+// and will not take effect.
 const CodeNotApplied = "not-applied"
--- a/internal/platform/purpose.go
+++ b/internal/platform/purpose.go
@@ -2,32 +2,32 @@
 
 import "context"
 
-// Purpose says what a call to the store is for, so that its calls can be counted by it.
+// Purpose is what a call to the store is made for. Calls are counted by purpose.
 type Purpose uint8
 
 const (
-	// PurposeOther is the purpose of a call that names none.
+	// PurposeOther is the purpose of calls that do not set one.
 	PurposeOther Purpose = iota
-	// PurposeFeed waits for a change of an operator's table.
+	// PurposeFeed is for calls that wait for changes of an operator's table.
 	PurposeFeed
-	// PurposeConfirm asks whether the copy of such a table is still the newest.
+	// PurposeConfirm is for calls that check whether the copy of such a table is current.
 	PurposeConfirm
-	// PurposeReadAll reads such a table whole.
+	// PurposeReadAll is for reads of such a whole table.
 	PurposeReadAll
-	// PurposeVMs reads the list of VMs or writes this VM's row in it.
+	// PurposeVMs is for reads of the list of VMs and writes of this VM's row in it.
 	PurposeVMs
-	// PurposeLease reads, takes or renews a lease.
+	// PurposeLease is for reading, acquiring and renewing leases.
 	PurposeLease
-	// PurposeProbe asks whether a store that failed answers again.
+	// PurposeProbe is for probes of a store that failed.
 	PurposeProbe
-	// PurposeQuarantine reads or writes requests that are quarantined.
+	// PurposeQuarantine is for reads and writes of quarantined requests.
 	PurposeQuarantine
 )
 
-// PurposeCount sizes arrays indexed by Purpose.
+// PurposeCount is the number of purposes, for arrays indexed by Purpose.
 const PurposeCount = 8
 
-// String returns the purpose's name as it stands in metrics, dump and log.
+// String returns the purpose's name as shown in metrics, dump and log.
 func (p Purpose) String() string {
 	names := [PurposeCount]string{"other", "feed", "confirm", "read_all", "vms", "lease", "probe", "quarantine"}
 	return names[p]
@@ -35,12 +35,12 @@
 
 type purposeKey struct{}
 
-// WithPurpose returns a context whose calls to the store are counted under the purpose.
+// WithPurpose returns a context whose calls to the store are counted under p.
 func WithPurpose(ctx context.Context, p Purpose) context.Context {
 	return context.WithValue(ctx, purposeKey{}, p)
 }
 
-// PurposeOf returns the context's purpose.
+// PurposeOf returns the context's purpose, PurposeOther if none is set.
 func PurposeOf(ctx context.Context) Purpose {
 	p, _ := ctx.Value(purposeKey{}).(Purpose)
 	return p
--- a/internal/platform/rate_class.go
+++ b/internal/platform/rate_class.go
@@ -2,36 +2,36 @@
 
 import "context"
 
-// RateClass says which share of the table's rate budget an operation draws on.
+// RateClass selects the share of the table's rate budget that an operation consumes.
 type RateClass uint8
 
 const (
-	// RateClassBackground is for control and clean-up. It is the default.
+	// RateClassBackground is for control and clean-up operations. It is the default.
 	RateClassBackground RateClass = iota
-	// RateClassUrgent is for operations that a caller's request waits for.
+	// RateClassUrgent is for operations that a caller's request is waiting for.
 	RateClassUrgent
 )
 
-// RateClassCount sizes arrays indexed by RateClass.
+// RateClassCount is the number of rate classes, for arrays indexed by RateClass.
 const RateClassCount = 2
 
-// String returns the lane's name as it stands in the dump.
-func (l RateClass) String() string {
-	if l == RateClassUrgent {
+// String returns the name of the class.
+func (c RateClass) String() string {
+	if c == RateClassUrgent {
 		return "urgent"
 	}
 	return "background"
 }
 
-type laneKey struct{}
+type rateClassKey struct{}
 
-// WithRateClass returns a context whose operations draw on the lane.
-func WithRateClass(ctx context.Context, lane RateClass) context.Context {
-	return context.WithValue(ctx, laneKey{}, lane)
+// WithRateClass returns a context whose operations consume the budget of the class.
+func WithRateClass(ctx context.Context, class RateClass) context.Context {
+	return context.WithValue(ctx, rateClassKey{}, class)
 }
 
-// RateClassOf returns the context's lane.
+// RateClassOf returns the context's rate class, RateClassBackground if none is set.
 func RateClassOf(ctx context.Context) RateClass {
-	lane, _ := ctx.Value(laneKey{}).(RateClass)
-	return lane
+	class, _ := ctx.Value(rateClassKey{}).(RateClass)
+	return class
 }
--- a/internal/platform/resilient/ambiguous_test.go
+++ b/internal/platform/resilient/ambiguous_test.go
@@ -13,16 +13,15 @@
 	"geraniumcroft/internal/platform/resilient"
 )
 
-// An operator is told that a change was not written, and later it is in force. Its
-// transaction was late; before its fate could be read back the table went out. The
-// error said that it may have taken effect, because the table could not be asked: it
-// was both ErrAmbiguous and ErrUnavailable, and writers that asked for the second
-// first took the transaction for one that was never sent.
+// Guards against an operator being told that a change was not written although it takes
+// effect later. The transaction is delayed, and the table fails before the outcome can be
+// read back. The error matched both ErrAmbiguous and, by its cause, ErrUnavailable;
+// writers that checked the second first treated the transaction as never sent.
 func TestAmbiguousCommitIsNotUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const late = 10 * time.Second
 		store := platformsim.NewStore()
-		client := wrap(t, store, resilient.Settings{})
+		client := newClient(t, store, resilient.Settings{})
 		store.Faults.Set(platformsim.Order{DelayCommits: 1, DelayBy: config.Duration(late)})
 		time.AfterFunc(500*time.Millisecond, func() {
 			store.Faults.Set(platformsim.Order{Outage: platformsim.OutageUnavailable})
@@ -33,12 +32,12 @@
 			ID: "t", Conditions: []platform.Condition{{Key: "k"}}, Writes: []platform.Write{{Key: "k"}},
 		})
 		if !errors.Is(err, platform.ErrAmbiguous) || errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrRefused) {
-			t.Errorf("the error says too much: %v", err)
+			t.Errorf("got %v, want ambiguous only", err)
 		}
 		time.Sleep(late)
 		synctest.Wait()
 		if store.Peek("k").TxnID != "t" {
-			t.Error("the transaction did not take effect: the test proves nothing")
+			t.Error("the delayed transaction did not take effect, so the test shows nothing")
 		}
 	})
 }
--- a/internal/platform/resilient/circuit.go
+++ b/internal/platform/resilient/circuit.go
@@ -12,89 +12,90 @@
 	"geraniumcroft/internal/sleep"
 )
 
-// errDown is the cause of operations refused without asking the service.
-var errDown = errors.New("not asked, it failed a moment ago")
+// errCircuitOpen is the cause of operations that fail without a request to the service.
+var errCircuitOpen = errors.New("not asked, it failed a moment ago")
 
-// circuit stops asking a service that is down. Only its prober asks a service
-// whose circuit is open, so no caller's operation serves as the probe and pays a
-// timeout for it.
+// circuit is the circuit breaker of one service. While it is open only its prober sends
+// requests, so no caller's operation is used as a probe and runs into a timeout.
 type circuit struct {
-	breaker  *gobreaker.CircuitBreaker[struct{}]
-	probe    func(ctx context.Context) error
-	interval time.Duration
-	timeout  time.Duration
-	attempt  time.Duration
-	counters *counters
+	breaker        *gobreaker.CircuitBreaker[struct{}]
+	probe          func(ctx context.Context) error
+	probeInterval  time.Duration
+	probeTimeout   time.Duration
+	attemptTimeout time.Duration
+	counters       *counters
 
 	mu      sync.Mutex // guards the fields below
 	closed  bool
-	probing sync.WaitGroup
+	probers sync.WaitGroup
 	stop    context.CancelFunc
 	stopCtx context.Context
 }
 
 func newCircuit(name string, s Settings, counters *counters, probe func(context.Context) error) *circuit {
 	c := &circuit{
-		probe:    probe,
-		interval: s.ProbeInterval,
-		timeout:  s.ProbeTimeout,
-		attempt:  s.AttemptTimeout,
-		counters: counters,
+		probe:          probe,
+		probeInterval:  s.ProbeInterval,
+		probeTimeout:   s.ProbeTimeout,
+		attemptTimeout: s.AttemptTimeout,
+		counters:       counters,
 	}
 	c.stopCtx, c.stop = context.WithCancel(context.Background())
 	c.breaker = gobreaker.NewCircuitBreaker[struct{}](gobreaker.Settings{
 		Name: name,
-		// Shorter than the prober's pause, so that the breaker lets each probe through.
+		// Shorter than the interval between probes, so that the breaker admits each probe.
 		Timeout: s.ProbeInterval / 2,
 		ReadyToTrip: func(counts gobreaker.Counts) bool {
 			return counts.ConsecutiveFailures >= uint32(s.FailuresToOpen)
 		},
 		IsSuccessful:  serviceAnswered,
-		IsExcluded:    callerGone,
+		IsExcluded:    notServiceFailure,
 		OnStateChange: c.stateChanged,
 	})
 	return c
 }
 
-// do runs one request to the service, or fails at once while it is down.
+// do runs one request to the service, or fails immediately while the circuit is open.
 func (c *circuit) do(ctx context.Context, operation string, request func(context.Context) error) error {
-	// The breaker itself would let a caller through as a probe. One that waited for
-	// the rate budget while the service went down would pay a whole timeout.
+	// The breaker alone would admit a caller's operation as a probe. An operation that
+	// waited for the rate budget while the service failed would run into a full timeout.
 	if !c.healthy() {
-		return c.refuse(operation, errDown)
+		return c.failFast(operation, errCircuitOpen)
 	}
 	_, err := c.breaker.Execute(func() (struct{}, error) {
-		return struct{}{}, c.ask(ctx, request)
+		return struct{}{}, c.runAttempt(ctx, request)
 	})
 	if errors.Is(err, gobreaker.ErrOpenState) || errors.Is(err, gobreaker.ErrTooManyRequests) {
-		return c.refuse(operation, err)
+		return c.failFast(operation, err)
 	}
-	var impatient *impatientError
-	if errors.As(err, &impatient) {
-		return impatient.cause
+	var short *shortDeadlineError
+	if errors.As(err, &short) {
+		return short.cause
 	}
 	return err
 }
 
-func (c *circuit) ask(ctx context.Context, request func(context.Context) error) error {
+// runAttempt runs the request within the attempt timeout. It marks the error of a caller
+// whose own deadline left the service less than minAttemptTime.
+func (c *circuit) runAttempt(ctx context.Context, request func(context.Context) error) error {
 	start := time.Now()
-	attempt, cancel := context.WithTimeout(ctx, c.attempt)
+	attempt, cancel := context.WithTimeout(ctx, c.attemptTimeout)
 	defer cancel()
 	err := request(attempt)
-	if err != nil && ctx.Err() != nil && time.Since(start) < fairChance {
-		return &impatientError{cause: err}
+	if err != nil && ctx.Err() != nil && time.Since(start) < minAttemptTime {
+		return &shortDeadlineError{cause: err}
 	}
 	return err
 }
 
-func (c *circuit) refuse(operation string, cause error) error {
+func (c *circuit) failFast(operation string, cause error) error {
 	c.counters.fastFailed.Add(1)
 	return &platform.UnavailableError{Operation: operation, Cause: cause}
 }
 
 func (c *circuit) healthy() bool { return c.breaker.State() == gobreaker.StateClosed }
 
-// stateChanged runs under the breaker's lock, so it only starts the prober.
+// stateChanged is called with the breaker's lock held, so it only starts the prober.
 func (c *circuit) stateChanged(_ string, from, to gobreaker.State) {
 	if from != gobreaker.StateClosed || to != gobreaker.StateOpen {
 		return
@@ -104,20 +105,20 @@
 	if c.closed {
 		return
 	}
-	c.probing.Go(c.probeUntilHealthy)
+	c.probers.Go(c.probeUntilHealthy)
 }
 
 func (c *circuit) probeUntilHealthy() {
-	for sleep.For(c.stopCtx, c.interval) {
+	for sleep.For(c.stopCtx, c.probeInterval) {
 		if c.probeOnce() {
 			return
 		}
 	}
 }
 
-// probeOnce reports whether the service is up again.
+// probeOnce sends one probe and reports whether the service has recovered.
 func (c *circuit) probeOnce() bool {
-	ctx, cancel := context.WithTimeout(c.stopCtx, c.timeout)
+	ctx, cancel := context.WithTimeout(c.stopCtx, c.probeTimeout)
 	defer cancel()
 	c.counters.probes.Add(1)
 	_, err := c.breaker.Execute(func() (struct{}, error) { return struct{}{}, c.probe(ctx) })
@@ -129,20 +130,21 @@
 	c.closed = true
 	c.mu.Unlock()
 	c.stop()
-	c.probing.Wait()
+	c.probers.Wait()
 }
 
-// serviceAnswered says that the service is up, whatever it answered.
+// serviceAnswered reports whether the service responded, even if with a refusal.
 func serviceAnswered(err error) bool {
 	return err == nil || errors.Is(err, platform.ErrRefused) || errors.Is(err, platform.ErrNotFound)
 }
 
-// fairChance is how long a service must have had before a caller whose own time ran
-// out counts against it.
-const fairChance = 200 * time.Millisecond
+// minAttemptTime is the time that a service must have had for a request before the end of
+// the caller's own deadline counts as a failure of the service.
+const minAttemptTime = 200 * time.Millisecond
 
-// callerGone leaves out what says nothing about the service.
-func callerGone(err error) bool {
-	var impatient *impatientError
-	return errors.As(err, &impatient) || errors.Is(err, context.Canceled)
+// notServiceFailure reports whether an error comes from the caller's own deadline or
+// cancellation, which indicates nothing about the service.
+func notServiceFailure(err error) bool {
+	var short *shortDeadlineError
+	return errors.As(err, &short) || errors.Is(err, context.Canceled)
 }
--- a/internal/platform/resilient/circuit_test.go
+++ b/internal/platform/resilient/circuit_test.go
@@ -14,9 +14,10 @@
 	"geraniumcroft/internal/platform/resilient"
 )
 
-// The store hangs. The first few callers each pay an attempt's bound; from then on
-// callers are refused at once, without a request to the store and without using up the
-// rate budget, and one prober asks. When the store is back callers need not notice.
+// The store hangs. The first few callers each wait for an attempt's timeout. After that
+// operations fail immediately, without a request to the store and without consuming the
+// rate budget, and one prober sends requests. When the store has recovered, operations
+// succeed again without any action of the callers.
 func TestOutageCostsNothingPerRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformsim.NewStore()
@@ -28,9 +29,9 @@
 			_, _ = client.Get(t.Context(), "a")
 		}
 		if client.Healthy() {
-			t.Fatal("the table hangs and is taken for up")
+			t.Fatal("the table hangs but is reported healthy")
 		}
-		asked, began := counted.calls.Load(), time.Now()
+		requests, start := counted.calls.Load(), time.Now()
 		for range 1000 {
 			if _, err := client.Get(t.Context(), "a"); !errors.Is(err, platform.ErrUnavailable) {
 				t.Fatalf("got %v, want unavailable", err)
@@ -39,8 +40,8 @@
 				t.Fatalf("got %v, want unavailable", err)
 			}
 		}
-		if counted.calls.Load() != asked || !time.Now().Equal(began) {
-			t.Fatalf("2000 callers made %d requests and waited %v", counted.calls.Load()-asked, time.Since(began))
+		if counted.calls.Load() != requests || !time.Now().Equal(start) {
+			t.Fatalf("2000 callers made %d requests and waited %v", counted.calls.Load()-requests, time.Since(start))
 		}
 		store.Faults.Set(platformsim.Order{})
 		time.Sleep(2 * (resilient.DefaultProbeInterval + resilient.DefaultProbeTimeout))
@@ -50,7 +51,8 @@
 	})
 }
 
-// countingTable counts the requests of callers, who ask for row a.
+// countingTable counts the requests of callers, which are those for row a. Probes read
+// another row.
 type countingTable struct {
 	*platformsim.Store
 	calls atomic.Int64
@@ -68,9 +70,9 @@
 	return c.Store.Commit(ctx, txn)
 }
 
-// Callers wait in line for the rate budget when the store begins to hang. Those whose
-// turn comes later are refused without a request, also while the breaker lets a probe
-// through: only the prober asks.
+// Callers are queued for the rate budget when the store begins to hang. Those that get
+// their budget later fail without a request, also while the breaker admits a probe: only
+// the prober sends requests.
 func TestWaitingCallersDoNotProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformsim.NewStore()
@@ -85,18 +87,18 @@
 			callers.Go(func() { _, _ = client.Get(t.Context(), "a") })
 		}
 		callers.Wait()
-		if asked := counted.calls.Load(); asked != resilient.DefaultFailuresToOpen {
-			t.Fatalf("%d requests of callers reached the store, want %d", asked, resilient.DefaultFailuresToOpen)
+		if requests := counted.calls.Load(); requests != resilient.DefaultFailuresToOpen {
+			t.Fatalf("%d requests of callers reached the store, want %d", requests, resilient.DefaultFailuresToOpen)
 		}
 	})
 }
 
-// Callers with almost no time left give up on a store that is well. Were they to
-// count, a few of them would cut everyone off.
-func TestImpatientCallersDoNotOpenTheCircuit(t *testing.T) {
+// Callers whose deadline is almost over time out on a healthy store. If these counted as
+// failures, a few of them would open the circuit for all callers.
+func TestShortDeadlinesDoNotOpenTheCircuit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformsim.NewStore()
-		client := wrap(t, store, resilient.Settings{})
+		client := newClient(t, store, resilient.Settings{})
 		store.Faults.Set(platformsim.Order{SlowBy: durationOf(20 * time.Millisecond)})
 		for range 2 * resilient.DefaultFailuresToOpen {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
@@ -104,7 +106,7 @@
 			cancel()
 		}
 		if !client.Healthy() {
-			t.Fatal("callers without time made a healthy table count as down")
+			t.Fatal("callers with short deadlines opened the circuit of a healthy table")
 		}
 	})
 }
--- a/internal/platform/resilient/client.go
+++ b/internal/platform/resilient/client.go
@@ -12,14 +12,14 @@
 	_ platform.VMList  = (*Client)(nil)
 )
 
-// Names that the probes ask for; neither need exist.
+// Names that the probes read. Neither needs to exist.
 const (
 	probeKey    = "probe"
 	probeObject = "probe"
 )
 
-// Client is the platform as the rest of the system uses it. It is safe for
-// concurrent use.
+// Client implements the platform interfaces with rate limits, circuit breakers and the
+// resolution of lost responses. It is safe for concurrent use.
 type Client struct {
 	settings Settings
 	writes   *budget
@@ -34,7 +34,7 @@
 	vmList     *circuit
 }
 
-// New wraps the three services. Close stops its probes.
+// New returns a client for the three services. Close stops its probes.
 func New(table platform.Table, objects platform.Objects, vmList platform.VMList, settings Settings) *Client {
 	settings = settings.withDefaults()
 	c := &Client{settings: settings, rawTable: table, rawObjects: objects, rawVMList: vmList}
@@ -47,34 +47,34 @@
 	return c
 }
 
-// SetVMs sets how many VMs share the fleet's budget, as the membership learns it.
+// SetVMs sets the number of VMs that share the fleet's budget, as known to the membership.
 func (c *Client) SetVMs(vms int) {
 	share := float64(max(vms, 1))
 	c.writes.setRate(c.settings.WritesPerSecond / share)
 	c.reads.setRate(c.settings.ReadsPerSecond / share)
 }
 
-// Healthy reports whether the table is taken for up.
+// Healthy reports whether the circuit of the table is closed.
 func (c *Client) Healthy() bool { return c.table.healthy() }
 
-// Close stops the probes; operations still work.
+// Close stops the probes. Operations still work.
 func (c *Client) Close() {
 	c.table.close()
 	c.objects.close()
 	c.vmList.close()
 }
 
-func (c *Client) bounded(ctx context.Context) (context.Context, context.CancelFunc) {
+func (c *Client) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, c.settings.Timeout)
 }
 
-// spend takes one operation from the budget, unless the service is down: then the
-// operation will not be sent, and its refusal must not wait for a turn.
-func (c *Client) spend(ctx context.Context, from *budget, service *circuit, operation string) error {
+// acquire waits for the budget of one operation. While the circuit is open it fails
+// immediately: the operation will not be sent, so its failure must not wait for budget.
+func (c *Client) acquire(ctx context.Context, b *budget, service *circuit, operation string) error {
 	if !service.healthy() {
-		return service.refuse(operation, errDown)
+		return service.failFast(operation, errCircuitOpen)
 	}
-	if err := from.wait(ctx); err != nil {
+	if err := b.wait(ctx); err != nil {
 		c.counters.throttled.Add(1)
 		return &platform.UnavailableError{Operation: operation, Cause: err}
 	}
--- a/internal/platform/resilient/client_test.go
+++ b/internal/platform/resilient/client_test.go
@@ -13,7 +13,7 @@
 	"geraniumcroft/internal/platform/resilient"
 )
 
-func wrap(t *testing.T, store *platformsim.Store, settings resilient.Settings) *resilient.Client {
+func newClient(t *testing.T, store *platformsim.Store, settings resilient.Settings) *resilient.Client {
 	t.Helper()
 	client := resilient.New(store, store, store, settings)
 	t.Cleanup(client.Close)
@@ -28,12 +28,12 @@
 	}
 }
 
-// The writer is told that its commit took effect although the answer was lost: the
-// row that is read back carries the transaction's ID, so nothing is sent again.
+// A commit whose response is lost is reported as successful: the row that is read back
+// has the transaction's ID, so nothing is sent again.
 func TestLostAnswerIsResolvedByReadingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformsim.NewStore()
-		client := wrap(t, store, resilient.Settings{})
+		client := newClient(t, store, resilient.Settings{})
 		store.Faults.Set(platformsim.Order{LoseAnswers: 1})
 		if err := client.Commit(t.Context(), create("t", "a")); err != nil {
 			t.Fatal(err)
@@ -44,13 +44,13 @@
 	})
 }
 
-// The writer's commit is late: it takes effect long after the attempt ran out. The
-// row read back still holds the condition, so the same transaction is sent again and
-// takes effect; the late copy is refused by the condition. The row is written once.
+// A commit is delayed beyond the timeout of its attempt. The row that is read back still
+// satisfies the condition, so the same transaction is sent again and takes effect. The
+// delayed copy is then refused by the condition, so the row is written once.
 func TestLateCommitTakesEffectOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformsim.NewStore()
-		client := wrap(t, store, resilient.Settings{})
+		client := newClient(t, store, resilient.Settings{})
 		late := 20 * time.Second
 		store.Faults.Set(platformsim.Order{DelayCommits: 1, DelayBy: durationOf(late)})
 		if err := client.Commit(t.Context(), create("t", "a")); err != nil {
@@ -71,33 +71,33 @@
 	})
 }
 
-// The writer's answer is lost, and before it reads back another writer changes the
-// row. Whether the first write took effect cannot be seen from the rows: without a
-// witness the writer is told ambiguous, and with one it is told what the witness says.
-func TestOverwrittenCommitNeedsAWitness(t *testing.T) {
-	witness := func(verdict platform.Resolution) platform.Resolver {
-		return func([]platform.Row) platform.Resolution { return verdict }
+// The response is lost, and another writer changes the row before it is read back. The
+// rows do not show whether the first write took effect: without a Resolver the error is
+// ambiguous, with one the result is the one that the Resolver returns.
+func TestOverwrittenCommitNeedsAResolver(t *testing.T) {
+	resolver := func(resolution platform.Resolution) platform.Resolver {
+		return func([]platform.Row) platform.Resolution { return resolution }
 	}
 	cases := []struct {
-		name    string
-		witness platform.Resolver
-		want    error
+		name     string
+		resolver platform.Resolver
+		want     error
 	}{
 		{"none", nil, platform.ErrAmbiguous},
-		{"unknown", witness(platform.ResolutionUnknown), platform.ErrAmbiguous},
-		{"committed", witness(platform.ResolutionCommitted), nil},
-		{"refused", witness(platform.ResolutionRefused), platform.ErrRefused},
+		{"unknown", resolver(platform.ResolutionUnknown), platform.ErrAmbiguous},
+		{"committed", resolver(platform.ResolutionCommitted), nil},
+		{"refused", resolver(platform.ResolutionRefused), platform.ErrRefused},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := platformsim.NewStore()
-				raced := &overwriter{Store: store}
-				client := resilient.New(raced, store, store, resilient.Settings{})
+				overwriting := &overwriter{Store: store}
+				client := resilient.New(overwriting, store, store, resilient.Settings{})
 				defer client.Close()
 				store.Faults.Set(platformsim.Order{LoseAnswers: 1})
 				txn := create("t", "a")
-				txn.Resolver = c.witness
+				txn.Resolver = c.resolver
 				if err := client.Commit(t.Context(), txn); !errors.Is(err, c.want) {
 					t.Fatalf("got %v, want %v", err, c.want)
 				}
@@ -106,7 +106,7 @@
 	}
 }
 
-// overwriter changes row a between a commit and the next read.
+// overwriter overwrites row a once, between a commit and the next read.
 type overwriter struct {
 	*platformsim.Store
 	done bool
@@ -126,61 +126,62 @@
 	return o.Store.Get(ctx, keys...)
 }
 
-// A write that was paid by taking a turn is sent at once; the next one waits.
-func TestTurnPaysForOneCommit(t *testing.T) {
+// A commit with a reserved write is sent immediately; the next one waits for budget.
+func TestReservationCoversOneCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformsim.NewStore()
-		client := wrap(t, store, resilient.Settings{VMs: 1, WritesPerSecond: 4, Burst: 1})
+		client := newClient(t, store, resilient.Settings{VMs: 1, WritesPerSecond: 4, Burst: 1})
 		ctx, err := client.ReserveWrite(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		began := time.Now()
+		start := time.Now()
 		if err := client.Commit(ctx, create("t1", "a")); err != nil {
 			t.Fatal(err)
 		}
-		if !time.Now().Equal(began) {
-			t.Fatalf("a paid commit waited %v", time.Since(began))
+		if !time.Now().Equal(start) {
+			t.Fatalf("a reserved commit waited %v", time.Since(start))
 		}
 		if err := client.Commit(ctx, create("t2", "b")); err != nil {
 			t.Fatal(err)
 		}
-		if time.Now().Equal(began) {
-			t.Fatal("the turn paid for two commits")
+		if time.Now().Equal(start) {
+			t.Fatal("one reservation was used for two commits")
 		}
 	})
 }
 
-// A caller's urgent read is answered while a long line of background reads waits for
-// the rate budget: the two draw on separate lanes.
+// An urgent read does not wait while a long queue of background reads waits for the rate
+// budget: the two rate classes have separate limiters.
 func TestUrgentDoesNotWaitBehindBackground(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformsim.NewStore()
-		client := wrap(t, store, resilient.Settings{Timeout: time.Hour})
+		client := newClient(t, store, resilient.Settings{Timeout: time.Hour})
 		var background atomic.Int64
-		const line = 2000
-		for range line {
+		const queued = 2000
+		for range queued {
 			go func() {
 				_, _ = client.Get(t.Context(), "a")
 				background.Add(1)
 			}()
 		}
 		synctest.Wait()
-		began := time.Now()
+		start := time.Now()
 		if _, err := client.Get(platform.WithRateClass(t.Context(), platform.RateClassUrgent), "a"); err != nil {
 			t.Fatal(err)
 		}
-		if waited := time.Since(began); waited != 0 || background.Load() == line {
-			t.Fatalf("urgent read waited %v, %d of %d background reads were first", waited, background.Load(), line)
+		if waited := time.Since(start); waited != 0 || background.Load() == queued {
+			t.Fatalf("urgent read waited %v, after %d of %d background reads", waited, background.Load(), queued)
 		}
 		time.Sleep(time.Hour)
 	})
 }
 
-// Without a condition on its first row a commit sent twice could take effect twice.
+// Without a condition on its first row a commit that is sent twice could take effect
+// twice, so it is refused before it is sent.
 func TestCommitWithoutConditionIsNotSent(t *testing.T) {
 	store := platformsim.NewStore()
-	client := wrap(t, store, resilient.Settings{})
+	client := newClient(t, store, resilient.Settings{})
 	txn := create("t", "a")
 	txn.Conditions[0].Key = "b"
 	var invalid *platform.InvalidTxnError
--- a/internal/platform/resilient/commit.go
+++ b/internal/platform/resilient/commit.go
@@ -10,15 +10,15 @@
 	"geraniumcroft/internal/sleep"
 )
 
-// Commit implements platform.Table. The transaction needs a condition on the row
-// that it writes first. The error is ambiguous only when what became of the
-// transaction could not be learnt before the context ended, or its rows were
-// overwritten and it has no Resolver that tells.
+// Commit implements platform.Table. The transaction needs a condition on the row of its
+// first write. The error is ambiguous only when the outcome of the transaction could not
+// be determined before the context ended, or when its rows were overwritten and it has no
+// Resolver that determines the outcome.
 func (c *Client) Commit(ctx context.Context, txn platform.Txn) error {
 	if err := txn.Validate(); err != nil {
 		return err
 	}
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	err := c.send(ctx, txn)
 	if !errors.Is(err, platform.ErrAmbiguous) {
@@ -34,10 +34,10 @@
 	return resolved
 }
 
-// send sends the transaction once.
+// send sends the transaction once, with the write reserved in the context if there is one.
 func (c *Client) send(ctx context.Context, txn platform.Txn) error {
-	if !takeTurn(ctx) {
-		if err := c.spend(ctx, c.writes, c.table, "commit"); err != nil {
+	if !useReservation(ctx) {
+		if err := c.acquire(ctx, c.writes, c.table, "commit"); err != nil {
 			return err
 		}
 	}
@@ -51,58 +51,59 @@
 	return err
 }
 
-// resolve finds out what became of a transaction that may have been applied, or may
-// be applied yet.
+// resolve determines the outcome of a transaction that may have been applied or may still
+// be applied.
 func (c *Client) resolve(ctx context.Context, txn platform.Txn, cause error) error {
-	pause := c.newPause()
-	lost := &platform.AmbiguousError{TxnID: txn.ID, Cause: cause}
+	backOff := c.newBackOff()
+	ambiguous := &platform.AmbiguousError{TxnID: txn.ID, Cause: cause}
 	for ctx.Err() == nil {
 		rows, err := c.Get(ctx, txn.Keys()...)
 		if err == nil {
-			lost.Rows = rows
+			ambiguous.Rows = rows
 			if !conditionsHold(txn, rows) {
-				return settle(txn, rows, lost)
+				return resolveFromRows(txn, rows, ambiguous)
 			}
 			err = c.resend(ctx, txn)
 			if err == nil {
 				return nil
 			}
 		}
-		lost.Cause = err
-		if !sleep.For(ctx, pause.NextBackOff()) {
+		ambiguous.Cause = err
+		if !sleep.For(ctx, backOff.NextBackOff()) {
 			break
 		}
 	}
-	return lost
+	return ambiguous
 }
 
-// resend sends the same transaction again. Whether the first copy is lost or late,
-// the condition on a row that the transaction itself writes lets only one of the two
-// take effect. A refusal here may be the doing of the first copy, so only success is
-// conclusive; resolve reads the rows again for the rest.
+// resend sends the same transaction again. Whether the first copy is lost or delayed, the
+// condition on a row that the transaction itself writes allows only one of the two to take
+// effect. A refusal may be caused by the first copy, so only success is conclusive; for
+// all other results resolve reads the rows again.
 func (c *Client) resend(ctx context.Context, txn platform.Txn) error {
 	c.counters.resent.Add(1)
 	return c.send(ctx, txn)
 }
 
-// settle decides about a transaction whose conditions no longer hold.
-func settle(txn platform.Txn, rows []platform.Row, lost error) error {
+// resolveFromRows determines the outcome of a transaction whose conditions no longer hold.
+// It returns ambiguous when the rows do not show it.
+func resolveFromRows(txn platform.Txn, rows []platform.Row, ambiguous error) error {
 	for _, row := range rows {
 		if row.TxnID == txn.ID {
 			return nil
 		}
 	}
-	verdict := platform.ResolutionUnknown
+	resolution := platform.ResolutionUnknown
 	if txn.Resolver != nil {
-		verdict = txn.Resolver(rows)
+		resolution = txn.Resolver(rows)
 	}
-	switch verdict {
+	switch resolution {
 	case platform.ResolutionCommitted:
 		return nil
 	case platform.ResolutionRefused:
 		return &platform.RefusedError{Rows: failedRows(txn, rows)}
 	default:
-		return lost
+		return ambiguous
 	}
 }
 
@@ -111,13 +112,13 @@
 }
 
 func failedRows(txn platform.Txn, rows []platform.Row) []platform.Row {
-	present := make(map[string]platform.Row, len(rows))
+	current := make(map[string]platform.Row, len(rows))
 	for _, row := range rows {
-		present[row.Key] = row
+		current[row.Key] = row
 	}
 	var failed []platform.Row
 	for _, condition := range txn.Conditions {
-		row := present[condition.Key]
+		row := current[condition.Key]
 		if row.Revision != condition.Revision {
 			failed = append(failed, row)
 		}
@@ -125,9 +126,9 @@
 	return failed
 }
 
-func (c *Client) newPause() *backoff.ExponentialBackOff {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = c.settings.RetryPause
-	pause.MaxInterval = c.settings.MaxRetryPause
-	return pause
+func (c *Client) newBackOff() *backoff.ExponentialBackOff {
+	b := backoff.NewExponentialBackOff()
+	b.InitialInterval = c.settings.RetryPause
+	b.MaxInterval = c.settings.MaxRetryPause
+	return b
 }
--- a/internal/platform/resilient/counters.go
+++ b/internal/platform/resilient/counters.go
@@ -15,7 +15,7 @@
 	probes     atomic.Uint64
 }
 
-// Dump returns the client's state.
+// Dump returns the client's state and counters for the dump.
 func (c *Client) Dump() State {
 	return State{
 		Table:      c.table.breaker.State().String(),
--- a/internal/platform/resilient/http_test.go
+++ b/internal/platform/resilient/http_test.go
@@ -12,9 +12,9 @@
 	"geraniumcroft/internal/platform/resilient"
 )
 
-// The writer's commit succeeds over HTTP through each failure ordered: the answer is
-// lost after the write, the write is late, or the connection that was open goes silent
-// while new ones work. Reading back and sending the same transaction again settles it.
+// A commit over HTTP succeeds despite each injected fault: the response is lost after the
+// write, the write is delayed, or the open connection goes silent while new ones work.
+// Reading the rows back and sending the same transaction again resolves each of them.
 func TestCommitOverHTTPSurvivesFaults(t *testing.T) {
 	orders := map[string]platformsim.Order{
 		"answer lost":       {LoseAnswers: 1},
@@ -35,7 +35,7 @@
 			if _, err := client.Get(t.Context(), "a"); err != nil {
 				t.Fatal(err)
 			}
-			put(t, server, order)
+			setFaults(t, server, order)
 			if err := client.Commit(t.Context(), create("t", "a")); err != nil {
 				t.Fatal(err)
 			}
@@ -44,24 +44,24 @@
 				t.Fatalf("row %+v, %v", rows, err)
 			}
 			if client.Dump().Resolved != 1 {
-				t.Fatalf("the fault did not show: %+v", client.Dump())
+				t.Fatalf("the fault had no effect: %+v", client.Dump())
 			}
 		})
 	}
 }
 
-func put(t *testing.T, server *platformsim.Server, order platformsim.Order) {
+func setFaults(t *testing.T, server *platformsim.Server, order platformsim.Order) {
 	t.Helper()
 	body, err := json.Marshal(order)
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer, err := http.Post(server.URL()+"/faults", "application/json", bytes.NewReader(body))
+	response, err := http.Post(server.URL()+"/faults", "application/json", bytes.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		t.Fatalf("order of faults: status %d", answer.StatusCode)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		t.Fatalf("set faults: status %d", response.StatusCode)
 	}
 }
--- a/internal/platform/resilient/reads.go
+++ b/internal/platform/resilient/reads.go
@@ -21,9 +21,9 @@
 }
 
 func (c *Client) readRows(ctx context.Context, operation string, read func(context.Context) ([]platform.Row, error)) ([]platform.Row, error) {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
-	if err := c.spend(ctx, c.reads, c.table, operation); err != nil {
+	if err := c.acquire(ctx, c.reads, c.table, operation); err != nil {
 		return nil, err
 	}
 	var rows []platform.Row
@@ -38,9 +38,9 @@
 
 // Put implements platform.Objects.
 func (c *Client) Put(ctx context.Context, name string, body []byte) error {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
-	if err := c.spend(ctx, c.writes, c.objects, "put object"); err != nil {
+	if err := c.acquire(ctx, c.writes, c.objects, "put object"); err != nil {
 		return err
 	}
 	return c.objects.do(ctx, "put object", func(ctx context.Context) error { return c.rawObjects.Put(ctx, name, body) })
@@ -48,9 +48,9 @@
 
 // Fetch implements platform.Objects.
 func (c *Client) Fetch(ctx context.Context, name string) ([]byte, error) {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
-	if err := c.spend(ctx, c.reads, c.objects, "fetch object"); err != nil {
+	if err := c.acquire(ctx, c.reads, c.objects, "fetch object"); err != nil {
 		return nil, err
 	}
 	var body []byte
@@ -64,9 +64,9 @@
 
 // VMs implements platform.VMList.
 func (c *Client) VMs(ctx context.Context) ([]platform.VM, error) {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
-	if err := c.spend(ctx, c.reads, c.vmList, "list VMs"); err != nil {
+	if err := c.acquire(ctx, c.reads, c.vmList, "list VMs"); err != nil {
 		return nil, err
 	}
 	var vms []platform.VM
--- a/internal/platform/resilient/reservation.go
+++ b/internal/platform/resilient/reservation.go
@@ -9,21 +9,22 @@
 
 var _ platform.WriteReserver = (*Client)(nil)
 
-type turnKey struct{}
+type reservationKey struct{}
 
-// turn is a write that was taken from the budget before it was sent.
-type turn struct{ spent atomic.Bool }
+// reservation is a write whose budget was consumed before it is sent.
+type reservation struct{ used atomic.Bool }
 
-// ReserveWrite implements platform.WriteReserver. It fails at once while the table is down.
+// ReserveWrite implements platform.WriteReserver. It fails immediately while the circuit
+// of the table is open.
 func (c *Client) ReserveWrite(ctx context.Context) (context.Context, error) {
-	if err := c.spend(ctx, c.writes, c.table, "turn"); err != nil {
+	if err := c.acquire(ctx, c.writes, c.table, "turn"); err != nil {
 		return ctx, err
 	}
-	return context.WithValue(ctx, turnKey{}, &turn{}), nil
+	return context.WithValue(ctx, reservationKey{}, &reservation{}), nil
 }
 
-// takeTurn reports whether the context has a write paid that is not yet spent.
-func takeTurn(ctx context.Context) bool {
-	paid, ok := ctx.Value(turnKey{}).(*turn)
-	return ok && paid.spent.CompareAndSwap(false, true)
+// useReservation reports whether the context has an unused reservation, and marks it used.
+func useReservation(ctx context.Context) bool {
+	r, ok := ctx.Value(reservationKey{}).(*reservation)
+	return ok && r.used.CompareAndSwap(false, true)
 }
--- a/internal/platform/resilient/settings.go
+++ b/internal/platform/resilient/settings.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// What the whole fleet may ask of the table: a third of the 300 writes and 2,000
-// reads a second that it takes.
+// The default budget of the whole fleet: a third of the 300 writes and 2,000 reads per
+// second that the table accepts.
 const (
 	FleetWritesPerSecond = 100.0
 	FleetReadsPerSecond  = 666.0
 )
 
-// The defaults of Settings.
+// Defaults of Settings.
 const (
 	DefaultVMs              = 6
 	DefaultUrgentWriteShare = 0.75
@@ -27,33 +27,33 @@
 	DefaultMaxRetryPause    = 500 * time.Millisecond
 )
 
-// Settings of a Client. A zero field takes its default.
+// Settings configures a Client. A zero field takes its default.
 type Settings struct {
-	// VMs is how many VMs share the fleet's budget.
+	// VMs is the number of VMs that share the fleet's budget.
 	VMs int
-	// WritesPerSecond and ReadsPerSecond are the fleet's budget.
+	// WritesPerSecond and ReadsPerSecond are the budget of the whole fleet.
 	WritesPerSecond float64
 	ReadsPerSecond  float64
-	// UrgentWriteShare and UrgentReadShare are the parts, between 0 and 1, that only
-	// platform.RateClassUrgent draws on; the rest is the background's.
+	// UrgentWriteShare and UrgentReadShare are the shares, between 0 and 1, reserved for
+	// platform.RateClassUrgent. The rest is for platform.RateClassBackground.
 	UrgentWriteShare float64
 	UrgentReadShare  float64
-	// Burst bounds the operations that a lane may carry out at once after a quiet
-	// time, which are one second's worth.
+	// Burst is the upper bound of a rate class's burst, which is otherwise one second's
+	// worth of operations.
 	Burst int
 	// Timeout bounds an operation whose context has no earlier deadline.
 	Timeout time.Duration
-	// AttemptTimeout bounds each request to a service, so that a silent one leaves
-	// time to resolve a lost answer.
+	// AttemptTimeout bounds each request to a service, so that after a request without a
+	// response there is time left to resolve it.
 	AttemptTimeout time.Duration
-	// FailuresToOpen is how many failures in a row take a service for down.
+	// FailuresToOpen is the number of consecutive failures that open a circuit.
 	FailuresToOpen int
-	// ProbeInterval is the time between probes of a service that is down, and
-	// ProbeTimeout bounds each.
+	// ProbeInterval is the time between probes of a service whose circuit is open, and
+	// ProbeTimeout bounds each probe.
 	ProbeInterval time.Duration
 	ProbeTimeout  time.Duration
-	// RetryPause is the first pause while a lost answer is resolved; it doubles up to
-	// MaxRetryPause.
+	// RetryPause is the initial backoff while a lost response is resolved. It increases
+	// exponentially up to MaxRetryPause.
 	RetryPause    time.Duration
 	MaxRetryPause time.Duration
 }
--- a/internal/platform/resolution.go
+++ b/internal/platform/resolution.go
@@ -1,13 +1,15 @@
 package platform
 
-// Resolution is what a Resolver says became of a transaction.
+// Resolution is the outcome of a transaction as determined by a Resolver.
 type Resolution uint8
 
 const (
-	// ResolutionUnknown: the rows do not tell.
+	// ResolutionUnknown means that the rows do not show the outcome.
 	ResolutionUnknown Resolution = iota
-	// ResolutionCommitted: it took effect and its rows were overwritten since.
+	// ResolutionCommitted means that the transaction took effect and its rows were
+	// overwritten since.
 	ResolutionCommitted
-	// ResolutionRefused: it did not take effect and its conditions no longer hold.
+	// ResolutionRefused means that the transaction did not take effect and its conditions
+	// no longer hold.
 	ResolutionRefused
 )
--- a/internal/platform/resolver.go
+++ b/internal/platform/resolver.go
@@ -1,11 +1,11 @@
 package platform
 
-// Resolver looks at the present rows of a transaction whose answer was lost, none
-// of which carries its ID while a condition no longer holds. Either another writer
-// was first, or this transaction took effect and was overwritten; only the writer
-// knows how to tell from the values.
+// Resolver determines the outcome of a transaction whose response was lost, from the
+// current rows. It is called when none of the rows has the transaction's ID and a
+// condition no longer holds: either another writer was first, or the transaction took
+// effect and was overwritten. Only the writer can tell these apart by the values.
 type Resolver func(rows []Row) Resolution
 
-// ResolveWriteOnce is the Resolver of rows that nobody overwrites while the writer waits:
-// a row of another transaction proves that this one was refused.
+// ResolveWriteOnce is the Resolver for rows that are not overwritten while the writer
+// waits: a row of another transaction proves that this transaction was refused.
 func ResolveWriteOnce([]Row) Resolution { return ResolutionRefused }
--- a/internal/platform/row.go
+++ b/internal/platform/row.go
@@ -6,11 +6,11 @@
 type Row struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
-	// Revision rises with each write of the row; 0 means that there is no row.
+	// Revision increases with each write of the row; 0 means that the row does not exist.
 	Revision uint64 `json:"revision"`
-	// TxnID is the transaction that last wrote the row.
+	// TxnID is the ID of the transaction that last wrote the row.
 	TxnID string `json:"txnId"`
-	// ReadAt is the table's own clock when the row was read, 0 if that isn't known. The clock is
-	// steady and counts from an arbitrary moment.
+	// ReadAt is the time on the table's own clock when the row was read, 0 if unknown. The
+	// clock is monotonic and has an arbitrary origin.
 	ReadAt time.Duration `json:"-"`
 }
--- a/internal/platform/table.go
+++ b/internal/platform/table.go
@@ -4,13 +4,13 @@
 
 // Table is the transactional table service.
 type Table interface {
-	// Commit applies all writes of the transaction, or none. It returns nil once
-	// they are applied, a *RefusedError when a condition does not hold, and errors
-	// marked ErrUnavailable or ErrAmbiguous otherwise.
+	// Commit applies all writes of the transaction atomically. It returns nil once they
+	// are applied, a *RefusedError when a condition does not hold, and otherwise an error
+	// that matches ErrUnavailable or ErrAmbiguous.
 	Commit(ctx context.Context, txn Txn) error
-	// Get returns the rows of the keys, at one moment. A key that has no row is
+	// Get returns a consistent snapshot of the rows of the keys. A key without a row is
 	// returned as a Row with Revision 0.
 	Get(ctx context.Context, keys ...string) ([]Row, error)
-	// Scan returns up to limit rows with from <= key < to, in order of key.
+	// Scan returns up to limit rows with from <= key < to, ordered by key.
 	Scan(ctx context.Context, from, to string, limit int) ([]Row, error)
 }
--- a/internal/platform/validate.go
+++ b/internal/platform/validate.go
@@ -1,8 +1,9 @@
 package platform
 
-// Validate returns an *InvalidTxnError unless a lost answer to the transaction can
-// be resolved: it needs an ID, and a condition on the row that it writes first, so
-// that it takes effect at most once however often it is sent.
+// Validate returns an *InvalidTxnError unless the outcome of the transaction can be
+// determined after a lost response. This requires an ID, and a condition on the row of
+// the first write, so that the transaction takes effect at most once however often it is
+// sent.
 func (t Txn) Validate() error {
 	if t.ID == "" {
 		return &InvalidTxnError{Reason: "it has no ID"}
@@ -18,7 +19,7 @@
 	return &InvalidTxnError{TxnID: t.ID, Reason: "it has no condition on the row that it writes first"}
 }
 
-// Keys returns the keys of all rows that the transaction reads or writes, each once.
+// Keys returns the distinct keys of all rows in conditions and writes.
 func (t Txn) Keys() []string {
 	seen := make(map[string]bool, len(t.Conditions)+len(t.Writes))
 	var keys []string
--- a/internal/platform/write_reserver.go
+++ b/internal/platform/write_reserver.go
@@ -2,11 +2,11 @@
 
 import "context"
 
-// WriteReserver is implemented by tables that keep a rate budget. A writer that groups
-// its writes takes its turn first and forms the group then, so that everything that
-// came while it waited goes in one transaction.
+// WriteReserver is implemented by tables that keep a rate budget. A writer that batches
+// its writes reserves a write first and forms the batch afterwards, so that the batch
+// includes everything that was queued during the wait.
 type WriteReserver interface {
-	// ReserveWrite waits for one write of the context's lane. The context that it returns
-	// has that write paid, once.
+	// ReserveWrite waits until the context's rate class has budget for one write. The
+	// first commit with the returned context uses the reservation and does not wait again.
 	ReserveWrite(ctx context.Context) (context.Context, error)
 }
