--- a/internal/security/authenticator.go
+++ b/internal/security/authenticator.go
@@ -1,11 +1,11 @@
 package security
 
-// Authenticator checks operators' tokens against a file that may change. It is
-// safe for concurrent use.
+// Authenticator checks operators' tokens against a tokens file and follows changes of the
+// file. It is safe for concurrent use.
 type Authenticator struct{ tokens *reloading[Tokens] }
 
-// NewAuthenticator reads the tokens file and, until Close, reads it again when it
-// changes. The error is a *FindingsError.
+// NewAuthenticator loads the tokens file and reloads it on changes until Close. The error
+// is a *FindingsError.
 func NewAuthenticator(path string, o Options) (*Authenticator, error) {
 	load := func() (*Tokens, error) {
 		tokens, findings := LoadTokens(path)
@@ -21,10 +21,11 @@
 	return &Authenticator{tokens: tokens}, nil
 }
 
-// Authenticate returns who presents the token.
+// Authenticate returns the author and role of the token. ok is false if the token is not in
+// the file.
 func (a *Authenticator) Authenticate(token string) (author string, role Role, ok bool) {
 	return a.tokens.get().Authenticate(token)
 }
 
-// Close ends the watching; the tokens stay in force.
+// Close stops watching the file. The loaded tokens stay valid.
 func (a *Authenticator) Close() { a.tokens.close() }
--- a/internal/security/authority_test.go
+++ b/internal/security/authority_test.go
@@ -6,7 +6,7 @@
 	"geraniumcroft/internal/security/certtest"
 )
 
-// authority signs certificates for the tests of this package.
+// authority is a certtest.Authority that returns TLSFiles.
 type authority struct{ *certtest.Authority }
 
 func newAuthority(t *testing.T) authority {
--- a/internal/security/certtest/authority.go
+++ b/internal/security/certtest/authority.go
@@ -1,4 +1,4 @@
-// Package certtest makes certificates for tests of connections with TLS.
+// Package certtest creates certificates for tests of TLS connections.
 package certtest
 
 import (
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// Authority signs certificates for one test.
+// Authority is a certificate authority for one test. Errors fail the test.
 type Authority struct {
 	t *testing.T
 	// Cert is the authority's own certificate.
@@ -25,7 +25,7 @@
 	serial int64
 }
 
-// New returns an authority with a key of its own.
+// New returns an authority with a new key.
 func New(t *testing.T) *Authority {
 	t.Helper()
 	a := &Authority{t: t, serial: 1}
@@ -69,8 +69,9 @@
 	return certificate
 }
 
-// Write makes a certificate for an IP number, writes it, its key and the
-// authority's certificate, and returns the files and the serial number.
+// Write creates a certificate for an IP address, for servers and clients. It writes the
+// certificate, its key and the authority's certificate into the directory, and returns the
+// paths and the serial number.
 func (a *Authority) Write(directory, ip string) (Files, int64) {
 	a.t.Helper()
 	template := a.template(ip)
@@ -93,10 +94,10 @@
 	return files, a.serial
 }
 
-// WritePEM writes one PEM block to a file.
-func (a *Authority) WritePEM(path, kind string, der []byte) {
+// WritePEM writes a file with one PEM block of the given type.
+func (a *Authority) WritePEM(path, blockType string, der []byte) {
 	a.t.Helper()
-	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
+	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der}), 0o600); err != nil {
 		a.t.Fatal(err)
 	}
 }
--- a/internal/security/certtest/files.go
+++ b/internal/security/certtest/files.go
@@ -1,6 +1,6 @@
 package certtest
 
-// Files are paths of PEM files.
+// Files are the paths of PEM files. The type converts to security.TLSFiles.
 type Files struct {
 	Cert string
 	Key  string
--- a/internal/security/doc.go
+++ b/internal/security/doc.go
@@ -1,11 +1,11 @@
-// Package security checks operators' tokens and workspaces' keys, and gives the
-// listeners their TLS.
+// Package security checks operators' tokens and workspaces' keys, and provides TLS
+// configurations for listeners and clients.
 //
-// Tokens and keys are kept and compared as digests, in constant time and against
-// all entries, so that neither a file nor the time of an answer tells one. Files
-// are read again when they change: by the system's notice, and by polling, since
-// notices are lost on some file systems and on a file that is replaced through a
-// link. A changed file that is not in order is logged and the state before it
-// stays in force; otherwise a slip while a certificate is renewed would shut out
+// Tokens and keys are stored and compared as digests, in constant time and against all
+// entries, so that neither a file nor the response time reveals one. Files are reloaded
+// when they change. Changes are detected by file system notifications and also by polling,
+// since notifications are lost on some file systems and for files that are replaced through
+// a symbolic link. If a changed file is invalid, the error is logged and the previous state
+// stays in use. Otherwise a mistake during the renewal of a certificate would lock out
 // callers, peers or operators.
 package security
--- a/internal/security/finding.go
+++ b/internal/security/finding.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Finding is one thing that is wrong in a tokens file. It never holds what stands
-// in the line, which may be a token by mistake.
+// Finding is one error in a tokens file. It never contains text from the line, which may
+// be a token by mistake.
 type Finding struct {
 	File    string `json:"file"`
 	Line    int    `json:"line"`
@@ -11,7 +11,7 @@
 	Allowed string `json:"allowed"`
 }
 
-// String returns the finding as "FILE:LINE: problem, allowed: what".
+// String returns the finding as "FILE:LINE: PROBLEM, allowed: ALLOWED".
 func (f Finding) String() string {
 	return fmt.Sprintf("%s:%d: %s, allowed: %s", f.File, f.Line, f.Problem, f.Allowed)
 }
--- a/internal/security/findings_error.go
+++ b/internal/security/findings_error.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// FindingsError reports all that is wrong in a file.
+// FindingsError reports all errors in a tokens file.
 type FindingsError struct{ Findings []Finding }
 
-// Error implements error; one finding a line.
+// Error implements the error interface. The text has one line per finding.
 func (e *FindingsError) Error() string {
 	lines := make([]string, len(e.Findings))
 	for i, finding := range e.Findings {
--- a/internal/security/key_pair.go
+++ b/internal/security/key_pair.go
@@ -5,9 +5,9 @@
 	"crypto/x509"
 )
 
-// keyPair is what the files hold at one moment.
+// keyPair is the loaded content of TLSFiles.
 type keyPair struct {
 	certificate *tls.Certificate
-	// authorities is nil without a CA file.
+	// authorities is nil if there is no CA file.
 	authorities *x509.CertPool
 }
--- a/internal/security/keys.go
+++ b/internal/security/keys.go
@@ -7,23 +7,23 @@
 	"strings"
 )
 
-// DigestOf returns the hex SHA-256 of a key or token, as it stands in a tokens
-// file and in a workspace's keyDigests.
+// DigestOf returns the hex SHA-256 of a key or token, the form that tokens files and a
+// workspace's keyDigests use.
 func DigestOf(key string) string {
 	digest := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(digest[:])
 }
 
-// CheckKey reports whether a bearer key is one of those with the hex SHA-256
-// digests. It compares with all of them. Without any digest no key fits; whether
-// one is needed is the caller's to know.
+// CheckKey reports whether the hex SHA-256 of a bearer key is one of the digests. It compares
+// with all of them in constant time. Without digests it returns false; whether a key is
+// required is up to the caller.
 func CheckKey(key string, digests []string) bool {
 	var encoded [2 * sha256.Size]byte
 	sum := sha256.Sum256([]byte(key))
 	hex.Encode(encoded[:], sum[:])
-	found := 0
+	match := 0
 	for _, digest := range digests {
-		found |= subtle.ConstantTimeCompare(encoded[:], []byte(strings.ToLower(digest)))
+		match |= subtle.ConstantTimeCompare(encoded[:], []byte(strings.ToLower(digest)))
 	}
-	return found == 1
+	return match == 1
 }
--- a/internal/security/options.go
+++ b/internal/security/options.go
@@ -6,15 +6,15 @@
 	"go.uber.org/zap"
 )
 
-// Options say how files are watched.
+// Options configures how files are watched.
 type Options struct {
-	// Logger may be nil.
+	// Logger may be nil for no logging.
 	Logger *zap.Logger
-	// PollInterval is the time between two looks at the files; 0 takes the default.
+	// PollInterval is the time between two checks of the files; 0 selects the default of 10 s.
 	PollInterval time.Duration
-	// OnReload, when not nil, is told the result of each reload.
+	// OnReload, if not nil, is called with the result of each reload.
 	OnReload func(error)
-	// pollOnly is for tests: the system gives no notices.
+	// pollOnly disables file system notifications. It is for tests.
 	pollOnly bool
 }
 
@@ -25,9 +25,9 @@
 	return o.Logger
 }
 
-func (o Options) poll() time.Duration {
+func (o Options) pollInterval() time.Duration {
 	if o.PollInterval == 0 {
-		return pollInterval
+		return defaultPollInterval
 	}
 	return o.PollInterval
 }
--- a/internal/security/reloading.go
+++ b/internal/security/reloading.go
@@ -6,20 +6,20 @@
 	"go.uber.org/zap"
 )
 
-// reloading is a value that is made from files and made again when they change.
+// reloading holds a value that is loaded from files and reloaded when they change.
 type reloading[T any] struct {
-	what    string
+	what    string // names the value in the log
 	load    func() (*T, error)
 	logger  *zap.Logger
 	current atomic.Pointer[T]
 	watcher *watcher
-	// reloaded, when not nil, is told the result of each reload.
-	reloaded func(error)
+	// onReload, if not nil, is called with the result of each reload.
+	onReload func(error)
 }
 
-// newReloading loads the value and, until close, watches the files.
+// newReloading loads the value and watches the files until close.
 func newReloading[T any](what string, paths []string, o Options, load func() (*T, error)) (*reloading[T], error) {
-	r := &reloading[T]{what: what, load: load, logger: o.logger(), reloaded: o.OnReload}
+	r := &reloading[T]{what: what, load: load, logger: o.logger(), onReload: o.OnReload}
 	value, err := load()
 	if err != nil {
 		return nil, err
@@ -29,7 +29,7 @@
 	return r, nil
 }
 
-// reload keeps the value in force when the files are not in order.
+// reload loads the value again. If that fails it keeps the previous value.
 func (r *reloading[T]) reload() {
 	value, err := r.load()
 	if err != nil {
@@ -38,8 +38,8 @@
 		r.current.Store(value)
 		r.logger.Info("read changed files", zap.String("what", r.what))
 	}
-	if r.reloaded != nil {
-		r.reloaded(err)
+	if r.onReload != nil {
+		r.onReload(err)
 	}
 }
 
--- a/internal/security/role.go
+++ b/internal/security/role.go
@@ -1,16 +1,16 @@
 package security
 
-// Role is what an operator may do.
+// Role is the set of permissions of an operator.
 type Role string
 
 const (
-	// RoleRead may look at everything and change nothing.
+	// RoleRead permits reading everything and changing nothing.
 	RoleRead Role = "read"
-	// RoleOperate may change profiles and targets as well.
+	// RoleOperate permits changing profiles and targets as well.
 	RoleOperate Role = "operate"
 )
 
-// Allows reports whether the role may do what needs the other one.
+// Allows reports whether r includes the permissions of the needed role.
 func (r Role) Allows(needed Role) bool {
 	switch r {
 	case RoleOperate:
--- a/internal/security/stamp.go
+++ b/internal/security/stamp.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// stamp changes when a file does.
+// stamp identifies a version of a file by its modification time and size.
 type stamp struct {
 	modified time.Time
 	size     int64
--- a/internal/security/tls_files.go
+++ b/internal/security/tls_files.go
@@ -8,11 +8,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TLSFiles are the PEM files of one listener or client.
+// TLSFiles are the paths of the PEM files of one listener or client.
 type TLSFiles struct {
 	Cert string
 	Key  string
-	// CA is empty where no certificate of the other side is demanded.
+	// CA is empty if no certificate of the other side is required.
 	CA string
 }
 
--- a/internal/security/tls_source.go
+++ b/internal/security/tls_source.go
@@ -7,11 +7,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TLSSource gives TLS configurations whose certificates and authorities are those
-// of the files at the time of each handshake. It is safe for concurrent use.
+// TLSSource provides TLS configurations that use, for each handshake, the certificates and
+// authorities that are loaded at that time. It is safe for concurrent use.
 type TLSSource struct{ pair *reloading[keyPair] }
 
-// NewTLSSource reads the files and, until Close, reads them again when they change.
+// NewTLSSource loads the files and reloads them on changes until Close.
 func NewTLSSource(files TLSFiles, o Options) (*TLSSource, error) {
 	pair, err := newReloading("certificates", files.paths(), o, files.load)
 	if err != nil {
@@ -20,11 +20,11 @@
 	return &TLSSource{pair: pair}, nil
 }
 
-// Close ends the watching; what was read stays in force.
+// Close stops watching the files. What was loaded stays in use.
 func (s *TLSSource) Close() { s.pair.close() }
 
-// ServerConfig returns the configuration of a listener. With a CA file it demands
-// a client certificate.
+// ServerConfig returns the configuration of a listener. If there is a CA file it requires a
+// client certificate.
 func (s *TLSSource) ServerConfig() *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS13}
 	if s.pair.get().authorities != nil {
@@ -41,8 +41,9 @@
 	return base
 }
 
-// ClientConfig returns the configuration of connections to the server with the IP
-// number or name, which must stand in the server's certificate. It needs a CA file.
+// ClientConfig returns the configuration for connections to a server. The server argument
+// is an IP address or a DNS name that the server's certificate must contain. A CA file is
+// required.
 func (s *TLSSource) ClientConfig(server string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -50,9 +51,9 @@
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return s.pair.get().certificate, nil
 		},
-		// RootCAs cannot change once the configuration is in use. The library's own
-		// check is off and VerifyConnection does the same against the authorities of
-		// now; it runs on every handshake.
+		// RootCAs cannot change once the configuration is in use. The built-in check is
+		// therefore disabled, and VerifyConnection does the same check on every handshake
+		// against the currently loaded authorities.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return s.verifyServer(server, state)
--- a/internal/security/tls_test.go
+++ b/internal/security/tls_test.go
@@ -26,8 +26,8 @@
 	return source
 }
 
-// handshake connects the two and returns the serial number of the server's
-// certificate, or the first error of either end.
+// handshake connects client and server and returns the serial number of the server's
+// certificate, or the first error of either side.
 func handshake(t *testing.T, server, client *tls.Config) (serial int64, err error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,14 +35,14 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	served := make(chan error, 1)
+	serverResult := make(chan error, 1)
 	go func() {
 		conn, err := listener.Accept()
 		if err == nil {
 			defer conn.Close()
 			_, err = tls.Server(conn, server).Write([]byte{1})
 		}
-		served <- err
+		serverResult <- err
 	}()
 	raw, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
@@ -52,11 +52,11 @@
 	err = conn.HandshakeContext(context.Background())
 	if err == nil {
 		serial = conn.ConnectionState().PeerCertificates[0].SerialNumber.Int64()
-		// The session that could be resumed comes before the first byte.
+		// The session ticket arrives before the first byte of data.
 		_, err = conn.Read(make([]byte, 1))
 	}
 	raw.Close()
-	if serverErr := <-served; err == nil {
+	if serverErr := <-serverResult; err == nil {
 		err = serverErr
 	}
 	return serial, err
@@ -66,28 +66,28 @@
 	ours, theirs := newAuthority(t), newAuthority(t)
 	serverFiles, _ := ours.write(t.TempDir(), "127.0.0.1")
 	clientFiles, _ := ours.write(t.TempDir(), "10.0.0.1")
-	strangerFiles, _ := theirs.write(t.TempDir(), "127.0.0.1")
-	server, client, stranger := newSource(t, serverFiles, Options{}), newSource(t, clientFiles, Options{}), newSource(t, strangerFiles, Options{})
-	trusting := stranger.ClientConfig("127.0.0.1")
-	trusting.VerifyConnection = nil // the stranger does not mind whom it talks to
+	foreignFiles, _ := theirs.write(t.TempDir(), "127.0.0.1")
+	server, client, foreign := newSource(t, serverFiles, Options{}), newSource(t, clientFiles, Options{}), newSource(t, foreignFiles, Options{})
+	unverified := foreign.ClientConfig("127.0.0.1")
+	unverified.VerifyConnection = nil // so that only the server can refuse
 
 	if _, err := handshake(t, server.ServerConfig(), client.ClientConfig("127.0.0.1")); err != nil {
-		t.Errorf("two of ours: %v", err)
+		t.Errorf("client and server of one authority: %v", err)
 	}
 	refused := map[string]func() (int64, error){
-		"a client of another authority": func() (int64, error) { return handshake(t, server.ServerConfig(), trusting) },
+		"a client of another authority": func() (int64, error) { return handshake(t, server.ServerConfig(), unverified) },
 		"a client without certificate": func() (int64, error) {
 			return handshake(t, server.ServerConfig(), &tls.Config{InsecureSkipVerify: true})
 		},
 		"a server of another authority": func() (int64, error) {
-			return handshake(t, stranger.ServerConfig(), client.ClientConfig("127.0.0.1"))
+			return handshake(t, foreign.ServerConfig(), client.ClientConfig("127.0.0.1"))
 		},
 		"a server at another address": func() (int64, error) { return handshake(t, server.ServerConfig(), client.ClientConfig("127.0.0.2")) },
 		"a server without a name":     func() (int64, error) { return handshake(t, server.ServerConfig(), client.ClientConfig("")) },
 	}
-	for name, try := range refused {
-		if _, err := try(); err == nil {
-			t.Errorf("%s is let in", name)
+	for name, connect := range refused {
+		if _, err := connect(); err == nil {
+			t.Errorf("%s is accepted", name)
 		}
 	}
 }
@@ -114,19 +114,19 @@
 	}
 }
 
-// An operator renews a certificate, and slips: a file that is no certificate. New
-// connections go on with the certificate before, and the log says why; once the
-// file is mended they get the new one, without a restart.
+// While a certificate is renewed, its file is replaced by one that is not a certificate. New
+// connections continue to use the previous certificate, and the error is logged. Once the
+// file is valid they use the new certificate, without a restart.
 func TestCertificateIsRenewed(t *testing.T) {
-	for _, way := range []string{"notice", "poll"} {
-		t.Run(way, func(t *testing.T) {
+	for _, mode := range []string{"notice", "poll"} {
+		t.Run(mode, func(t *testing.T) {
 			a := newAuthority(t)
 			directory := t.TempDir()
 			files, first := a.write(directory, "127.0.0.1")
 			core, logged := observer.New(zap.ErrorLevel)
 			results := make(chan error, 100)
 			o := Options{Logger: zap.New(core), OnReload: func(err error) { results <- err }}
-			if way == "poll" {
+			if mode == "poll" {
 				o.PollInterval, o.pollOnly = time.Millisecond, true
 			}
 			source := newSource(t, files, o)
@@ -137,10 +137,10 @@
 			}
 			waitFor(t, results, false)
 			if serial, err := handshake(t, server, client); err != nil || serial != first {
-				t.Errorf("after the slip: serial %d, want %d, %v", serial, first, err)
+				t.Errorf("with the invalid file: serial %d, want %d, %v", serial, first, err)
 			}
 			if logged.Len() == 0 {
-				t.Error("the slip is not logged")
+				t.Error("the invalid file is not logged")
 			}
 			_, second := a.write(directory, "127.0.0.1")
 			waitFor(t, results, true)
@@ -151,8 +151,8 @@
 	}
 }
 
-// The file of authorities holds no certificate, as after a slip. It is refused: with an
-// empty pool in force nobody could connect, and the reason would be found late.
+// A CA file without a certificate is an error. With an empty pool every connection would
+// fail, and the cause would be hard to find.
 func TestAuthoritiesWithoutACertificateAreRefused(t *testing.T) {
 	files, _ := newAuthority(t).write(t.TempDir(), "127.0.0.1")
 	if err := os.WriteFile(files.CA, []byte("no certificate"), 0o600); err != nil {
@@ -161,13 +161,13 @@
 	source, err := NewTLSSource(files, Options{})
 	if err == nil {
 		source.Close()
-		t.Error("a file without a certificate is taken")
+		t.Error("a CA file without a certificate is accepted")
 	}
 }
 
-// An authority is taken out of the file, as after the loss of its key. A client
-// with a certificate of it is refused at its next connection, also when it has
-// kept a session that it could resume without showing the certificate again.
+// An authority is removed from the CA file, for example after the loss of its key. A
+// client with a certificate of this authority is refused at its next connection, even if it
+// has a session that it could resume without presenting the certificate again.
 func TestAuthorityIsTakenOut(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	directory := t.TempDir()
@@ -184,7 +184,7 @@
 	ours.WritePEM(serverFiles.CA, "CERTIFICATE", theirs.Cert.Raw)
 	waitFor(t, results, true)
 	if _, err := handshake(t, server, client); err == nil {
-		t.Error("a client of the authority that was taken out is let in")
+		t.Error("a client of the removed authority is accepted")
 	}
 }
 
@@ -195,12 +195,11 @@
 			return
 		}
 	}
-	t.Fatal("the files were read a hundred times without the result")
+	t.Fatal("100 reloads without the expected result")
 }
 
-// A token is taken out of the file while the system runs. It stops working
-// without a restart.
-func TestTokenIsTakenOut(t *testing.T) {
+// A token that is removed from the file stops working without a restart.
+func TestTokenIsRemoved(t *testing.T) {
 	path := t.TempDir() + "/tokens"
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -217,7 +216,7 @@
 	write("ben read " + DigestOf("b") + "\n")
 	waitFor(t, results, true)
 	if _, _, ok := authenticator.Authenticate("a"); ok {
-		t.Error("the token still works")
+		t.Error("the removed token still works")
 	}
 	if author, _, ok := authenticator.Authenticate("b"); !ok || author != "ben" {
 		t.Error("the other token does not work any more")
--- a/internal/security/tokens_parser.go
+++ b/internal/security/tokens_parser.go
@@ -6,15 +6,17 @@
 	"strings"
 )
 
+// tokensParser collects the entries and findings of a tokens file.
 type tokensParser struct {
-	path     string
-	line     int
-	entries  []tokenEntry
+	path    string
+	line    int
+	entries []tokenEntry
+	// lineOf maps the digest of each entry to its line.
 	lineOf   map[[sha256.Size]byte]int
 	findings []Finding
 }
 
-func (p *tokensParser) add(line int, problem, allowed string) {
+func (p *tokensParser) addFinding(line int, problem, allowed string) {
 	p.findings = append(p.findings, Finding{File: p.path, Line: line, Problem: problem, Allowed: allowed})
 }
 
@@ -24,41 +26,41 @@
 	}
 	fields := strings.Fields(line)
 	if len(fields) != 3 {
-		p.add(p.line, "the line has not three parts", tokenLineShape)
+		p.addFinding(p.line, "the line has not three parts", tokenLineFormat)
 		return
 	}
-	entry, ok := p.entry(fields[0], fields[1], fields[2])
+	entry, ok := p.parseEntry(fields[0], fields[1], fields[2])
 	if ok {
-		p.keep(entry)
+		p.addEntry(entry)
 	}
 }
 
-func (p *tokensParser) entry(author, role, digest string) (tokenEntry, bool) {
+func (p *tokensParser) parseEntry(author, role, digest string) (tokenEntry, bool) {
 	before := len(p.findings)
 	entry := tokenEntry{author: author, role: Role(role)}
 	if !authorPattern.MatchString(author) {
-		p.add(p.line, "the author is not a name", "1 to 63 letters, digits, '.', '_', '@' and '-'")
+		p.addFinding(p.line, "the author is not a name", "1 to 63 letters, digits, '.', '_', '@' and '-'")
 	}
 	if entry.role != RoleRead && entry.role != RoleOperate {
-		p.add(p.line, "the role is not known", "read, operate")
+		p.addFinding(p.line, "the role is not known", "read, operate")
 	}
 	decoded, err := hex.DecodeString(digest)
 	if err != nil || len(decoded) != sha256.Size {
-		p.add(p.line, "the digest is not a SHA-256", "64 hexadecimal digits")
+		p.addFinding(p.line, "the digest is not a SHA-256", "64 hexadecimal digits")
 	}
 	copy(entry.digest[:], decoded)
 	return entry, len(p.findings) == before
 }
 
-// keep refuses a token that two lines give: its author, or role, would depend on
-// the order of the lines.
-func (p *tokensParser) keep(entry tokenEntry) {
+// addEntry refuses a token that occurs on two lines: its author or role would depend on the
+// order of the lines.
+func (p *tokensParser) addEntry(entry tokenEntry) {
 	if earlier := p.lineOf[entry.digest]; earlier > 0 {
-		p.add(p.line, "the token is given twice", "a token of its own on each line")
+		p.addFinding(p.line, "the token is given twice", "a token of its own on each line")
 		return
 	}
 	if len(p.entries) == maxTokens {
-		p.add(p.line, "there are too many tokens", "up to 1000")
+		p.addFinding(p.line, "there are too many tokens", "up to 1000")
 		return
 	}
 	p.lineOf[entry.digest] = p.line
--- a/internal/security/tokens_test.go
+++ b/internal/security/tokens_test.go
@@ -31,10 +31,10 @@
 	}
 }
 
-// An operator's file has several faults, among them a token where its digest
-// belongs. All are reported with their lines, and no finding repeats the token.
+// A file has several errors, among them a token in place of its digest. All are reported with
+// their lines, and no finding contains the token.
 func TestTokensFindings(t *testing.T) {
-	Convey("A file with faults has a finding for each, and no tokens", t, func() {
+	Convey("A file with errors yields a finding for each, and no tokens", t, func() {
 		digest := DigestOf("x")
 		file := "ana operate " + digest + "\nben admin " + digest + "\ncat read secret-token\nonly two\n-x read " + digest + "\n" + "dan read " + digest + "\n"
 		tokens, findings := ParseTokens("t", []byte(file))
@@ -43,14 +43,14 @@
 		So(strings.Split(text, "\n"), ShouldResemble, []string{
 			"t:2: the role is not known, allowed: read, operate",
 			"t:3: the digest is not a SHA-256, allowed: 64 hexadecimal digits",
-			"t:4: the line has not three parts, allowed: " + tokenLineShape,
+			"t:4: the line has not three parts, allowed: " + tokenLineFormat,
 			"t:5: the author is not a name, allowed: 1 to 63 letters, digits, '.', '_', '@' and '-'",
 			"t:6: the token is given twice, allowed: a token of its own on each line",
 		})
 		So(text, ShouldNotContainSubstring, "secret-token")
 	})
 
-	Convey("A file without a token has a finding", t, func() {
+	Convey("A file without a token yields a finding", t, func() {
 		_, findings := ParseTokens("t", []byte("# none\n"))
 		So(findings, ShouldHaveLength, 1)
 	})
@@ -64,22 +64,22 @@
 		}
 	}
 	if CheckKey("one", nil) {
-		t.Error("a key fits no digest")
+		t.Error("a key is accepted without digests")
 	}
 }
 
 func TestRoleAllows(t *testing.T) {
-	Convey("An operator may operate and read", t, func() {
+	Convey("RoleOperate allows operating and reading", t, func() {
 		So(RoleOperate.Allows(RoleOperate), ShouldBeTrue)
 		So(RoleOperate.Allows(RoleRead), ShouldBeTrue)
 	})
 
-	Convey("A reader may read and not operate", t, func() {
+	Convey("RoleRead allows reading but not operating", t, func() {
 		So(RoleRead.Allows(RoleRead), ShouldBeTrue)
 		So(RoleRead.Allows(RoleOperate), ShouldBeFalse)
 	})
 
-	Convey("No role allows nothing", t, func() {
+	Convey("An empty role allows nothing", t, func() {
 		So(Role("").Allows(RoleRead), ShouldBeFalse)
 		So(Role("").Allows(RoleOperate), ShouldBeFalse)
 	})
--- a/internal/security/watcher.go
+++ b/internal/security/watcher.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	// pollInterval bounds how long a change goes unseen when no notice comes.
-	pollInterval = 10 * time.Second
-	// settleTime lets the several files of one change be written.
+	// defaultPollInterval bounds the delay of a change without a notification.
+	defaultPollInterval = 10 * time.Second
+	// settleTime is the delay after the last notification, during which the other files of
+	// the same change can be written.
 	settleTime = 100 * time.Millisecond
 )
 
-// watcher calls a function when files may have changed.
+// watcher calls a function when files have changed.
 type watcher struct {
-	paths    []string
-	poll     time.Duration
-	changed  func()
-	notifier *fsnotify.Watcher
-	stop     chan struct{}
-	done     chan struct{}
+	paths        []string
+	pollInterval time.Duration
+	onChange     func()
+	notifier     *fsnotify.Watcher
+	stop         chan struct{}
+	done         chan struct{}
 }
 
-// watch starts a watcher. It works by polling alone where notices cannot be had.
-func watch(paths []string, o Options, changed func()) *watcher {
-	w := &watcher{paths: paths, poll: o.poll(), changed: changed, stop: make(chan struct{}), done: make(chan struct{})}
+// watch starts a watcher. Where notifications are not available it only polls.
+func watch(paths []string, o Options, onChange func()) *watcher {
+	w := &watcher{paths: paths, pollInterval: o.pollInterval(), onChange: onChange, stop: make(chan struct{}), done: make(chan struct{})}
 	if notifier, err := fsnotify.NewWatcher(); err == nil && !o.pollOnly {
 		w.notifier = notifier
 		w.addDirectories()
@@ -38,8 +39,8 @@
 	return w
 }
 
-// addDirectories watches directories: a notice on a file ends when the file is
-// replaced by a rename, which is how files are changed with care.
+// addDirectories watches the directories of the files. The watch of a file itself ends when
+// the file is replaced by a rename, which is the safe way to change a file.
 func (w *watcher) addDirectories() {
 	for _, path := range w.paths {
 		_ = w.notifier.Add(filepath.Dir(path))
@@ -53,7 +54,7 @@
 
 func (w *watcher) run(stamps []stamp) {
 	defer close(w.done)
-	ticker := time.NewTicker(w.poll)
+	ticker := time.NewTicker(w.pollInterval)
 	defer ticker.Stop()
 	events, settled := w.events(), newStoppedTimer()
 	defer settled.Stop()
@@ -62,30 +63,30 @@
 		case <-w.stop:
 			w.closeNotifier()
 			return
-		case _, open := <-events:
-			if !open {
+		case _, ok := <-events:
+			if !ok {
 				events = nil
 				continue
 			}
 			settled.Reset(settleTime)
 		case <-settled.C:
-			stamps = w.look(stamps)
+			stamps = w.check(stamps)
 		case <-ticker.C:
-			stamps = w.look(stamps)
+			stamps = w.check(stamps)
 		}
 	}
 }
 
-// look tells of a change when the files differ from those stamps, and returns the
-// present ones. A notice alone is not enough, as it may be of any file in the
-// directory: with the log written there, each line would cause the files to be read,
-// and that is logged.
-func (w *watcher) look(before []stamp) []stamp {
-	now := w.stamps()
-	if !slices.Equal(now, before) {
-		w.changed()
+// check calls onChange if the files differ from the previous stamps, and returns the current
+// stamps. A notification alone is not enough, as it may be for any file in the directory: if
+// the log is written there, each line would cause a reload, which writes another line to the
+// log.
+func (w *watcher) check(previous []stamp) []stamp {
+	current := w.stamps()
+	if !slices.Equal(current, previous) {
+		w.onChange()
 	}
-	return now
+	return current
 }
 
 func (w *watcher) events() <-chan fsnotify.Event {
--- a/internal/security/watcher_test.go
+++ b/internal/security/watcher_test.go
@@ -6,29 +6,29 @@
 	"testing"
 )
 
-// The log is written into the directory of the tokens file. Each line is a notice
-// for that directory; were the file read again on each, that would be logged, and
-// the log would fill itself with some ten lines a second for ever. Only a change of
-// the file itself counts.
+// The log is written into the directory of the tokens file, so each line causes a
+// notification for that directory. If each notification caused a reload, and thereby a log
+// line, the log would grow by about ten lines per second without end. Only a change of the
+// file itself may count.
 func TestOtherFilesInTheDirectoryAreNoChange(t *testing.T) {
 	directory := t.TempDir()
 	tokens := filepath.Join(directory, "tokens")
 	write(t, tokens, "one")
 	changes := 0
-	w := &watcher{paths: []string{tokens}, changed: func() { changes++ }}
+	w := &watcher{paths: []string{tokens}, onChange: func() { changes++ }}
 	stamps := w.stamps()
 	write(t, filepath.Join(directory, "log"), "a line")
-	stamps = w.look(stamps)
+	stamps = w.check(stamps)
 	if changes != 0 {
 		t.Fatal("another file counted as a change")
 	}
 	write(t, tokens, "another")
-	stamps = w.look(stamps)
+	stamps = w.check(stamps)
 	if changes != 1 {
-		t.Fatalf("%d changes, want the one of the file", changes)
+		t.Fatalf("%d changes, want 1 for the changed file", changes)
 	}
-	if w.look(stamps); changes != 1 {
-		t.Fatal("a change counted twice")
+	if w.check(stamps); changes != 1 {
+		t.Fatal("one change was counted twice")
 	}
 }
 
