--- a/internal/transport/close_idle_on_error.go
+++ b/internal/transport/close_idle_on_error.go
@@ -2,22 +2,23 @@
 
 import "net/http"
 
-// wary drops all idle connections when a request on one of them got no answer.
+// idleClosingTransport closes all idle connections when a request got no response.
 //
-// Something between two ends may lose track of their connections: these go silent for good,
-// all at once, while new ones work. A request then waits for its time limit on one of them,
-// the next one does on another, and a change of the configuration waits for both. One time
-// limit is enough to know.
-type wary struct{ *http.Transport }
+// A device on the path may drop the state of all connections between two hosts at once: they
+// go silent permanently while new ones work. If the idle ones were kept, one request after
+// the other would run into its timeout on them, and a change of the configuration would be
+// delayed by the sum. This way only the first request times out.
+type idleClosingTransport struct{ *http.Transport }
 
-// CloseIdleOnError returns a transport that trusts no idle connection after a request failed.
-func CloseIdleOnError(t *http.Transport) http.RoundTripper { return wary{t} }
+// CloseIdleOnError returns a transport that closes its idle connections after each request
+// that failed without a response.
+func CloseIdleOnError(t *http.Transport) http.RoundTripper { return idleClosingTransport{t} }
 
 // RoundTrip implements http.RoundTripper.
-func (w wary) RoundTrip(req *http.Request) (*http.Response, error) {
-	resp, err := w.Transport.RoundTrip(req)
+func (t idleClosingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
+	resp, err := t.Transport.RoundTrip(req)
 	if err != nil {
-		w.Transport.CloseIdleConnections()
+		t.Transport.CloseIdleConnections()
 	}
 	return resp, err
 }
--- a/internal/transport/close_idle_on_error_test.go
+++ b/internal/transport/close_idle_on_error_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// All open connections to the store go silent while new ones work. The VM has two of them
-// idle. Its first call ends at its time limit; the second must not be put on the other silent
-// connection, or a configuration that was accepted meanwhile waits for both.
+// All open connections to the store go silent while new ones work. The VM has two idle ones.
+// The first call runs into its timeout. The second must not use the other silent connection,
+// since that would delay a configuration change by a second timeout.
 func TestOneSilentConnectionCostsOneTimeLimit(t *testing.T) {
 	const idle = 2
-	s := newSilencing()
+	s := newSilencingServer()
 	server := httptest.NewServer(s)
 	defer server.Close()
 	defer s.release()
@@ -30,7 +30,7 @@
 		cancel()
 	}
 	if failed != 1 {
-		t.Errorf("%d calls got no answer", failed)
+		t.Errorf("%d calls timed out, want 1", failed)
 	}
 }
 
@@ -46,41 +46,42 @@
 	return resp.Body.Close()
 }
 
-// silencing is a server on which connections can go silent.
-type silencing struct {
+// silencingServer is a handler that can stop responding on the connections that are open.
+type silencingServer struct {
 	mu sync.Mutex // guards the fields below
-	// known are the peers' addresses of the connections that are open.
-	known  map[string]bool
+	// seen holds the remote addresses of all connections, silent those that get no response.
+	seen   map[string]bool
 	silent map[string]bool
-	// arrived counts requests; all wait for the gate while it is closed.
+	// arrived receives a value per request. Requests then wait until gate is closed.
 	arrived chan struct{}
 	gate    chan struct{}
-	ended   chan struct{}
+	// released is closed to end the requests on silent connections.
+	released chan struct{}
 }
 
-func newSilencing() *silencing {
-	return &silencing{known: map[string]bool{}, silent: map[string]bool{}, arrived: make(chan struct{}, 16), gate: make(chan struct{}), ended: make(chan struct{})}
+func newSilencingServer() *silencingServer {
+	return &silencingServer{seen: map[string]bool{}, silent: map[string]bool{}, arrived: make(chan struct{}, 16), gate: make(chan struct{}), released: make(chan struct{})}
 }
 
 // ServeHTTP implements http.Handler.
-func (s *silencing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *silencingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	s.known[r.RemoteAddr] = true
+	s.seen[r.RemoteAddr] = true
 	silent := s.silent[r.RemoteAddr]
 	s.mu.Unlock()
 	if silent {
-		<-s.ended
+		<-s.released
 		return
 	}
 	s.arrived <- struct{}{}
 	<-s.gate
 }
 
-// openIdle leaves so many connections open and idle.
-func (s *silencing) openIdle(t *testing.T, client *http.Client, url string, n int) {
-	var asking sync.WaitGroup
+// openIdle opens n connections and leaves them idle.
+func (s *silencingServer) openIdle(t *testing.T, client *http.Client, url string, n int) {
+	var requests sync.WaitGroup
 	for range n {
-		asking.Go(func() {
+		requests.Go(func() {
 			if err := get(t.Context(), client, url); err != nil {
 				t.Error(err)
 			}
@@ -90,17 +91,17 @@
 		<-s.arrived
 	}
 	close(s.gate)
-	asking.Wait()
+	requests.Wait()
 }
 
-// silence makes all open connections silent.
-func (s *silencing) silence() {
+// silence makes all connections that are open now silent.
+func (s *silencingServer) silence() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for address := range s.known {
+	for address := range s.seen {
 		s.silent[address] = true
 	}
 }
 
-// release ends the requests that were never answered.
-func (s *silencing) release() { close(s.ended) }
+// release ends the requests on silent connections.
+func (s *silencingServer) release() { close(s.released) }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -13,77 +13,81 @@
 
 const (
 	maxHeadBytes = 64 << 10
-	maxInterim   = 4
+	// maxResponses bounds the responses that ReadHead reads for one request: up to 3 interim
+	// (1xx) ones and the final one.
+	maxResponses = 4
 )
 
 var (
-	// ErrTooLarge reports a response beyond its bound.
+	// ErrTooLarge reports a response that exceeds the read limit.
 	ErrTooLarge = errors.New("the response is larger than the bound")
 	errInterim  = errors.New("too many interim responses")
 )
 
-// Conn carries HTTP requests by hand, one at a time, each sent exactly once: with
-// one connection and no pool behind it there is nothing that could resend. It
-// needs no goroutine of its own, so an open stream costs little.
+// Conn sends HTTP requests over one connection, one at a time and each at most once: unlike
+// http.Transport it has no pool that could resend a request. It needs no goroutine of its
+// own, so an open stream is cheap. Only Close may be called concurrently with other methods.
 type Conn struct {
-	raw     net.Conn
-	reader  *bufio.Reader
-	silence time.Duration
-	until   time.Time
-	// left is how many bytes may still be read.
-	left        int64
+	raw    net.Conn
+	reader *bufio.Reader
+	// ioTimeout bounds each single wait, overallDeadline all waits together unless zero.
+	ioTimeout       time.Duration
+	overallDeadline time.Time
+	// remaining is the number of bytes that may still be read from the network.
+	remaining   int64
 	writeBuffer int
 }
 
-func newConn(raw net.Conn, silence time.Duration, s Settings) *Conn {
-	c := &Conn{raw: raw, silence: silence, writeBuffer: s.WriteBuffer}
+func newConn(raw net.Conn, ioTimeout time.Duration, s Settings) *Conn {
+	c := &Conn{raw: raw, ioTimeout: ioTimeout, writeBuffer: s.WriteBuffer}
 	c.reader = bufio.NewReaderSize(boundedReader{c}, s.ReadBuffer)
 	return c
 }
 
-// SetIOTimeout changes the longest wait for bytes.
-func (c *Conn) SetIOTimeout(silence time.Duration) { c.silence = silence }
+// SetIOTimeout sets the maximum duration of a single read from the network or of a Send.
+func (c *Conn) SetIOTimeout(timeout time.Duration) { c.ioTimeout = timeout }
 
-// SetDeadline bounds all waits together; the zero time lifts the bound.
-func (c *Conn) SetDeadline(t time.Time) { c.until = t }
+// SetDeadline sets the deadline of all following reads and writes together. The zero time
+// removes it.
+func (c *Conn) SetDeadline(t time.Time) { c.overallDeadline = t }
 
-// deadline returns when a wait that starts now is too long.
-func (c *Conn) deadline() time.Time {
-	bound := time.Now().Add(c.silence)
-	if !c.until.IsZero() && c.until.Before(bound) {
-		return c.until
+// nextDeadline returns the deadline of a read or write that starts now.
+func (c *Conn) nextDeadline() time.Time {
+	next := time.Now().Add(c.ioTimeout)
+	if !c.overallDeadline.IsZero() && c.overallDeadline.Before(next) {
+		return c.overallDeadline
 	}
-	return bound
+	return next
 }
 
-// SetReadLimit sets how many more bytes may be read from the network.
-func (c *Conn) SetReadLimit(bytes int64) { c.left = bytes }
+// SetReadLimit sets the number of further bytes that may be read from the network.
+func (c *Conn) SetReadLimit(bytes int64) { c.remaining = bytes }
 
-// Buffered returns how many bytes were read from the network and not yet used.
+// Buffered returns the number of bytes that were read from the network but not consumed yet.
 func (c *Conn) Buffered() int { return c.reader.Buffered() }
 
-// Close closes the connection, which ends every wait on it.
+// Close closes the connection, which aborts blocked reads and writes.
 func (c *Conn) Close() { _ = c.raw.Close() }
 
-// Send writes a request and reports whether a byte of it may have left this VM.
+// Send writes a request and reports whether bytes of it may have left this VM.
 func (c *Conn) Send(req *http.Request) (bool, error) {
-	if err := c.raw.SetWriteDeadline(c.deadline()); err != nil {
+	if err := c.raw.SetWriteDeadline(c.nextDeadline()); err != nil {
 		return false, err
 	}
-	counted := &countingWriter{to: c.raw}
+	counted := &countingWriter{out: c.raw}
 	buffered := bufio.NewWriterSize(counted, c.writeBuffer)
 	if err := req.Write(buffered); err != nil {
-		return counted.taken > 0, err
+		return counted.written > 0, err
 	}
 	err := buffered.Flush()
-	return counted.taken > 0, err
+	return counted.written > 0, err
 }
 
-// ReadHead reads a response's head, past interim responses. The body may have
-// bodyLimit bytes on the network.
+// ReadHead reads a response's head and skips interim responses. It sets the read limit so
+// that the body may have bodyLimit bytes on the network.
 func (c *Conn) ReadHead(req *http.Request, bodyLimit int64) (*http.Response, error) {
-	c.left = maxHeadBytes + bodyLimit
-	for range maxInterim {
+	c.remaining = maxHeadBytes + bodyLimit
+	for range maxResponses {
 		resp, err := http.ReadResponse(c.reader, req)
 		if err != nil {
 			return nil, err
@@ -95,8 +99,9 @@
 	return nil, errInterim
 }
 
-// IsTimeout reports whether an error says that nothing arrived within the bound:
-// our own bound, or the kernel's TCP_USER_TIMEOUT or keepalive.
+// IsTimeout reports whether an error means that the connection was silent for too long: a
+// deadline of this package passed, or the kernel's TCP_USER_TIMEOUT or keepalive ended the
+// connection.
 func IsTimeout(err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, syscall.ETIMEDOUT)
 }
--- a/internal/transport/counting_writer.go
+++ b/internal/transport/counting_writer.go
@@ -2,15 +2,15 @@
 
 import "io"
 
-// countingWriter counts the bytes that the connection has taken.
+// countingWriter counts the bytes that the underlying writer accepted.
 type countingWriter struct {
-	to    io.Writer
-	taken int
+	out     io.Writer
+	written int
 }
 
 // Write implements io.Writer.
 func (w *countingWriter) Write(p []byte) (int, error) {
-	n, err := w.to.Write(p)
-	w.taken += n
+	n, err := w.out.Write(p)
+	w.written += n
 	return n, err
 }
--- a/internal/transport/dialer.go
+++ b/internal/transport/dialer.go
@@ -11,12 +11,14 @@
 	"golang.org/x/sys/unix"
 )
 
+// keepAliveProbes is the number of unanswered keepalive probes that end a connection.
 const keepAliveProbes = 2
 
-// DialFunc makes a connection; tests replace it to run without a network.
+// DialFunc opens a connection. Tests replace it to run without a network.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewDialer returns a function that connects to IP:port within the bounds of s.
+// NewDialer returns a function that connects to addresses of the form IP:port with the
+// timeouts and socket options of s. It resolves no host names.
 func NewDialer(s Settings) DialFunc {
 	s = s.WithDefaults()
 	dialer := &net.Dialer{
@@ -37,14 +39,15 @@
 	}
 }
 
-// userTimeout sets TCP_USER_TIMEOUT. Without it the kernel resends unacknowledged
-// bytes for some 15 minutes before it tells anyone that a connection is gone.
-func userTimeout(bound time.Duration) func(context.Context, string, string, syscall.RawConn) error {
+// userTimeout returns a control function that sets TCP_USER_TIMEOUT. Without it the kernel
+// retransmits unacknowledged bytes for about 15 minutes before it reports that a connection
+// is dead.
+func userTimeout(timeout time.Duration) func(context.Context, string, string, syscall.RawConn) error {
 	return func(_ context.Context, _, _ string, raw syscall.RawConn) error {
-		var failed error
+		var sockErr error
 		err := raw.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(bound.Milliseconds()))
+			sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 		})
-		return errors.CombineErrors(err, failed)
+		return errors.CombineErrors(err, sockErr)
 	}
 }
--- a/internal/transport/dialer_test.go
+++ b/internal/transport/dialer_test.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// A resolver that hangs or answers with something else must not stand between a
-// request and its target.
-func TestOnlyIPNumbersAreDialled(t *testing.T) {
+// Addresses with host names are refused, so that a request never depends on a resolver, which
+// may hang or return another address.
+func TestOnlyIPAddressesAreDialled(t *testing.T) {
 	dial := NewDialer(Settings{})
 	for _, address := range []string{"localhost:80", "engine.example:80", "127.0.0.1", ":80", "127.0.0.1:http"} {
 		conn, err := dial(context.Background(), "tcp", address)
@@ -24,9 +24,9 @@
 	}
 }
 
-// Without these options the kernel takes minutes to tell that a connection has
-// lost its peer.
-func TestConnectionsCarryTheirBounds(t *testing.T) {
+// Without these socket options the kernel takes minutes to detect that a connection has lost
+// its peer.
+func TestSocketOptionsAreSet(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -53,19 +53,18 @@
 		{"TCP_KEEPCNT", unix.IPPROTO_TCP, unix.TCP_KEEPCNT, keepAliveProbes},
 	} {
 		var got int
-		var failed error
-		err := raw.Control(func(fd uintptr) { got, failed = unix.GetsockoptInt(int(fd), option.level, option.option) })
-		if err != nil || failed != nil || got != option.expects {
-			t.Errorf("%s is %d, %v, %v; expected %d", option.name, got, err, failed, option.expects)
+		var sockErr error
+		err := raw.Control(func(fd uintptr) { got, sockErr = unix.GetsockoptInt(int(fd), option.level, option.option) })
+		if err != nil || sockErr != nil || got != option.expects {
+			t.Errorf("%s is %d, %v, %v; expected %d", option.name, got, err, sockErr, option.expects)
 		}
 	}
 }
 
-// The caller's request does not hang on a peer that takes no more bytes. The peer
-// accepts and never reads, so its window closes and what is sent stays in this
-// VM's kernel; after the bound the kernel ends the connection with ETIMEDOUT,
-// which counts as silence.
-func TestTheKernelGivesUpAPeerThatTakesNothing(t *testing.T) {
+// A write must not hang on a peer that receives no more bytes. The peer accepts the connection
+// and never reads, so its window closes and the bytes stay in this VM's kernel. After
+// UserTimeout the kernel ends the connection with ETIMEDOUT, which IsTimeout recognizes.
+func TestUserTimeoutEndsBlockedWrites(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -10,33 +10,33 @@
 	"testing"
 )
 
-// Suspecting one peer must not cost the others their kept connections, so each
-// has a transport of its own, and no call waits for another one's connection.
-func TestPeersHaveTheirOwnConnections(t *testing.T) {
+// Each peer has its own transport, so that closing the idle connections to one peer does not
+// affect those to others.
+func TestPeersHaveTheirOwnTransports(t *testing.T) {
 	pool := NewPool(Settings{}, nil)
 	defer pool.Close()
 	first := pool.Transport("192.0.2.1:80")
 	if pool.Transport("192.0.2.1:80") != first {
-		t.Error("connections are not kept")
+		t.Error("a peer's transport is not reused")
 	}
 	if pool.Transport("192.0.2.2:80") == first {
 		t.Error("peers share a transport")
 	}
 }
 
-// A control call finds its connection silent. The other idle ones to that peer went
-// the same way, so the next call opens a new one in place of waiting out its bound on
-// the next silent one; a call that is under way, and other peers' connections, stay.
-func TestSuspectDropsIdleConnections(t *testing.T) {
+// After a control call found its connection silent, the next call to that peer must open a new
+// connection rather than run into its timeout on another idle one. Connections to other peers
+// stay open.
+func TestCloseIdleAffectsOnePeer(t *testing.T) {
 	dials := map[string]int{}
 	pool := NewPool(Settings{}, func(_ context.Context, _, address string) (net.Conn, error) {
 		dials[address]++
-		near, far := net.Pipe()
-		go answerAll(far)
-		return near, nil
+		client, server := net.Pipe()
+		go serveOK(server)
+		return client, nil
 	})
 	defer pool.Close()
-	const suspect, other = "192.0.2.1:80", "192.0.2.2:80"
+	const silent, other = "192.0.2.1:80", "192.0.2.2:80"
 	get := func(address string) {
 		t.Helper()
 		client := http.Client{Transport: pool.Transport(address)}
@@ -48,22 +48,22 @@
 		response.Body.Close()
 	}
 	for range 2 {
-		get(suspect)
+		get(silent)
 		get(other)
 	}
-	if dials[suspect] != 1 || dials[other] != 1 {
+	if dials[silent] != 1 || dials[other] != 1 {
 		t.Fatalf("dialled %v, want one kept connection each", dials)
 	}
-	pool.CloseIdle(suspect)
-	get(suspect)
+	pool.CloseIdle(silent)
+	get(silent)
 	get(other)
-	if dials[suspect] != 2 || dials[other] != 1 {
-		t.Errorf("dialled %v, want a new connection to the suspected peer alone", dials)
+	if dials[silent] != 2 || dials[other] != 1 {
+		t.Errorf("dialled %v, want a new connection to the silent peer only", dials)
 	}
 }
 
-// answerAll answers every request on the connection until it is closed.
-func answerAll(conn net.Conn) {
+// serveOK responds to every request on the connection until it is closed.
+func serveOK(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
--- a/internal/transport/settings.go
+++ b/internal/transport/settings.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// Settings bound connections. A zero field takes its default.
+// Settings configures the connections of a Pool. A zero field takes its default.
 type Settings struct {
 	// ConnectTimeout bounds the TCP handshake.
 	ConnectTimeout time.Duration
-	// UserTimeout is how long sent bytes may stay unacknowledged before the kernel
-	// breaks the connection.
+	// UserTimeout is the time that sent bytes may stay unacknowledged before the kernel ends
+	// the connection (TCP_USER_TIMEOUT).
 	UserTimeout time.Duration
-	// KeepAlive is the quiet time before a probe, and the time between probes.
+	// KeepAlive is the idle time before the first keepalive probe and the interval between
+	// probes.
 	KeepAlive time.Duration
-	// IdleLifetime is how long an unused connection is kept.
+	// IdleLifetime is the time for which an idle connection is kept.
 	IdleLifetime time.Duration
-	// MaxIdlePerPeer bounds the unused connections to one peer.
+	// MaxIdlePerPeer bounds the number of idle connections to one peer.
 	MaxIdlePerPeer int
-	// MaxPeers bounds the peers that are remembered.
+	// MaxPeers bounds the number of peers whose transports are kept.
 	MaxPeers int
-	// ReadBuffer and WriteBuffer are a connection's buffers in bytes.
+	// ReadBuffer and WriteBuffer are the sizes of a connection's buffers in bytes.
 	ReadBuffer  int
 	WriteBuffer int
 }
 
-// The defaults of Settings.
+// Defaults of Settings.
 const (
 	DefaultConnectTimeout = 500 * time.Millisecond
 	DefaultUserTimeout    = 2 * time.Second
@@ -37,7 +38,7 @@
 	DefaultWriteBuffer    = 1 << 10
 )
 
-// WithDefaults returns s with its zero fields filled in.
+// WithDefaults returns s with its zero fields set to their defaults.
 func (s Settings) WithDefaults() Settings {
 	s.ConnectTimeout = cmp.Or(s.ConnectTimeout, DefaultConnectTimeout)
 	s.UserTimeout = cmp.Or(s.UserTimeout, DefaultUserTimeout)
