--- a/internal/watch/bench_test.go
+++ b/internal/watch/bench_test.go
@@ -17,8 +17,8 @@
 	"geraniumcroft/internal/transport"
 )
 
-// countedConn counts the bytes that a connection carries both ways, without the
-// headers of TCP and IP.
+// countedConn counts the bytes that a connection transfers in both directions, without TCP
+// and IP headers.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Uint64
@@ -36,38 +36,40 @@
 	return n, err
 }
 
-// discard is a Sink that keeps nothing.
-type discard struct{}
+// discardSink is a Sink that keeps nothing.
+type discardSink struct{}
 
-func (discard) Report(string, engine.LoadReport)       {}
-func (discard) CacheCursor(string) (uint64, bool)      { return 0, false }
-func (discard) CacheEvents(string, engine.CacheEvents) {}
-func (discard) CacheView(string, engine.CacheEvents)   {}
+func (discardSink) Report(string, engine.LoadReport)       {}
+func (discardSink) CacheCursor(string) (uint64, bool)      { return 0, false }
+func (discardSink) CacheEvents(string, engine.CacheEvents) {}
+func (discardSink) CacheView(string, engine.CacheEvents)   {}
 
+// processorTime returns the user and system CPU time of the process.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// newEngines returns a snapshot of engines, each with a listener of its own.
+// newEngines starts simulated engines, each with its own listener, and returns a
+// configuration with them as targets.
 func newEngines(b *testing.B, count int) *config.Snapshot {
 	b.Helper()
 	model := &config.Model{Name: "grid", Layers: 24, Versions: []string{"1"}}
 	s := config.NewSnapshot()
 	for i := range count {
 		name := fmt.Sprintf("engine-%03d", i)
-		stand := enginesim.New(enginesim.Options{Name: name, Model: model, Version: "1", Layers: config.LayerRange{To: 24}})
-		server := httptest.NewServer(stand)
+		sim := enginesim.New(enginesim.Options{Name: name, Model: model, Version: "1", Layers: config.LayerRange{To: 24}})
+		server := httptest.NewServer(sim)
 		b.Cleanup(server.Close)
 		s.Targets[name] = &config.Target{Name: name, Kind: config.KindEngine, Address: server.Listener.Addr().String()}
 	}
 	return s
 }
 
-// BenchmarkReading gives what one reading of an engine, its load and its cache
-// events, costs in bytes both ways and in processor time with the engine's end in
-// it. A round of this VM costs as many of them as it watches targets.
+// BenchmarkReading measures the cost of reading an engine's load and cache events once: bytes
+// in both directions, and processor time including that of the simulated engine. A round
+// costs this for each watched target.
 func BenchmarkReading(b *testing.B) {
 	const engines = 60
 	source := config.NewStaticSource(newEngines(b, engines))
@@ -83,9 +85,9 @@
 	})
 	b.Cleanup(pool.Close)
 	w := New(Options{
-		ConfigSource: source, Engines: httpengine.New(pool, httpengine.Settings{}), Sink: discard{}, Interval: 100 * time.Millisecond,
+		ConfigSource: source, Engines: httpengine.New(pool, httpengine.Settings{}), Sink: discardSink{}, Interval: 100 * time.Millisecond,
 	})
-	w.round(context.Background()) // connects
+	w.round(context.Background()) // opens the connections
 	w.readings.Wait()
 	bytes.Store(0)
 	before := processorTime()
--- a/internal/watch/options.go
+++ b/internal/watch/options.go
@@ -12,8 +12,9 @@
 	Engines      Engines
 	Services     Services
 	Sink         Sink
-	// IsWatched tells whether this VM sends to the target at all; nil watches all.
+	// IsWatched reports whether this VM sends requests to the target, and so watches it. If
+	// nil, all targets are watched.
 	IsWatched func(target string) bool
-	// Interval is the time between two readings of one target.
+	// Interval is the time between two readings of a target.
 	Interval time.Duration
 }
--- a/internal/watch/watcher.go
+++ b/internal/watch/watcher.go
@@ -1,11 +1,10 @@
-// Package watch reads targets' load reports and cache events at an interval.
+// Package watch reads targets' load reports and cache events periodically.
 //
-// A report lags and may not come at all. Each reading is bounded, each target has at
-// most one under way, and no reading waits for another target's, so a target that
-// went silent costs its own report only; its old one ages in package balance until
-// it counts nothing. The same holds for a whole data centre that goes silent at
-// once. Readings are spread over the interval, or all targets would be asked in one
-// burst.
+// Reports are delayed and may be missing. Each reading has a timeout, each target has at most
+// one reading in progress, and no reading waits for that of another target. A silent target
+// therefore delays no report but its own; in package balance its last report loses weight
+// with age until it is ignored. The same is true when a whole data centre goes silent at
+// once. Readings are spread over the interval to avoid a burst of requests to all targets.
 package watch
 
 import (
@@ -17,24 +16,24 @@
 	"geraniumcroft/internal/sleep"
 )
 
-// Watcher reads all targets of the configuration in force.
+// Watcher reads the targets of the current configuration.
 type Watcher struct {
 	options  Options
 	readings sync.WaitGroup
 
-	mu      sync.Mutex // guards reading
-	reading map[string]bool
+	mu         sync.Mutex // guards inProgress
+	inProgress map[string]bool
 }
 
-// New returns a watcher; Run makes it read.
+// New returns a watcher. It reads nothing before Run.
 func New(o Options) *Watcher {
 	if o.IsWatched == nil {
 		o.IsWatched = func(string) bool { return true }
 	}
-	return &Watcher{options: o, reading: map[string]bool{}}
+	return &Watcher{options: o, inProgress: map[string]bool{}}
 }
 
-// Run reads until ctx ends.
+// Run reads the targets until ctx ends, and returns once all readings have ended.
 func (w *Watcher) Run(ctx context.Context) {
 	defer w.readings.Wait()
 	for ctx.Err() == nil {
@@ -47,15 +46,15 @@
 	}
 }
 
-// round starts a reading of each target. It does not wait for them: the targets of a
-// lost data centre are silent all at once, each up to its bound, and the reports of
-// all others would come as late as theirs do not.
+// round starts a reading of each target, spread over half the interval. It does not wait for
+// them to end: when a data centre is lost, all its targets are silent until their timeouts,
+// and waiting would delay the reports of all other targets by as much.
 func (w *Watcher) round(ctx context.Context) {
 	targets := w.watched()
 	if len(targets) == 0 {
 		return
 	}
-	pace := w.options.Interval / time.Duration(2*len(targets))
+	spacing := w.options.Interval / time.Duration(2*len(targets))
 	for _, target := range targets {
 		if w.begin(target.Name) {
 			w.readings.Go(func() {
@@ -63,28 +62,28 @@
 				w.read(ctx, target)
 			})
 		}
-		if !sleep.For(ctx, pace) {
+		if !sleep.For(ctx, spacing) {
 			return
 		}
 	}
 }
 
-// begin reports whether the target is to be read: one that is still being read has
-// not answered.
+// begin marks a reading of the target as in progress. It returns false if the previous
+// reading has not ended.
 func (w *Watcher) begin(target string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.reading[target] {
+	if w.inProgress[target] {
 		return false
 	}
-	w.reading[target] = true
+	w.inProgress[target] = true
 	return true
 }
 
 func (w *Watcher) end(target string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.reading, target)
+	delete(w.inProgress, target)
 }
 
 func (w *Watcher) watched() []*config.Target {
--- a/internal/watch/watcher_test.go
+++ b/internal/watch/watcher_test.go
@@ -19,31 +19,31 @@
 	rounds   = 20
 )
 
-// fakeTargets are engines and services, known by address. One whose address starts
-// with "silent" never answers.
+// fakeTargets implements Engines and Services. A target whose address starts with "silent"
+// never responds.
 type fakeTargets struct {
 	mu sync.Mutex // guards the fields below
-	// asked counts the calls by address, underWay those without an answer.
-	asked, underWay map[string]int
+	// calls counts the calls of Load by address, inFlight those that have not returned.
+	calls, inFlight map[string]int
 	starts          map[time.Time]int
 	overlaps        int
 }
 
 func newFakeTargets() *fakeTargets {
-	return &fakeTargets{asked: map[string]int{}, underWay: map[string]int{}, starts: map[time.Time]int{}}
+	return &fakeTargets{calls: map[string]int{}, inFlight: map[string]int{}, starts: map[time.Time]int{}}
 }
 
 func (f *fakeTargets) Load(ctx context.Context, address string) (engine.LoadReport, error) {
 	f.mu.Lock()
-	f.asked[address]++
+	f.calls[address]++
 	f.starts[time.Now()]++
-	if f.underWay[address]++; f.underWay[address] > 1 {
+	if f.inFlight[address]++; f.inFlight[address] > 1 {
 		f.overlaps++
 	}
 	f.mu.Unlock()
 	defer func() {
 		f.mu.Lock()
-		f.underWay[address]--
+		f.inFlight[address]--
 		f.mu.Unlock()
 	}()
 	if strings.HasPrefix(address, "silent") {
@@ -57,7 +57,7 @@
 	return engine.CacheEvents{Events: []engine.CacheEvent{{Seq: after + 1}}}, ctx.Err()
 }
 
-// recordingSink keeps what was read.
+// recordingSink records what was read.
 type recordingSink struct {
 	mu      sync.Mutex // guards the fields below
 	reports map[string]int
@@ -70,7 +70,7 @@
 	s.reports[target]++
 }
 
-// CacheCursor has the view of the target "lost" read again.
+// CacheCursor requests the whole view of the target "lost".
 func (s *recordingSink) CacheCursor(target string) (uint64, bool) {
 	if target == "lost" {
 		return 0, true
@@ -79,20 +79,20 @@
 }
 
 func (s *recordingSink) CacheEvents(target string, e engine.CacheEvents) {
-	s.note("events of %s from %d", target, e.Events[0].Seq)
+	s.record("events of %s from %d", target, e.Events[0].Seq)
 }
 
 func (s *recordingSink) CacheView(target string, e engine.CacheEvents) {
-	s.note("view of %s from %d", target, e.Events[0].Seq)
+	s.record("view of %s from %d", target, e.Events[0].Seq)
 }
 
-func (s *recordingSink) note(format string, args ...any) {
+func (s *recordingSink) record(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cache = append(s.cache, fmt.Sprintf(format, args...))
 }
 
-// watchFor reads the targets for that many rounds of virtual time.
+// watchFor runs a watcher of the targets for count rounds of virtual time.
 func watchFor(count int, watched func(string) bool, targets ...*config.Target) (*fakeTargets, *recordingSink) {
 	snapshot := config.NewSnapshot()
 	for _, target := range targets {
@@ -113,10 +113,10 @@
 	return &config.Target{Name: name, Address: address, Kind: config.KindEngine}
 }
 
-// A data centre is lost: a third of the engines go silent, all at once. The reports
-// of the others must not come late for it, for the balancer would trust them less
-// and choose badly just when it has the least to choose from. The silent ones are
-// each given up within a bound and asked again, never twice at once.
+// A data centre is lost: a third of the engines go silent at once. The reports of the other
+// engines must not be delayed, since the balancer gives less weight to older reports and would
+// make poor choices just when it has the fewest targets. Readings of the silent ones time out
+// and are repeated, but never overlap for one target.
 func TestSilentTargetsCostTheirOwnReportsOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var targets []*config.Target
@@ -133,18 +133,18 @@
 			}
 		}
 		for i := range 200 {
-			if got := fake.asked[fmt.Sprint("silent", i)]; got < rounds/4 {
-				t.Fatalf("a silent target was asked %d times in %d rounds", got, rounds)
+			if got := fake.calls[fmt.Sprint("silent", i)]; got < rounds/4 {
+				t.Fatalf("a silent target was read %d times in %d rounds", got, rounds)
 			}
 		}
 		if fake.overlaps > 0 {
-			t.Errorf("%d readings of a target began while one was under way", fake.overlaps)
+			t.Errorf("%d readings of a target overlapped another one", fake.overlaps)
 		}
 	})
 }
 
-// All targets asked in one burst would have the VM's one control path, and the
-// network, busy at one moment and idle for the rest of the interval.
+// If all targets were read in one burst, the VM's control path and the network would be busy
+// for a moment and idle for the rest of the interval.
 func TestReadingsAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var targets []*config.Target
@@ -154,7 +154,7 @@
 		fake, _ := watchFor(1, nil, targets...)
 		for at, starts := range fake.starts {
 			if starts > 1 {
-				t.Fatalf("%d readings began at one moment, %s", starts, at)
+				t.Fatalf("%d readings started at the same time, %s", starts, at)
 			}
 		}
 		if len(fake.starts) != len(targets) {
@@ -163,20 +163,20 @@
 	})
 }
 
-// An engine whose view is not trusted any more is read whole, others from the last
-// event on; a service has no cache, and a target of other VMs is not asked at all.
+// The whole cache view is read of an engine whose known view is no longer valid, and only new
+// events of other engines. A service has no cache, and targets of other VMs are not read.
 func TestWhatIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		mine := func(name string) bool { return name != "theirs" }
-		fake, sink := watchFor(1, mine,
+		isWatched := func(name string) bool { return name != "theirs" }
+		fake, sink := watchFor(1, isWatched,
 			engineAt("kept", "kept"), engineAt("lost", "lost"), engineAt("theirs", "theirs"),
 			&config.Target{Name: "permits", Address: "permits", Kind: config.KindService})
 		slices.Sort(sink.cache)
 		if want := []string{"events of kept from 8", "view of lost from 1"}; !slices.Equal(sink.cache, want) {
 			t.Errorf("read %q, want %q", sink.cache, want)
 		}
-		if sink.reports["permits"] != 1 || sink.reports["kept"] != 1 || fake.asked["theirs"] != 0 {
-			t.Errorf("reports %v, asked %v", sink.reports, fake.asked)
+		if sink.reports["permits"] != 1 || sink.reports["kept"] != 1 || fake.calls["theirs"] != 0 {
+			t.Errorf("reports %v, calls %v", sink.reports, fake.calls)
 		}
 	})
 }
