--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits for a time that a context can cut short.
+// Package sleep provides a sleep that ends early when a context does.
 package sleep
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits that long and reports whether the context still holds. It returns at
-// once when the time is not above 0.
+// For waits for the duration or until ctx ends, and reports whether the wait was completed. If
+// the duration is not positive, it returns immediately and reports whether ctx has not ended.
 func For(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
