--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// A command that reads its settings again must not end by SIGHUP; one that does not must, as
-// when its terminal closes.
-func TestWhoCatchesHangups(t *testing.T) {
+// A command that reloads its settings must not be terminated by SIGHUP; any other command must
+// be, as is usual when its terminal closes.
+func TestOnlyReloadingCommandsCatchSIGHUP(t *testing.T) {
 	for _, c := range []struct {
 		args []string
 		want bool
@@ -18,8 +18,8 @@
 		{[]string{"geraniumcroft"}, false},
 		{nil, false},
 	} {
-		if got := wanted(c.args); got != c.want {
-			t.Errorf("%v: %t", c.args, got)
+		if got := reloads(c.args); got != c.want {
+			t.Errorf("%v: reloads is %t", c.args, got)
 		}
 	}
 }
