--- a/internal/listener/counted_conn.go
+++ b/internal/listener/counted_conn.go
@@ -5,18 +5,19 @@
 	"sync"
 )
 
-// countedConn embeds the TCP connection, not net.Conn, since net/http looks for
-// CloseWrite: without it a caller that is refused while it still sends its body
-// would see a reset in place of the answer.
+// countedConn is an open connection of a Listener. It embeds *net.TCPConn rather than net.Conn
+// since net/http uses CloseWrite if available. Without it, a caller that is refused while it
+// still sends its body would get a reset in place of the response.
 type countedConn struct {
 	*net.TCPConn
 	listener *Listener
-	above    bool
-	once     sync.Once
+	// aboveLimit is set if the connection exceeded the limit when it was accepted.
+	aboveLimit bool
+	closeOnce  sync.Once
 }
 
 // Close implements net.Conn.
 func (c *countedConn) Close() error {
-	c.once.Do(func() { c.listener.open.Add(-1) })
+	c.closeOnce.Do(func() { c.listener.open.Add(-1) })
 	return c.TCPConn.Close()
 }
--- a/internal/listener/doc.go
+++ b/internal/listener/doc.go
@@ -1,2 +1,2 @@
-// Package listener bounds the connections that callers have open.
+// Package listener limits the number of connections that callers have open.
 package listener
--- a/internal/listener/limit_listener.go
+++ b/internal/listener/limit_listener.go
@@ -15,24 +15,25 @@
 	keepAliveIdle     = 15 * time.Second
 	keepAliveInterval = 5 * time.Second
 	keepAliveCount    = 3
-	// userTimeout bounds how long bytes that were sent may stay unacknowledged.
+	// userTimeout bounds the time that sent bytes may stay unacknowledged. It is the time
+	// in which keepalive detects a dead peer.
 	userTimeout = keepAliveIdle + keepAliveCount*keepAliveInterval
-	// closeFactor times the limit on connections is the count at which new ones are
-	// closed without an answer.
+	// closeFactor times the limit is the number of connections above which new ones are
+	// closed without a response.
 	closeFactor = 2
 )
 
-// Listener counts connections. Those above the limit are accepted and their
-// requests refused: to leave them waiting to be accepted would put urgent callers,
-// and the balancer's probes, in a line behind idle ones.
+// Listener counts open connections. Connections above the limit are accepted, but their
+// requests are to be refused, see AboveLimit. If they were left in the accept queue, urgent
+// callers and the balancer's probes would wait behind idle connections.
 type Listener struct {
 	*net.TCPListener
 	limit int64
 	open  atomic.Int64
 }
 
-// Listen listens at IP:port for callers, of whose connections so many may be open. Connections to
-// callers that have silently gone are ended.
+// Listen listens at IP:port for callers, with a limit on open connections. Keepalive and
+// TCP_USER_TIMEOUT end connections to callers that disappeared without closing them.
 func Listen(address string, limit int) (*Listener, error) {
 	config := net.ListenConfig{
 		Control: setUserTimeout,
@@ -47,26 +48,27 @@
 	return New(listener.(*net.TCPListener), limit), nil
 }
 
-// New counts the connections of a listener, of which so many may be open.
+// New wraps a listener with a limit on open connections.
 func New(listener *net.TCPListener, limit int) *Listener {
 	return &Listener{TCPListener: listener, limit: int64(limit)}
 }
 
-// setUserTimeout ends connections to callers that have silently gone while bytes
-// are on the way to them, where keep-alive probes are not sent. Accepted
-// connections inherit it.
+// setUserTimeout sets TCP_USER_TIMEOUT, which accepted connections inherit. It ends
+// connections to callers that disappeared while sent bytes are unacknowledged; in this state
+// no keepalive probes are sent.
 func setUserTimeout(_, _ string, conn syscall.RawConn) error {
-	var failed error
+	var sockErr error
 	err := conn.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. It closes connections beyond closeFactor times the limit
+// and waits for the next one.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.AcceptTCP()
@@ -75,7 +77,7 @@
 		}
 		open := l.open.Add(1)
 		if open <= closeFactor*l.limit {
-			return &countedConn{TCPConn: conn, listener: l, above: open > l.limit}, nil
+			return &countedConn{TCPConn: conn, listener: l, aboveLimit: open > l.limit}, nil
 		}
 		l.open.Add(-1)
 		_ = conn.Close()
@@ -84,16 +86,17 @@
 
 type aboveLimitKey struct{}
 
-// ConnContext marks the requests of connections above the limit; it is http.Server's field.
+// ConnContext marks the requests of connections above the limit, for AboveLimit. Use it as
+// ConnContext of the http.Server.
 func ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	if secure, ok := conn.(*tls.Conn); ok {
 		conn = secure.NetConn()
 	}
-	if counted, ok := conn.(*countedConn); ok && counted.above {
+	if counted, ok := conn.(*countedConn); ok && counted.aboveLimit {
 		return context.WithValue(ctx, aboveLimitKey{}, true)
 	}
 	return ctx
 }
 
-// AboveLimit reports whether a request came on a connection above the limit.
+// AboveLimit reports whether a request arrived on a connection above the limit.
 func AboveLimit(ctx context.Context) bool { return ctx.Value(aboveLimitKey{}) != nil }
