--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,12 +1,13 @@
-// Package version names this build.
+// Package version identifies this build.
 package version
 
 import "runtime/debug"
 
-// Release is the release that this source is part of.
+// Release is the release of this source.
 const Release = "0.1.0"
 
-// String returns the release and, where the build knows it, the revision.
+// String returns the release and, if the build information contains it, the first 12
+// characters of the revision.
 func String() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
