--- a/internal/platform/resilient/ambiguous_test.go
+++ b/internal/platform/resilient/ambiguous_test.go
@@ -13,8 +13,8 @@
 	"geraniumcroft/internal/platform/resilient"
 )
 
-// Guards against an operator being told that a change was not written although it takes
-// effect later. The transaction is delayed, and the table fails before the outcome can be
+// Guards against reporting a change to an operator as not written although it takes effect
+// later. The transaction is delayed, and the table fails before the outcome can be
 // read back. The error matched both ErrAmbiguous and, by its cause, ErrUnavailable;
 // writers that checked the second first treated the transaction as never sent.
 func TestAmbiguousCommitIsNotUnavailable(t *testing.T) {
--- a/internal/platform/resilient/circuit.go
+++ b/internal/platform/resilient/circuit.go
@@ -48,7 +48,7 @@
 		ReadyToTrip: func(counts gobreaker.Counts) bool {
 			return counts.ConsecutiveFailures >= uint32(s.FailuresToOpen)
 		},
-		IsSuccessful:  serviceAnswered,
+		IsSuccessful:  serviceResponded,
 		IsExcluded:    notServiceFailure,
 		OnStateChange: c.stateChanged,
 	})
@@ -76,7 +76,7 @@
 }
 
 // runAttempt runs the request within the attempt timeout. It marks the error of a caller
-// whose own deadline left the service less than minAttemptTime.
+// whose own deadline or cancellation left the service less than minAttemptTime.
 func (c *circuit) runAttempt(ctx context.Context, request func(context.Context) error) error {
 	start := time.Now()
 	attempt, cancel := context.WithTimeout(ctx, c.attemptTimeout)
@@ -133,8 +133,8 @@
 	c.probers.Wait()
 }
 
-// serviceAnswered reports whether the service responded, even if with a refusal.
-func serviceAnswered(err error) bool {
+// serviceResponded reports whether the service responded, even if with a refusal.
+func serviceResponded(err error) bool {
 	return err == nil || errors.Is(err, platform.ErrRefused) || errors.Is(err, platform.ErrNotFound)
 }
 
