--- a/internal/platform/httpplatform/attempt.go
+++ b/internal/platform/httpplatform/attempt.go
@@ -67,7 +67,7 @@
 		return response{}, err
 	}
 	if int64(len(read)) > c.settings.MaxResponseBytes {
-		return response{}, fmt.Errorf("resp exceeds %d bytes", c.settings.MaxResponseBytes)
+		return response{}, fmt.Errorf("answer exceeds %d bytes", c.settings.MaxResponseBytes)
 	}
 	return response{status: resp.StatusCode, body: read}, nil
 }
