--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -32,7 +32,7 @@
 	if expires.Before(deadline) {
 		deadline = expires
 	}
-	return context.WithDeadline(platform.WithLane(ctx, platform.LaneUrgent), deadline)
+	return context.WithDeadline(platform.WithRateClass(ctx, platform.RateClassUrgent), deadline)
 }
 
 // decide writes the claim row. If a claim of the key exists, it decides by that.
--- a/internal/claim/finish.go
+++ b/internal/claim/finish.go
@@ -48,7 +48,7 @@
 	}
 	// The end row is written even if the caller has disconnected and its context has
 	// ended, since a copy of its request may still arrive.
-	ctx = platform.WithLane(context.WithoutCancel(ctx), platform.LaneUrgent)
+	ctx = platform.WithRateClass(context.WithoutCancel(ctx), platform.RateClassUrgent)
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
 	row := newRow{key: claim.key.endRow(), value: value}
--- a/internal/claim/single_writer.go
+++ b/internal/claim/single_writer.go
@@ -22,7 +22,7 @@
 // written only once, so a row that another transaction wrote proves that this one was
 // refused.
 func createTxn(rows []newRow) platform.Txn {
-	txn := platform.Txn{ID: uuid.NewString(), Witness: platform.WrittenOnce}
+	txn := platform.Txn{ID: uuid.NewString(), Resolver: platform.ResolveWriteOnce}
 	for _, row := range rows {
 		txn.Conditions = append(txn.Conditions, platform.Condition{Key: row.key})
 		txn.Writes = append(txn.Writes, platform.Write{Key: row.key, Value: row.value})
--- a/internal/confstore/compact.go
+++ b/internal/confstore/compact.go
@@ -148,11 +148,11 @@
 // drop deletes the rows, which must not be empty, in one transaction.
 func (s *Store) drop(ctx context.Context, rows []platform.Row) error {
 	// Rows of changes are never written again, so a drop that is applied late has no
-	// effect. The condition and the witness let the client resolve a lost response.
+	// effect. The condition and the resolver let the client resolve a lost response.
 	txn := platform.Txn{
 		ID:         uuid.NewString(),
 		Conditions: []platform.Condition{{Key: rows[0].Key, Revision: rows[0].Revision}},
-		Witness:    rowDroppedWitness(rows[0].Key),
+		Resolver:   rowDroppedResolver(rows[0].Key),
 	}
 	for _, row := range rows {
 		txn.Writes = append(txn.Writes, platform.Write{Key: row.Key, Delete: true})
@@ -160,14 +160,14 @@
 	return errors.Wrap(s.options.Table.Commit(ctx, txn), "drop rows")
 }
 
-// rowDroppedWitness returns the witness of a drop. A row that no longer exists was
+// rowDroppedResolver returns the resolver of a drop. A row that no longer exists was
 // dropped by this transaction, or by another one with the same effect.
-func rowDroppedWitness(key string) platform.Witness {
-	return func(rows []platform.Row) platform.Verdict {
+func rowDroppedResolver(key string) platform.Resolver {
+	return func(rows []platform.Row) platform.Resolution {
 		row, err := rowOf(rows, key)
 		if err != nil || row.Revision != 0 {
-			return platform.VerdictUnknown
+			return platform.ResolutionUnknown
 		}
-		return platform.VerdictCommitted
+		return platform.ResolutionCommitted
 	}
 }
--- a/internal/watch/options.go
+++ b/internal/watch/options.go
@@ -8,12 +8,13 @@
 
 // Options configure a Watcher.
 type Options struct {
-	Source   config.Source
-	Engines  Engines
-	Services Services
-	Sink     Sink
-	// Watched tells whether this VM sends to the target at all; nil watches all.
-	Watched func(target string) bool
-	// Interval is the time between two readings of one target.
+	ConfigSource config.Source
+	Engines      Engines
+	Services     Services
+	Sink         Sink
+	// IsWatched reports whether this VM sends requests to the target, and so watches it. If
+	// nil, all targets are watched.
+	IsWatched func(target string) bool
+	// Interval is the time between two readings of a target.
 	Interval time.Duration
 }
