--- a/internal/config/canonical.go
+++ b/internal/config/canonical.go
@@ -10,7 +10,7 @@
 // in and encoded again, so that every VM applies the same bytes.
 func Canonical(change Change) (Change, []Finding) {
 	found := &findings{}
-	if !slices.Contains(Kinds, change.Kind) {
+	if !slices.Contains(EntityKinds, change.Kind) {
 		found.unknownKind(change)
 		return change, found.sorted()
 	}
--- a/internal/config/entity.go
+++ b/internal/config/entity.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Kinds lists the tables of a snapshot.
-var Kinds = []EntityKind{EntityWorkspace, EntityProfile, EntityModel, EntityTarget}
+// EntityKinds lists the tables of a snapshot.
+var EntityKinds = []EntityKind{EntityWorkspace, EntityProfile, EntityModel, EntityTarget}
 
 // Entity returns an entity and its revision, or nil and 0 when there is none.
 func (s *Snapshot) Entity(kind EntityKind, name string) (entity any, revision uint64) {
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -35,7 +35,7 @@
 		return service.Response{}, d.newAttemptError(ctx, target.Name, false, err)
 	}
 	if ctx.Err() != nil || !job.SendGuard.BeginSend() {
-		conn.Discard()
+		conn.Release()
 		return service.Response{}, d.newAttemptError(ctx, target.Name, false, ctx.Err())
 	}
 	response, err := conn.Do(ctx, job.Call)
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -83,7 +83,7 @@
 	return response, nil
 }
 
-func (c *fakeConn) Discard() {}
+func (c *fakeConn) Release() {}
 
 // twoInstances returns a balancer over the instances a and b.
 func twoInstances(inv *invariant.Registry) *balance.Balancer {
--- a/internal/engine/event.go
+++ b/internal/engine/event.go
@@ -25,10 +25,10 @@
 	Trace []Execution `json:"trace,omitempty"`
 	// Finish is "stop" or "length"; for EventDone.
 	Finish string `json:"finish,omitempty"`
-	// Blame is the index of the stage that an EventError is about; it need not be
+	// FailedStage is the index of the stage that an EventError is about; it need not be
 	// the stage that reports it. Message says what happened.
-	Blame   int    `json:"blame,omitempty"`
-	Message string `json:"message,omitempty"`
+	FailedStage int    `json:"blame,omitempty"`
+	Message     string `json:"message,omitempty"`
 	// ReusedKV counts the positions for which the engine had KV cache; for EventReady.
 	ReusedKV int `json:"reusedKV,omitempty"`
 }
--- a/internal/engine/httpengine/bench_test.go
+++ b/internal/engine/httpengine/bench_test.go
@@ -91,7 +91,7 @@
 	server := newTCPEngine(b)
 	pool := transport.NewPool(transport.Settings{}, nil)
 	defer pool.Close()
-	client := New(pool, Settings{Idle: time.Minute})
+	client := New(pool, Settings{SilenceTimeout: time.Minute})
 	line, _ := json.Marshal(tokenEvent())
 	line = append(line, '\n')
 	payload := bytes.Repeat(chunk(line), perWrite)
@@ -187,7 +187,7 @@
 	server := newTCPEngine(b)
 	pool := transport.NewPool(transport.Settings{}, nil)
 	defer pool.Close()
-	client := New(pool, Settings{Idle: time.Minute})
+	client := New(pool, Settings{SilenceTimeout: time.Minute})
 	for b.Loop() {
 		before := memory()
 		var open []engine.Stream
--- a/internal/engine/httpengine/client.go
+++ b/internal/engine/httpengine/client.go
@@ -127,7 +127,7 @@
 		return nil, err
 	}
 	req.Body = io.NopCloser(bytes.NewReader(body))
-	if gate := engine.Gate(ctx); gate != nil {
+	if gate := engine.OrderCheck(ctx); gate != nil {
 		req.Body = &gatedBody{body: bytes.NewReader(body), gate: gate}
 	}
 	req.ContentLength = int64(len(body))
--- a/internal/engine/httpengine/decoder.go
+++ b/internal/engine/httpengine/decoder.go
@@ -53,7 +53,7 @@
 	case "finish":
 		event.Finish = in.String()
 	case "blame":
-		event.Blame = in.Int()
+		event.FailedStage = in.Int()
 	case "message":
 		event.Message = in.String()
 	case "reusedKV":
--- a/internal/engine/httpengine/decoder_test.go
+++ b/internal/engine/httpengine/decoder_test.go
@@ -27,7 +27,7 @@
 	f.Add("error", "", uint32(4294967295), -1, "", "", "\\", 0, "stop", "stage 2 \x00 died")
 	f.Fuzz(func(t *testing.T, kind, id string, epoch uint32, position int, text, target, other string, layer int, finish, message string) {
 		event := engine.Event{Kind: engine.EventKind(kind), RequestID: id, Epoch: epoch, Position: position, Text: text,
-			Finish: finish, Message: message, Blame: layer, ReusedKV: position}
+			Finish: finish, Message: message, FailedStage: layer, ReusedKV: position}
 		event.Trace = []engine.Execution{
 			{Target: target, Epoch: epoch, Layers: config.LayerRange{To: layer}},
 			{Target: other, Layers: config.LayerRange{From: layer, To: position}},
--- a/internal/engine/httpengine/gated_body_test.go
+++ b/internal/engine/httpengine/gated_body_test.go
@@ -29,7 +29,7 @@
 	client := New(pool, Settings{})
 	address := strings.TrimPrefix(server.URL, "http://")
 	order := func(id string, gate func() error) error {
-		return client.Order(engine.WithGate(context.Background(), gate), address, engine.Order{ID: id})
+		return client.Order(engine.WithOrderCheck(context.Background(), gate), address, engine.Order{ID: id})
 	}
 	if err := order("first", func() error { return nil }); err != nil {
 		t.Fatal(err)
--- a/internal/engine/httpengine/open.go
+++ b/internal/engine/httpengine/open.go
@@ -74,6 +74,6 @@
 		return err
 	}
 	s.wire.Until(time.Time{})
-	s.wire.Bound(s.client.settings.Idle)
+	s.wire.Bound(s.client.settings.SilenceTimeout)
 	return nil
 }
--- a/internal/engine/httpengine/pipe_test.go
+++ b/internal/engine/httpengine/pipe_test.go
@@ -71,7 +71,7 @@
 func newPipeClient(t *testing.T, dial transport.DialFunc) *Client {
 	pool := transport.NewPool(transport.Settings{}, dial)
 	t.Cleanup(pool.Close)
-	return New(pool, Settings{OpenTimeout: 2 * time.Second, Idle: time.Second, ControlTimeout: time.Second})
+	return New(pool, Settings{OpenTimeout: 2 * time.Second, SilenceTimeout: time.Second, ControlTimeout: time.Second})
 }
 
 var testOpen = engine.StageOpen{RequestID: "r", Epoch: 1, Prompt: []string{"a"}, MaxTokens: 3}
--- a/internal/engine/httpengine/protocol_bench_test.go
+++ b/internal/engine/httpengine/protocol_bench_test.go
@@ -61,7 +61,7 @@
 // openOwn opens streams as the router does, each on a connection of its own.
 func openOwn(dial transport.DialFunc) opener {
 	pool := transport.NewPool(transport.Settings{}, dial)
-	client := New(pool, Settings{Idle: time.Minute})
+	client := New(pool, Settings{SilenceTimeout: time.Minute})
 	return func(b *testing.B, address string) func() (engine.Event, error) {
 		stream, err := client.Open(context.Background(), address, testOpen)
 		if err != nil {
--- a/internal/engine/httpengine/settings.go
+++ b/internal/engine/httpengine/settings.go
@@ -9,8 +9,8 @@
 type Settings struct {
 	// OpenTimeout bounds the time from Open to the ready event.
 	OpenTimeout time.Duration
-	// Idle is how long a stream may bring nothing, not even a heartbeat.
-	Idle time.Duration
+	// SilenceTimeout is how long a stream may bring nothing, not even a heartbeat.
+	SilenceTimeout time.Duration
 	// ControlTimeout bounds every call that is not a stream.
 	ControlTimeout time.Duration
 	// MaxEventBytes bounds one event.
@@ -20,7 +20,7 @@
 // The defaults of Settings.
 const (
 	DefaultOpenTimeout    = 2 * time.Second
-	DefaultIdle           = 750 * time.Millisecond
+	DefaultSilenceTimeout = 750 * time.Millisecond
 	DefaultControlTimeout = 2 * time.Second
 	DefaultMaxEventBytes  = 256 << 10
 )
@@ -28,7 +28,7 @@
 // WithDefaults returns s with its zero fields filled in.
 func (s Settings) WithDefaults() Settings {
 	s.OpenTimeout = cmp.Or(s.OpenTimeout, DefaultOpenTimeout)
-	s.Idle = cmp.Or(s.Idle, DefaultIdle)
+	s.SilenceTimeout = cmp.Or(s.SilenceTimeout, DefaultSilenceTimeout)
 	s.ControlTimeout = cmp.Or(s.ControlTimeout, DefaultControlTimeout)
 	s.MaxEventBytes = cmp.Or(s.MaxEventBytes, DefaultMaxEventBytes)
 	return s
--- a/internal/engine/httpengine/stream.go
+++ b/internal/engine/httpengine/stream.go
@@ -52,7 +52,7 @@
 		return err
 	}
 	if event.Kind == engine.EventError {
-		return errors.Newf("stage %d: %s", event.Blame, event.Message)
+		return errors.Newf("stage %d: %s", event.FailedStage, event.Message)
 	}
 	if event.Kind != engine.EventReady {
 		return errNotReady
--- a/internal/engine/order_gate.go
+++ b/internal/engine/order_check.go
@@ -4,15 +4,15 @@
 
 type gateKey struct{}
 
-// WithGate returns a context that carries a last check of an order. A client calls
+// WithOrderCheck returns a context that carries a last check of an order. A client calls
 // it at the latest moment that it can still hold the order back: the nearer the
 // check is to the write, the less a pause between the two can do.
-func WithGate(ctx context.Context, gate func() error) context.Context {
+func WithOrderCheck(ctx context.Context, gate func() error) context.Context {
 	return context.WithValue(ctx, gateKey{}, gate)
 }
 
-// Gate returns the check that ctx carries, or nil.
-func Gate(ctx context.Context) func() error {
+// OrderCheck returns the check that ctx carries, or nil.
+func OrderCheck(ctx context.Context) func() error {
 	gate, _ := ctx.Value(gateKey{}).(func() error)
 	return gate
 }
--- a/internal/generation/epoch.go
+++ b/internal/generation/epoch.go
@@ -180,7 +180,7 @@
 // reported returns the fault that an engine told of. An engine may blame another
 // stage: the one before it whose activations stopped.
 func (e *epoch) reported(stage int, event engine.Event) *fault {
-	blamed := event.Blame
+	blamed := event.FailedStage
 	if blamed < 0 || blamed >= len(e.stages) {
 		blamed = stage
 	}
--- a/internal/generation/failure_test.go
+++ b/internal/generation/failure_test.go
@@ -69,7 +69,7 @@
 			r := newRig(t, twoHalves...)
 			r.cluster.corrupt = func(target string, e *engine.Event) {
 				if target == "b1" && e.Epoch == 1 && e.Position == 5 {
-					e.Kind, e.Blame = engine.EventError, blame
+					e.Kind, e.FailedStage = engine.EventError, blame
 				}
 			}
 			runWhole(t, r, r.job("q", 12, r.stages("a1:0-6", "b1:6-12")), &checkedSink{id: "q"})
--- a/internal/harness/baseline/pipeline_run.go
+++ b/internal/harness/baseline/pipeline_run.go
@@ -60,7 +60,7 @@
 		case engine.EventDone:
 			return nil
 		case engine.EventError:
-			return errors.Newf("stage %d: %s", event.Blame, event.Message)
+			return errors.Newf("stage %d: %s", event.FailedStage, event.Message)
 		case engine.EventToken:
 			if err := token(event.Text); err != nil {
 				return err
--- a/internal/harness/fleettest/services_test.go
+++ b/internal/harness/fleettest/services_test.go
@@ -133,5 +133,5 @@
 	return service.Response{}, &service.CallError{Address: c.address, Sent: true, Cause: errors.New("connection reset")}
 }
 
-// Discard implements service.Conn.
-func (c *serviceConn) Discard() {}
+// Release implements service.Conn.
+func (c *serviceConn) Release() {}
--- a/internal/harness/rig/silence_test.go
+++ b/internal/harness/rig/silence_test.go
@@ -13,8 +13,8 @@
 // that is promised.
 func TestSilenceIsNoticedWithinTheEnginesDefault(t *testing.T) {
 	f := &Fleet{Platform: startedPlatform(t)}
-	if got := f.settings("entry-1").Targets.SilenceTimeout; got > httpengine.DefaultIdle {
-		t.Errorf("silence is noticed after %s, the client's default is %s", got, httpengine.DefaultIdle)
+	if got := f.settings("entry-1").Targets.SilenceTimeout; got > httpengine.DefaultSilenceTimeout {
+		t.Errorf("silence is noticed after %s, the client's default is %s", got, httpengine.DefaultSilenceTimeout)
 	}
 }
 
--- a/internal/harness/standin/enginesim/faults_test.go
+++ b/internal/harness/standin/enginesim/faults_test.go
@@ -55,7 +55,7 @@
 				b.Fatal(err)
 			}
 			if event.Kind == engine.EventError {
-				if event.Blame != 0 {
+				if event.FailedStage != 0 {
 					b.Fatalf("%+v", event)
 				}
 				return
--- a/internal/harness/standin/enginesim/http_test.go
+++ b/internal/harness/standin/enginesim/http_test.go
@@ -19,7 +19,7 @@
 func idleClient(t testing.TB, idle time.Duration) *httpengine.Client {
 	pool := transport.NewPool(transport.Settings{}, nil)
 	t.Cleanup(pool.Close)
-	return httpengine.New(pool, httpengine.Settings{Idle: idle})
+	return httpengine.New(pool, httpengine.Settings{SilenceTimeout: idle})
 }
 
 func order(t *testing.T, e *Engine, body string) {
--- a/internal/harness/standin/enginesim/stage.go
+++ b/internal/harness/standin/enginesim/stage.go
@@ -50,7 +50,7 @@
 
 func (s *stage) fail(blame int, message string) {
 	event := s.event(engine.EventError)
-	event.Blame = blame
+	event.FailedStage = blame
 	event.Message = message
 	s.out.push(event)
 	s.out.close()
--- a/internal/harness/standin/servicesim/service_test.go
+++ b/internal/harness/standin/servicesim/service_test.go
@@ -29,7 +29,7 @@
 	t.Cleanup(s.Close)
 	pool := transport.NewPool(transport.Settings{}, nil)
 	t.Cleanup(pool.Close)
-	client := httpservice.New(pool, httpservice.Settings{Silence: silence, ProvenFor: time.Minute})
+	client := httpservice.New(pool, httpservice.Settings{SilenceTimeout: silence, MaxIdleTime: time.Minute})
 	t.Cleanup(client.Close)
 	return s, client
 }
--- a/internal/node/wiring.go
+++ b/internal/node/wiring.go
@@ -52,7 +52,7 @@
 	base := transport.Settings{ConnectTimeout: t.ConnectTimeout}
 	pool := transport.NewPool(base, transport.NewDialer(base.WithDefaults()))
 	return Wiring{
-		Engines:  httpengine.New(pool, httpengine.Settings{Idle: t.SilenceTimeout}),
+		Engines:  httpengine.New(pool, httpengine.Settings{SilenceTimeout: t.SilenceTimeout}),
 		Services: httpservice.New(pool, httpservice.Settings{}),
 		Table:    service(p.Table), Objects: service(p.Objects), VMList: service(p.VMList),
 		Close: pool.Close,
--- a/internal/orders/send.go
+++ b/internal/orders/send.go
@@ -32,7 +32,7 @@
 // order checks the lease and sends the order, with nothing between the two that can block. It
 // reports whether the engine accepted the order.
 func (c *Controller) order(ctx context.Context, l lease.Lease, target *config.Target, task *task, order engine.Order) (stepResult, bool) {
-	ctx, cancel := context.WithTimeout(engine.WithGate(ctx, l.Check), c.options.Settings.OrderTimeout)
+	ctx, cancel := context.WithTimeout(engine.WithOrderCheck(ctx, l.Check), c.options.Settings.OrderTimeout)
 	defer cancel()
 	p, err := c.check(l)
 	if err != nil {
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -259,8 +259,8 @@
 	return service.Response{}, &service.CallError{Address: c.address, Sent: true, Cause: errors.New("connection reset")}
 }
 
-// Discard implements service.Conn.
-func (c *memoryConn) Discard() {}
+// Release implements service.Conn.
+func (c *memoryConn) Release() {}
 
 // noObserver implements Observer.
 type noObserver struct{}
--- a/internal/service/conn.go
+++ b/internal/service/conn.go
@@ -7,6 +7,6 @@
 	// Do sends the call and reads the whole response. It never sends a call twice.
 	// The error is a *CallError.
 	Do(ctx context.Context, call Call) (Response, error)
-	// Discard gives the connection back unused.
-	Discard()
+	// Release gives the connection back unused.
+	Release()
 }
--- a/internal/service/httpservice/bench_test.go
+++ b/internal/service/httpservice/bench_test.go
@@ -22,7 +22,7 @@
 			defer s.Close()
 			pool := transport.NewPool(transport.Settings{}, nil)
 			defer pool.Close()
-			client := New(pool, Settings{ProvenFor: time.Minute})
+			client := New(pool, Settings{MaxIdleTime: time.Minute})
 			defer client.Close()
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/service/httpservice/client.go
+++ b/internal/service/httpservice/client.go
@@ -37,7 +37,7 @@
 			return kept, nil
 		}
 	}
-	wire, err := c.pool.Connect(ctx, address, c.settings.Silence)
+	wire, err := c.pool.Connect(ctx, address, c.settings.SilenceTimeout)
 	if err != nil {
 		return nil, &service.CallError{Address: address, Cause: err}
 	}
@@ -63,7 +63,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return report, errors.Newf("load report: status %d", resp.StatusCode)
 	}
-	body, err := readBounded(resp.Body, c.settings.MaxBody)
+	body, err := readBounded(resp.Body, c.settings.MaxBodyBytes)
 	if err != nil {
 		c.suspectIfSilent(ctx, address)
 		return report, errors.Wrap(err, "load report")
--- a/internal/service/httpservice/client_test.go
+++ b/internal/service/httpservice/client_test.go
@@ -109,12 +109,12 @@
 			t.Fatal(err)
 		}
 		// Keep the first connection proven while the second is silent.
-		client.settings.ProvenFor, client.kept.settings.ProvenFor = time.Hour, time.Hour
+		client.settings.MaxIdleTime, client.kept.settings.MaxIdleTime = time.Hour, time.Hour
 		kept, err := client.Connect(t.Context(), testAddress, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		kept.Discard()
+		kept.Release()
 		_, err = held.Do(t.Context(), testCall)
 		failure := callErrorOf(t, err)
 		if !failure.Sent || !failure.Silent {
@@ -263,7 +263,7 @@
 		if _, err := conn.Do(t.Context(), testCall); err != nil {
 			t.Fatal(err)
 		}
-		conn.Discard()
+		conn.Release()
 		_, err = conn.Do(t.Context(), testCall)
 		if failure := callErrorOf(t, err); failure.Sent || !errors.Is(err, errUsed) {
 			t.Fatalf("%v", err)
--- a/internal/service/httpservice/conn.go
+++ b/internal/service/httpservice/conn.go
@@ -38,8 +38,8 @@
 	expiry   *time.Timer // while kept
 }
 
-// Discard implements service.Conn.
-func (c *conn) Discard() {
+// Release implements service.Conn.
+func (c *conn) Release() {
 	if c.used {
 		return
 	}
@@ -101,7 +101,7 @@
 // receive reads the whole response and reports whether the connection can carry
 // another call.
 func (c *conn) receive(req *http.Request) (service.Response, bool, error) {
-	max := c.client.settings.MaxBody
+	max := c.client.settings.MaxBodyBytes
 	resp, err := c.wire.ReadHead(req, max+framingAllowance)
 	if err != nil {
 		return service.Response{}, false, err
--- a/internal/service/httpservice/kept_conns.go
+++ b/internal/service/httpservice/kept_conns.go
@@ -41,11 +41,11 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	list := k.byPeer[c.address]
-	if len(list) >= k.settings.MaxKeptPerPeer {
+	if len(list) >= k.settings.MaxIdlePerPeer {
 		c.wire.Close()
 		return
 	}
-	left := k.settings.ProvenFor - time.Since(c.provenAt)
+	left := k.settings.MaxIdleTime - time.Since(c.provenAt)
 	c.expiry = time.AfterFunc(left, func() { k.expire(c) })
 	k.set(c.address, append(list, c))
 }
--- a/internal/service/httpservice/pipe_test.go
+++ b/internal/service/httpservice/pipe_test.go
@@ -70,7 +70,7 @@
 func newTestClient(t *testing.T, dial transport.DialFunc) *Client {
 	pool := transport.NewPool(transport.Settings{}, dial)
 	t.Cleanup(pool.Close)
-	client := New(pool, Settings{Silence: time.Second, ProvenFor: 500 * time.Millisecond, MaxBody: 1000})
+	client := New(pool, Settings{SilenceTimeout: time.Second, MaxIdleTime: 500 * time.Millisecond, MaxBodyBytes: 1000})
 	t.Cleanup(client.Close)
 	return client
 }
