--- a/internal/config/address_test.go
+++ b/internal/config/address_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-// A target at an address that reaches whatever is near, many at once, or a different
-// machine from each VM would be a different target for each of them. One process has
-// one form of its address, so that it is not entered twice.
+// Unspecified, multicast and link-local addresses and host names may lead to a
+// different machine from each VM, so that one target would be a different process for
+// each of them. All forms of an accepted address have one canonical form, so that a
+// process cannot be registered twice.
 func TestParseAddress(t *testing.T) {
 	for address, want := range map[string]string{
 		"10.0.0.1:9000":          "10.0.0.1:9000",
--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -6,7 +6,7 @@
 	"maps"
 )
 
-// VersionGapError reports a change that does not follow the snapshot's version.
+// VersionGapError reports a change whose version is not the one after the snapshot's.
 type VersionGapError struct {
 	Have uint64
 	Got  uint64
@@ -17,8 +17,8 @@
 	return fmt.Sprintf("change %d does not follow version %d", e.Got, e.Have)
 }
 
-// Apply returns a new snapshot with the change applied; s stays as it is. It
-// returns a *VersionGapError unless the change's version is the next one.
+// Apply returns a new snapshot with the change applied and does not modify s. It
+// returns a *VersionGapError unless the change's version is the one after s.Version.
 func (s *Snapshot) Apply(change Change) (*Snapshot, error) {
 	if change.Version != s.Version+1 {
 		return nil, &VersionGapError{Have: s.Version, Got: change.Version}
@@ -35,20 +35,22 @@
 	var err error
 	switch change.Kind {
 	case EntityWorkspace:
-		s.Workspaces, err = put(s.Workspaces, change, func(w *Workspace) { w.Name, w.Revision = change.Name, change.Version })
+		s.Workspaces, err = applyToTable(s.Workspaces, change, func(w *Workspace) { w.Name, w.Revision = change.Name, change.Version })
 	case EntityProfile:
-		s.Profiles, err = put(s.Profiles, change, func(p *Profile) { p.Name, p.Revision = change.Name, change.Version })
+		s.Profiles, err = applyToTable(s.Profiles, change, func(p *Profile) { p.Name, p.Revision = change.Name, change.Version })
 	case EntityModel:
-		s.Models, err = put(s.Models, change, func(m *Model) { m.Name, m.Revision = change.Name, change.Version })
+		s.Models, err = applyToTable(s.Models, change, func(m *Model) { m.Name, m.Revision = change.Name, change.Version })
 	case EntityTarget:
-		s.Targets, err = put(s.Targets, change, func(t *Target) { t.Name, t.Revision = change.Name, change.Version })
+		s.Targets, err = applyToTable(s.Targets, change, func(t *Target) { t.Name, t.Revision = change.Name, change.Version })
 	default:
 		err = &UnknownNameError{Kind: "entity", Name: string(change.Kind), Allowed: "workspace, profile, model, target"}
 	}
 	return err
 }
 
-func put[T any](table map[string]*T, change Change, stamp func(*T)) (map[string]*T, error) {
+// applyToTable returns a copy of the table with the change applied. setMeta sets the
+// name and the revision of a new value.
+func applyToTable[T any](table map[string]*T, change Change, setMeta func(*T)) (map[string]*T, error) {
 	copied := maps.Clone(table)
 	if change.IsDelete() {
 		delete(copied, change.Name)
@@ -58,7 +60,7 @@
 	if err := json.Unmarshal(change.Value, value); err != nil {
 		return nil, fmt.Errorf("%s %q: %w", change.Kind, change.Name, err)
 	}
-	stamp(value)
+	setMeta(value)
 	copied[change.Name] = value
 	return copied, nil
 }
--- a/internal/config/canonical.go
+++ b/internal/config/canonical.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// Canonical returns the change with its value decoded strictly, defaults filled
-// in and encoded again, so that every VM applies the same bytes.
+// Canonical decodes the change's value strictly, fills in defaults and encodes it
+// again, so that every VM applies the same bytes. If there are findings, the change is
+// returned unmodified.
 func Canonical(change Change) (Change, []Finding) {
 	found := &findings{}
 	if !slices.Contains(EntityKinds, change.Kind) {
@@ -35,7 +36,8 @@
 	return string(change.Kind) + "." + change.Name
 }
 
-// decodeEntity returns the typed entity, or nil for an unknown kind.
+// decodeEntity decodes the change's value strictly and adds what is wrong with it to
+// found. It returns the typed entity, or nil for an unknown kind.
 func decodeEntity(change Change, found *findings) any {
 	switch change.Kind {
 	case EntityWorkspace:
@@ -64,6 +66,8 @@
 	f.add(entityPath(change), "unknown kind", "workspace, profile, model, target")
 }
 
+// decodeInto decodes the change's value into entity, whose name becomes the change's
+// and whose revision becomes 0.
 func decodeInto(change Change, entity any, name *string, revision *uint64, found *findings) {
 	path := entityPath(change)
 	strictDecoder{findings: found}.decode(change.Value, reflect.ValueOf(entity).Elem(), path)
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Duration is a time.Duration that stands in JSON as a string such as "1.5s".
+// Duration is a time.Duration whose JSON form is a string such as "1.5s".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
--- a/internal/config/entity.go
+++ b/internal/config/entity.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// EntityKinds lists the tables of a snapshot.
+// EntityKinds lists all kinds of entities, one for each table of a snapshot.
 var EntityKinds = []EntityKind{EntityWorkspace, EntityProfile, EntityModel, EntityTarget}
 
-// Entity returns an entity and its revision, or nil and 0 when there is none.
+// Entity returns an entity and its revision, or nil and 0 if it does not exist.
 func (s *Snapshot) Entity(kind EntityKind, name string) (entity any, revision uint64) {
 	switch kind {
 	case EntityWorkspace:
@@ -31,7 +31,7 @@
 	return nil, 0
 }
 
-// Names returns the sorted names of a table.
+// Names returns the sorted names of a table's entities.
 func (s *Snapshot) Names(kind EntityKind) []string {
 	switch kind {
 	case EntityWorkspace:
--- a/internal/config/entity_kind.go
+++ b/internal/config/entity_kind.go
@@ -1,9 +1,9 @@
 package config
 
-// EntityKind names one of a snapshot's tables.
+// EntityKind is the kind of an entity and names its table in a snapshot.
 type EntityKind string
 
-// The tables of a snapshot.
+// The kinds of entities.
 const (
 	EntityWorkspace EntityKind = "workspace"
 	EntityProfile   EntityKind = "profile"
--- a/internal/config/finding.go
+++ b/internal/config/finding.go
@@ -2,11 +2,12 @@
 
 import "fmt"
 
-// Finding is one thing that is wrong with a change or a snapshot.
+// Finding is one problem of a change or a snapshot.
 type Finding struct {
-	// Path is the place, such as profile.permits.models[0].version.
+	// Path names the field, such as profile.permits.models[0].version.
 	Path string `json:"path"`
-	// Problem says what is wrong, Allowed what is allowed; Allowed may be empty.
+	// Problem says what is wrong. Allowed says which values are allowed and may be
+	// empty.
 	Problem string `json:"problem"`
 	Allowed string `json:"allowed,omitempty"`
 }
--- a/internal/config/findings.go
+++ b/internal/config/findings.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// findings collects what is wrong, so that one report names all of it.
+// findings collects problems, so that one report lists all of them.
 type findings struct {
 	list []Finding
 }
@@ -33,6 +33,7 @@
 	}
 }
 
+// sorted sorts the findings in place by path and problem and returns them.
 func (f *findings) sorted() []Finding {
 	slices.SortFunc(f.list, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(a.Path, b.Path), cmp.Compare(a.Problem, b.Problem))
--- a/internal/config/names.go
+++ b/internal/config/names.go
@@ -9,8 +9,9 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// ValidName reports whether a name may stand for an entity. Names go into URLs,
-// row keys and metric labels, so they need no escaping anywhere.
+// ValidName reports whether name is a valid name of an entity. Names are parts of
+// URLs, row keys and metric labels, so they hold only characters that need no escaping
+// in any of these.
 func ValidName(name string) bool {
 	return len(name) <= maxNameLength && namePattern.MatchString(name)
 }
--- a/internal/config/request_class.go
+++ b/internal/config/request_class.go
@@ -1,12 +1,13 @@
 package config
 
-// RequestClass says which path a profile's requests take.
+// RequestClass says how a profile's requests are served.
 type RequestClass string
 
+// The classes of requests.
 const (
 	// ClassGeneration requests are answered token by token by engines, over one
 	// or more stages of layer ranges.
 	ClassGeneration RequestClass = "generation"
-	// ClassCall requests are answered whole by one target of a plain service.
+	// ClassCall requests get one complete response from one target of a plain service.
 	ClassCall RequestClass = "call"
 )
--- a/internal/config/static_source.go
+++ b/internal/config/static_source.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// StaticSource is a Source whose snapshot is set by hand, for tests and benchmarks.
+// StaticSource is a Source whose snapshot is set with Set, for tests and benchmarks.
 type StaticSource struct {
 	current atomic.Pointer[Snapshot]
 }
--- a/internal/config/strict_decode.go
+++ b/internal/config/strict_decode.go
@@ -10,10 +10,11 @@
 	"strings"
 )
 
-// strictDecoder decodes JSON into typed values and collects every unknown field
-// and bad type with its path. encoding/json stops at the first unknown field,
-// matches names without regard to case, and keeps only the first bad type: an
-// operator would mend a file one finding a run, or have a misspelt field ignored.
+// strictDecoder decodes JSON into typed values and collects every unknown or repeated
+// field and every wrong type, each with its path. encoding/json stops at the first
+// unknown field, matches names without regard to case and reports only the first wrong
+// type: an operator would have to correct a file one finding at a time, or a misspelt
+// field would be ignored.
 type strictDecoder struct {
 	findings *findings
 }
@@ -61,20 +62,20 @@
 	}
 	known := knownFields(into)
 	for _, field := range fields {
-		place := path + "." + field.name
+		fieldPath := path + "." + field.name
 		target, ok := known[field.name]
 		switch {
 		case !ok:
-			d.findings.add(place, "unknown field", strings.Join(fieldNames(into), ", "))
+			d.findings.add(fieldPath, "unknown field", strings.Join(fieldNames(into), ", "))
 		case field.repeated:
-			d.findings.add(place, "is given twice", "each field once")
+			d.findings.add(fieldPath, "is given twice", "each field once")
 		default:
-			d.decode(field.value, target, place)
+			d.decode(field.value, target, fieldPath)
 		}
 	}
 }
 
-// objectFields returns the fields in their order of appearance.
+// objectFields returns the fields of a JSON object in their order of appearance.
 func objectFields(raw json.RawMessage) ([]rawField, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
@@ -104,6 +105,7 @@
 	return fields, nil
 }
 
+// knownFields returns a struct's fields by their JSON names.
 func knownFields(value reflect.Value) map[string]reflect.Value {
 	known := map[string]reflect.Value{}
 	for i := range value.NumField() {
@@ -112,6 +114,7 @@
 	return known
 }
 
+// fieldNames returns the sorted JSON names of a struct's fields.
 func fieldNames(value reflect.Value) []string {
 	var names []string
 	for i := range value.NumField() {
@@ -126,6 +129,7 @@
 	return name
 }
 
+// trimJSONError returns the error's text without the prefix of encoding/json.
 func trimJSONError(err error) string {
 	return strings.TrimPrefix(err.Error(), "json: ")
 }
--- a/internal/config/target.go
+++ b/internal/config/target.go
@@ -1,6 +1,6 @@
 package config
 
-// Target is where requests are sent: a model engine or an instance of a plain
+// Target is a destination of requests: a model engine or an instance of a plain
 // service.
 type Target struct {
 	Name string `json:"name"`
@@ -12,22 +12,22 @@
 	Service string `json:"service,omitempty"`
 	// Accelerator is the kind of accelerator, for KindEngine.
 	Accelerator string `json:"accelerator,omitempty"`
-	// Model, Version, Adapters and Layers are what the engine is to hold.
+	// Model, Version, Adapters and Layers say what the engine is to hold.
 	Model    string     `json:"model,omitempty"`
 	Version  string     `json:"version,omitempty"`
 	Adapters []string   `json:"adapters,omitempty"`
 	Layers   LayerRange `json:"layers"`
-	// Slots is how many requests the target works on at once.
+	// Slots is the number of requests that the target processes at once.
 	Slots int `json:"slots"`
 	// LayerTokensPerSecond is the engine's rate in layers times tokens a second,
-	// so a stage of n layers passes LayerTokensPerSecond/n tokens a second.
+	// so a stage of n layers processes LayerTokensPerSecond/n tokens a second.
 	LayerTokensPerSecond float64 `json:"layerTokensPerSecond,omitempty"`
 	Links                []Link  `json:"links,omitempty"`
 	// RefusesOldFencing says that the engine refuses orders with an old fencing number.
 	RefusesOldFencing bool `json:"refusesOldFencing,omitempty"`
-	// ChecksCallers says that the target checks who gives it an order.
+	// ChecksCallers says that the target checks who sends it an order.
 	ChecksCallers bool        `json:"checksCallers,omitempty"`
 	State         TargetState `json:"state"`
-	// Revision is the configuration version that last changed this entry.
+	// Revision is the configuration version that last changed the target.
 	Revision uint64 `json:"revision"`
 }
--- a/internal/config/target_kind.go
+++ b/internal/config/target_kind.go
@@ -1,8 +1,9 @@
 package config
 
-// TargetKind says what stands behind a target's address.
+// TargetKind says what kind of process a target is.
 type TargetKind string
 
+// The kinds of targets.
 const (
 	// KindEngine is a model engine that holds a range of layers.
 	KindEngine TargetKind = "engine"
--- a/internal/config/target_state.go
+++ b/internal/config/target_state.go
@@ -1,18 +1,19 @@
 package config
 
-// TargetState is what is asked of a target.
+// TargetState is the state that the configuration requests for a target.
 type TargetState string
 
+// The states of targets.
 const (
-	// StateActive targets take new work.
+	// StateActive targets get new requests.
 	StateActive TargetState = "active"
-	// StateDraining targets finish what they have in hand and take nothing new; an
-	// operator asked for it.
+	// StateDraining targets finish their requests in flight and get no new ones. An
+	// operator sets it.
 	StateDraining TargetState = "draining"
-	// StateReloading targets take nothing new either; the lease holder asked for it
-	// because they are to be reloaded, and ends it when they are.
+	// StateReloading targets get no new requests either. The lease holder sets it
+	// before it reloads a target and ends it once the target is reloaded.
 	StateReloading TargetState = "reloading"
 )
 
-// TakesWork reports whether the target may get new work as far as its entry says.
+// TakesWork reports whether the target's state allows new requests.
 func (t *Target) TakesWork() bool { return t.State == StateActive }
--- a/internal/config/unknown_name_error.go
+++ b/internal/config/unknown_name_error.go
@@ -4,6 +4,7 @@
 
 // UnknownNameError reports a name that is not one of an enumeration's values.
 type UnknownNameError struct {
+	// Kind names the enumeration and Allowed lists its values.
 	Kind    string
 	Name    string
 	Allowed string
--- a/internal/config/urgency.go
+++ b/internal/config/urgency.go
@@ -1,6 +1,6 @@
 package config
 
-// Urgency orders requests on every shared resource. The zero value is Bulk.
+// Urgency is the priority of requests on every shared resource. The zero value is Bulk.
 type Urgency uint8
 
 // The levels, from the least urgent to the most urgent.
@@ -13,7 +13,7 @@
 // UrgencyCount is the number of levels; it sizes arrays indexed by Urgency.
 const UrgencyCount = 3
 
-// String returns the level's name as it stands in JSON.
+// String returns the level's name as used in JSON, or "invalid" for another value.
 func (u Urgency) String() string {
 	switch u {
 	case Bulk:
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// Validate returns everything that is wrong with a change to the snapshot: its
-// own fields, what it refers to, and what refers to it. Findings that the
-// snapshot had before, elsewhere, are not repeated, so they never block a mend.
+// Validate returns all findings on a change to the snapshot: on its own fields, on
+// what it refers to and on what refers to it. Findings that the snapshot already has
+// elsewhere are not repeated, so that they never block a correction.
 func Validate(change Change, snapshot *Snapshot) []Finding {
 	v := &validator{snapshot: snapshot}
 	v.name(change.Name, entityPath(change)+".name")
@@ -27,7 +27,7 @@
 	return v.sorted()
 }
 
-// ValidateSnapshot returns everything that is wrong with a whole configuration.
+// ValidateSnapshot returns all findings on a whole configuration.
 func ValidateSnapshot(snapshot *Snapshot) []Finding {
 	v := &validator{snapshot: snapshot}
 	validateTable(v, EntityWorkspace, snapshot.Workspaces)
--- a/internal/config/validate_model.go
+++ b/internal/config/validate_model.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// MaxLayers bounds a model's layers.
+// MaxLayers is the largest number of layers of a model.
 const MaxLayers = 10_000
 
 func (v *validator) model(m *Model) {
@@ -25,8 +25,8 @@
 	v.unique(names, path)
 }
 
-// dependants checks what refers to a model that is changed: a version, an adapter
-// or layers may have gone that a profile or a target still names.
+// dependants checks the profiles and targets that refer to a changed model: they may
+// name a version, an adapter or layers that the model no longer has.
 func (v *validator) dependants(m *Model) {
 	for _, profile := range v.snapshot.Profiles {
 		for i, ref := range profile.Models {
@@ -37,7 +37,7 @@
 	}
 	for _, target := range v.snapshot.Targets {
 		if target.Kind == KindEngine && target.Model == m.Name {
-			v.holding(target, m)
+			v.engineModel(target, m)
 		}
 	}
 }
@@ -49,8 +49,8 @@
 	}
 }
 
-// listed demands that a model has a version or an adapter. It formats on failure
-// alone, as a change of a model checks all that refers to it.
+// listed requires that a model has a version or an adapter. It formats only on
+// failure, since a change of a model checks everything that refers to it.
 func (v *validator) listed(list []string, name string, m *Model, what, path string) {
 	if !slices.Contains(list, name) {
 		v.add(path, fmt.Sprintf("model %s has no %s %q", m.Name, what, name), fmt.Sprint(list))
--- a/internal/config/validate_profile.go
+++ b/internal/config/validate_profile.go
@@ -58,15 +58,15 @@
 	v.require(len(p.Models) > 0, path+".models", "is empty", "one model or more for class generation")
 	seen := map[ModelRef]bool{}
 	for i, ref := range p.Models {
-		place := fmt.Sprintf("%s.models[%d]", path, i)
-		v.notNegative(int64(ref.Weight), place+".weight")
+		fieldPath := fmt.Sprintf("%s.models[%d]", path, i)
+		v.notNegative(int64(ref.Weight), fieldPath+".weight")
 		if model, known := v.snapshot.Models[ref.Model]; known {
-			v.modelRef(ref, model, place)
+			v.modelRef(ref, model, fieldPath)
 		} else {
-			v.add(place+".model", fmt.Sprintf("unknown model %q", ref.Model), "the name of a model")
+			v.add(fieldPath+".model", fmt.Sprintf("unknown model %q", ref.Model), "the name of a model")
 		}
 		ref.Weight = 0
-		v.require(!seen[ref], place, "is listed twice", "each model, version and adapter once")
+		v.require(!seen[ref], fieldPath, "is listed twice", "each model, version and adapter once")
 		seen[ref] = true
 	}
 }
--- a/internal/config/validate_target.go
+++ b/internal/config/validate_target.go
@@ -6,7 +6,7 @@
 	"net/netip"
 )
 
-// MaxSlots bounds what one target works on at once.
+// MaxSlots is the largest number of slots of a target.
 const MaxSlots = 65_536
 
 func (v *validator) target(t *Target) {
@@ -29,8 +29,9 @@
 	}
 }
 
-// address also refuses an address that is taken: two entries for one process
-// would each count its slots and hand out twice what it has.
+// address checks that the address is valid and belongs to no other target: two
+// targets at one process would each count its slots and assign twice as many requests
+// as it has slots.
 func (v *validator) address(t *Target, path string) {
 	address, ok := parseAddrPort(t.Address)
 	if !ok {
@@ -65,17 +66,18 @@
 	v.require(finite && value >= 0, path, "is not a rate", "0 or more")
 }
 
-// links may name a target or a data centre that is not there yet, as two targets
-// that link to each other are added one after the other.
+// links checks a target's links. A link may name a target or a data centre that does
+// not exist yet, since two targets that link to each other are added one after the
+// other.
 func (v *validator) links(t *Target, path string) {
 	seen := map[string]bool{}
 	for i, link := range t.Links {
-		place := fmt.Sprintf("%s[%d]", path, i)
-		v.name(link.To, place+".to")
-		v.require(link.To != t.Name, place+".to", "is the target itself", "another target or a data centre")
-		v.require(!seen[link.To], place+".to", fmt.Sprintf("%q is listed twice", link.To), "each once")
-		v.notNegative(int64(link.Latency), place+".latency")
-		v.rate(link.BytesPerSecond, place+".bytesPerSecond")
+		fieldPath := fmt.Sprintf("%s[%d]", path, i)
+		v.name(link.To, fieldPath+".to")
+		v.require(link.To != t.Name, fieldPath+".to", "is the target itself", "another target or a data centre")
+		v.require(!seen[link.To], fieldPath+".to", fmt.Sprintf("%q is listed twice", link.To), "each once")
+		v.notNegative(int64(link.Latency), fieldPath+".latency")
+		v.rate(link.BytesPerSecond, fieldPath+".bytesPerSecond")
 		seen[link.To] = true
 	}
 }
@@ -88,11 +90,11 @@
 		v.add(path+".model", fmt.Sprintf("unknown model %q", t.Model), "the name of a model")
 		return
 	}
-	v.holding(t, model)
+	v.engineModel(t, model)
 }
 
-// holding checks what an engine is to hold of a model.
-func (v *validator) holding(t *Target, m *Model) {
+// engineModel checks the version, adapters and layers that an engine is to hold.
+func (v *validator) engineModel(t *Target, m *Model) {
 	path := "target." + t.Name
 	v.listed(m.Versions, t.Version, m, "version", path+".version")
 	for i, adapter := range t.Adapters {
--- a/internal/config/validate_test.go
+++ b/internal/config/validate_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// testSnapshot has one of each entity, all of them valid.
+// testSnapshot returns a snapshot with one valid entity of each kind.
 func testSnapshot(t *testing.T) *Snapshot {
 	t.Helper()
 	s := NewSnapshot()
@@ -46,8 +46,8 @@
 	return all
 }
 
-// An operator sends an entity with several mistakes and learns of all of them at
-// once, each with its place.
+// An operator who sends an entity with several mistakes gets a finding for each of
+// them at once, with the path of its field.
 func TestValidateReportsEveryFinding(t *testing.T) {
 	cases := map[string]struct {
 		kind  EntityKind
@@ -102,7 +102,7 @@
 	}
 }
 
-// A snapshot that was put together elsewhere is checked as a whole.
+// A snapshot that was not built change by change is validated as a whole.
 func TestValidateSnapshot(t *testing.T) {
 	s := testSnapshot(t)
 	if found := ValidateSnapshot(s); len(found) > 0 {
@@ -119,8 +119,8 @@
 	}
 }
 
-// Every VM applies the same bytes, whatever the operator's JSON looked like, and
-// what Canonical returns is Canonical already.
+// Every VM applies the same bytes, whatever the form of the operator's JSON, and
+// Canonical is idempotent.
 func TestCanonicalIsStable(t *testing.T) {
 	change := Change{Kind: EntityTarget, Name: "gpu-9", Value: json.RawMessage(strings.Replace(validEngine,
 		"10.0.0.1:9000", "[::ffff:10.0.0.9]:9000", 1) + "\n")}
@@ -134,13 +134,13 @@
 	}
 	for _, part := range []string{`"address":"10.0.0.9:9000"`, `"name":"gpu-9"`, `"state":"active"`, `"revision":0`} {
 		if !strings.Contains(string(first.Value), part) {
-			t.Errorf("lacks %s: %s", part, first.Value)
+			t.Errorf("%s is missing in %s", part, first.Value)
 		}
 	}
 }
 
-// FuzzCanonical feeds the strict decoder; it must neither panic nor take what the
-// lenient decoder, which applies the change on every VM, refuses.
+// FuzzCanonical checks that the strict decoder neither panics nor accepts what the
+// lenient decoder, which applies the change on every VM, rejects.
 func FuzzCanonical(f *testing.F) {
 	f.Add("target", validEngine)
 	f.Add("profile", validProfile)
--- a/internal/config/validation_error.go
+++ b/internal/config/validation_error.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// ValidationError reports everything that is wrong with a change, together.
+// ValidationError reports all findings on a change.
 type ValidationError struct {
 	Findings []Finding
 }
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -9,7 +9,7 @@
 type validator struct {
 	findings
 	snapshot *Snapshot
-	// owners are the targets at each address, once they were asked for.
+	// owners maps each address to the names of its targets; built on first use.
 	owners map[netip.AddrPort][]string
 }
 
@@ -26,8 +26,8 @@
 	}
 }
 
-// deletion refuses to remove what other entities still refer to: they would fail
-// at the next request, far from the change that broke them.
+// deletion rejects the removal of an entity that others still refer to: their requests
+// would fail later, with nothing that points to the change as the cause.
 func (v *validator) deletion(change Change) {
 	path := entityPath(change)
 	if entity, _ := v.snapshot.Entity(change.Kind, change.Name); entity == nil {
