--- a/internal/settings/admin.go
+++ b/internal/settings/admin.go
@@ -1,6 +1,6 @@
 package settings
 
-// Admin is the operators' listener.
+// Admin holds the settings of the operators' listener.
 type Admin struct {
 	Address    string
 	TokensFile string
--- a/internal/settings/callers.go
+++ b/internal/settings/callers.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Callers is the callers' listener.
+// Callers holds the settings of the callers' listener. Sizes are in bytes.
 type Callers struct {
 	Address         string
 	MaxBodyBytes    int64
--- a/internal/settings/cross_check.go
+++ b/internal/settings/cross_check.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// crossCheck looks for values that are right alone and wrong together.
+// crossCheck checks for values that are valid alone but not together.
 func (r *reader) crossCheck() {
 	r.checkListeners()
 	r.checkPeersAddress()
@@ -12,6 +12,7 @@
 	r.checkQueues()
 }
 
+// listener is an address to listen on and the section that sets it.
 type listener struct {
 	section string
 	address netip.AddrPort
@@ -42,8 +43,8 @@
 	}
 }
 
-// overlap reports whether two listeners cannot both be opened. The unspecified
-// address holds a port on all addresses.
+// overlap reports whether two listeners cannot both be opened. A listener on the
+// unspecified address occupies its port on all addresses.
 func overlap(a, b netip.AddrPort) bool {
 	if a.Port() != b.Port() || a.Port() == 0 {
 		return false
@@ -51,8 +52,8 @@
 	return a.Addr().Unmap() == b.Addr().Unmap() || a.Addr().IsUnspecified() || b.Addr().IsUnspecified()
 }
 
-// checkPeersAddress refuses 0.0.0.0, which peers cannot connect to: the VM would
-// look dead to all others while it believes that it is reachable.
+// checkPeersAddress rejects the unspecified address, to which peers cannot connect:
+// all other VMs would take this VM for dead, with no sign of it on the VM itself.
 func (r *reader) checkPeersAddress() {
 	address, err := netip.ParseAddrPort(r.settings.Peers.Address)
 	if err == nil && address.Addr().IsUnspecified() {
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -17,6 +17,8 @@
 	checkOrUpdate(t, path, string(file), Page())
 }
 
+// checkOrUpdate fails the test if the file differs from what the table of keys gives. With
+// -update it writes the file instead.
 func checkOrUpdate(t *testing.T, path, have, want string) {
 	t.Helper()
 	if have == want {
--- a/internal/settings/example.go
+++ b/internal/settings/example.go
@@ -10,8 +10,8 @@
 # The page docs/settings.md has the same as a table.
 `
 
-// exampleValues stand in the example for keys without a default; the others are
-// shown commented out.
+// exampleValues are the values of the keys that the example sets. All other keys are
+// shown commented out, with their defaults.
 var exampleValues = map[string]string{
 	"vm.name":           "entry-1",
 	"vm.data_centre":    "lima-surco",
@@ -31,7 +31,7 @@
 	"platform.vm_list":  "http://192.0.2.2:7002",
 }
 
-// Example returns geraniumcroft.example.ini.
+// Example returns the contents of geraniumcroft.example.ini.
 func Example() string {
 	var b strings.Builder
 	b.WriteString(exampleHead)
@@ -46,6 +46,7 @@
 	return b.String()
 }
 
+// example returns the key's part of the example file.
 func (k Key) example() string {
 	text := fmt.Sprintf("\n# %s\n# Allowed: %s.\n", k.Doc, k.Allowed())
 	if value, given := exampleValues[k.Section+"."+k.Name]; given {
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzParse looks for files on which the line index and the INI library disagree:
-// a file is either accepted, or has findings that name a line of it.
+// FuzzParse looks for files on which the line index and the INI library disagree: a
+// file must either be accepted or have findings, each with a line that exists.
 func FuzzParse(f *testing.F) {
 	f.Add(minimal)
 	f.Add(strings.Replace(minimal, "name = entry-1", "name = \"\"\"entry", 1))
--- a/internal/settings/key.go
+++ b/internal/settings/key.go
@@ -10,20 +10,23 @@
 	Section string
 	Name    string
 	Kind    Kind
-	// Required keys have no default.
+	// Required keys must be in the file and have no default.
 	Required bool
-	// Default stands for the key when it is left out, written as in the file.
+	// Default is the value of a key that is left out, as written in the file; empty for
+	// no default.
 	Default string
-	// Min and Max bound numbers and durations, both included, written as in the file.
+	// Min and Max are the inclusive bounds of numbers and durations, as written in the
+	// file.
 	Min, Max string
-	// Choices are the values of a KindChoice.
+	// Choices are the allowed values of a KindChoice key.
 	Choices []string
-	Doc     string
-	// field returns a pointer to the field that the key fills.
+	// Doc is the key's help text in docs/settings.md and in the example file.
+	Doc string
+	// field returns a pointer to the field that the key sets.
 	field func(*Settings) any
 }
 
-// Allowed says in words which values the key takes.
+// Allowed describes the values that the key accepts.
 func (k Key) Allowed() string {
 	switch {
 	case k.Kind == KindChoice:
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -1,6 +1,6 @@
 package settings
 
-// Keys lists every key of the file, in the order of docs/settings.md.
+// Keys lists every key of the settings file, in the order of docs/settings.md.
 var Keys = []Key{
 	{Section: "vm", Name: "name", Kind: KindName, Required: true,
 		Doc:   "Name of this VM, unique in the fleet; the same as in the platform's VM list.",
--- a/internal/settings/kind.go
+++ b/internal/settings/kind.go
@@ -3,7 +3,8 @@
 // Kind is the type of a key's value.
 type Kind uint8
 
-// The types of values.
+// The types of values. KindName is a short identifier, KindFile a path and
+// KindAddresses a comma-separated list of addresses.
 const (
 	KindName Kind = iota
 	KindFile
@@ -18,7 +19,7 @@
 	KindDuration
 )
 
-// allowed says in words what a value of the kind looks like.
+// allowed describes the values of the kind.
 func (k Kind) allowed() string {
 	switch k {
 	case KindName:
--- a/internal/settings/line_index.go
+++ b/internal/settings/line_index.go
@@ -2,14 +2,18 @@
 
 import "strings"
 
-// lineIndex tells where each section and key stands; the INI library does not.
+// lineIndex records the lines of sections and keys, which the INI library does not
+// report.
 type lineIndex struct {
+	// sections maps each section to the line of its first header.
 	sections map[string]int
-	keys     []place
+	keys     []position
 	// malformed are lines that are neither a comment, nor a section, nor key = value.
-	malformed []place
-	lines     int
-	// cleaned is the file without the malformed lines, at unchanged line numbers.
+	malformed []position
+	// lines is the number of lines of the file.
+	lines int
+	// cleaned is the file with malformed lines emptied, so that line numbers do not
+	// change.
 	cleaned []byte
 }
 
@@ -41,13 +45,13 @@
 	}
 }
 
-// addKey reports whether the line is a well-formed key. A value that opens a
-// quote is refused: the library would read on over line ends, and lines that an
-// operator sees as keys would silently be part of that value.
+// addKey records the key on a line and reports whether the line is well formed. A value
+// that starts with a quote is rejected: the INI library would read it across line ends,
+// and lines that an operator means as keys would silently become part of the value.
 func (x *lineIndex) addKey(section, line string, number int) bool {
 	key, value, found := strings.Cut(line, "=")
 	key, value = strings.TrimSpace(key), strings.TrimSpace(value)
-	at := place{section: section, key: key, line: number}
+	at := position{section: section, key: key, line: number}
 	if !found || key == "" || section == "" || strings.ContainsAny(key, "\"`[]") || strings.IndexAny(value, "\"`'") == 0 {
 		x.malformed = append(x.malformed, at)
 		return false
@@ -56,7 +60,7 @@
 	return true
 }
 
-// lineOf returns where a key stands last, 0 when it is not given.
+// lineOf returns the line of a key's last occurrence, 0 if the file does not have it.
 func (x *lineIndex) lineOf(section, key string) int {
 	for i := len(x.keys) - 1; i >= 0; i-- {
 		if x.keys[i].section == section && x.keys[i].key == key {
@@ -66,7 +70,8 @@
 	return 0
 }
 
-// lineFor returns the best line for a finding on a key that may be missing.
+// lineFor returns the line for a finding on a key that may be missing: the line of the
+// key, else that of its section, else the last line of the file.
 func (x *lineIndex) lineFor(section, key string) int {
 	if line := x.lineOf(section, key); line > 0 {
 		return line
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -6,15 +6,15 @@
 	"gopkg.in/ini.v1"
 )
 
-// maxFileBytes bounds a settings file, in case the path names something else.
+// maxFileBytes bounds a settings file, in case the path names another kind of file.
 const maxFileBytes = 1 << 20
 
-// Load reads a settings file. The settings are nil when there is any finding.
+// Load reads a settings file. The settings are nil if there is any finding.
 func Load(path string) (*Settings, []Finding) {
 	return load(path, Parse)
 }
 
-// load reads a file and parses it as its kind of settings.
+// load reads a file and parses it with parse.
 func load(path string, parse func(path string, file []byte) (*Settings, []Finding)) (*Settings, []Finding) {
 	file, err := os.ReadFile(path)
 	if err != nil {
@@ -23,16 +23,18 @@
 	return parse(path, file)
 }
 
-// Parse is Load for a file that has been read; path is for the findings.
+// Parse is Load for the contents of a file; path only appears in findings.
 func Parse(path string, file []byte) (*Settings, []Finding) {
 	return parse(path, file, Keys, (*reader).crossCheck)
 }
 
-func parse(path string, file []byte, keys []Key, crossCheck func(*reader)) (*Settings, []Finding) {
+// parse reads the given keys from a file and then calls check, which checks their
+// values against each other.
+func parse(path string, file []byte, keys []Key, check func(*reader)) (*Settings, []Finding) {
 	if len(file) > maxFileBytes {
 		return nil, []Finding{{File: path, Section: "file", Problem: "is too long", Allowed: "up to 1 MiB"}}
 	}
-	r := &reader{path: path, keys: keys, index: indexLines(file), settings: &Settings{}, cross: crossCheck}
+	r := &reader{path: path, keys: keys, index: indexLines(file), settings: &Settings{}, finalCheck: check}
 	r.read()
 	if len(r.findings) > 0 {
 		r.sortFindings()
@@ -41,8 +43,8 @@
 	return r.settings, nil
 }
 
-// iniOptions turn off what would make one line's meaning depend on another's or
-// on the process's environment.
+// iniOptions turn off features of the INI library that make the meaning of a line
+// depend on other lines or on the process's environment.
 var iniOptions = ini.LoadOptions{
 	IgnoreContinuation:       true,
 	SpaceBeforeInlineComment: true,
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -31,7 +31,7 @@
 `
 
 func TestMinimalFileTakesDefaults(t *testing.T) {
-	Convey("A file with no more than what is needed takes the defaults for the rest", t, func() {
+	Convey("A file with only the required keys gets the defaults for the rest", t, func() {
 		s, findings := Parse("f.ini", []byte(minimal))
 		So(findings, ShouldBeEmpty)
 		So(s.VM.DataCentre, ShouldEqual, "lima-surco")
@@ -43,8 +43,8 @@
 	})
 }
 
-// An operator's file has many faults at once. All are reported in one run, each
-// with its line, so that the operator does not mend them one start at a time.
+// All findings on a file with many faults are reported in one run, each with its line,
+// so that the operator does not have to correct them one start at a time.
 func TestAllFindingsInOneReport(t *testing.T) {
 	file := `stray = 1
 [vm]
@@ -123,11 +123,11 @@
 	}
 }
 
-// A value may hold what some INI files give a meaning to. Here it is text: a
-// token file's path is not cut at # or ;, not joined to the next line at a
-// backslash, and not filled in from other keys at %(name)s.
+// Characters that are special in some INI dialects are plain text in values: a token
+// file's path is not cut at # or ;, not joined to the next line at a backslash, and
+// %(name)s is not replaced by the value of another key.
 func TestValuesAreTakenAsWritten(t *testing.T) {
-	Convey("Given a path of signs that INI files give a meaning to", t, func() {
+	Convey("Given a path with characters that are special in some INI dialects", t, func() {
 		file := strings.Replace(minimal, "tokens_file = tokens", `tokens_file = /a;b#c%(name)s\`, 1)
 		s, findings := Parse("f.ini", []byte(file))
 		So(findings, ShouldBeEmpty)
@@ -139,8 +139,9 @@
 	})
 }
 
-// Two listeners on one port, one of them on all addresses: the second could not
-// be opened, or on some systems would silently take the first one's connections.
+// A listener on all addresses conflicts with any other listener on its port: the second
+// could not be opened, or on some systems would silently get the first one's
+// connections.
 func TestUnspecifiedAddressTakesThePort(t *testing.T) {
 	for section, change := range map[string][2]string{
 		"admin": {"address = 127.0.0.1:8080", "address = 0.0.0.0:8081"},
@@ -161,8 +162,8 @@
 	})
 }
 
-// The table of keys and the struct must name the same fields: a field that no key
-// fills would keep its zero value whatever the operator writes.
+// The tables of keys and the struct must have the same fields: a field that no key sets
+// would have its zero value whatever the operator writes.
 func TestEveryFieldHasAKey(t *testing.T) {
 	s := &Settings{}
 	filled := map[any]bool{}
@@ -171,7 +172,7 @@
 		for _, key := range table {
 			pointer := key.field(s)
 			if inTable[pointer] {
-				t.Errorf("two keys fill the field of %s.%s", key.Section, key.Name)
+				t.Errorf("two keys set the field of %s.%s", key.Section, key.Name)
 			}
 			inTable[pointer] = true
 			filled[pointer] = true
@@ -184,13 +185,13 @@
 				walk(path+"."+v.Type().Field(i).Name, v.Field(i))
 			}
 		} else if !filled[v.Addr().Interface()] {
-			t.Errorf("no key fills Settings%s", path)
+			t.Errorf("no key sets Settings%s", path)
 		}
 	}
 	walk("", reflect.ValueOf(s).Elem())
 }
 
-// The example names every key, with its default, and has no finding.
+// The example file is what the table of keys gives, and it has no findings.
 func TestExampleFile(t *testing.T) {
 	const path = "../../geraniumcroft.example.ini"
 	file, err := os.ReadFile(path)
--- a/internal/settings/log.go
+++ b/internal/settings/log.go
@@ -1,6 +1,6 @@
 package settings
 
-// Log says what is logged.
+// Log holds the settings of the log.
 type Log struct {
 	Level  string
 	Format string
--- a/internal/settings/metrics.go
+++ b/internal/settings/metrics.go
@@ -1,6 +1,7 @@
 package settings
 
-// Metrics says how metrics are named.
+// Metrics holds the settings of the metrics.
 type Metrics struct {
+	// Prefix is the first part of each metric's name.
 	Prefix string
 }
--- a/internal/settings/page.go
+++ b/internal/settings/page.go
@@ -26,7 +26,7 @@
 while the system runs, through the admin API.
 `
 
-// sectionDocs says in a line what each section is about.
+// sectionDocs describes each section in one line.
 var sectionDocs = map[string]string{
 	"vm":        "Who this process is.",
 	"callers":   "The callers' listener.",
@@ -40,7 +40,7 @@
 	"metrics":   "The metrics, on the operators' listener.",
 }
 
-// Page returns docs/settings.md.
+// Page returns the contents of docs/settings.md.
 func Page() string {
 	var b strings.Builder
 	b.WriteString(pageHead)
--- a/internal/settings/parse_value.go
+++ b/internal/settings/parse_value.go
@@ -13,8 +13,8 @@
 
 var namePattern = regexp.MustCompile(`^[a-z][a-z0-9._-]{0,62}$`)
 
-// setValue parses text as the key's type, checks its range and stores it. It
-// returns what is wrong, or nothing.
+// setValue parses text as the key's type, checks its range and stores the value in s.
+// It returns the problem, or an empty string.
 func (k Key) setValue(s *Settings, text string) string {
 	switch field := k.field(s).(type) {
 	case *string:
@@ -59,6 +59,8 @@
 	return ""
 }
 
+// addressProblem returns what is wrong with an IP:port, whose port must be minPort or
+// higher, or an empty string.
 func addressProblem(text string, minPort uint16) string {
 	address, err := netip.ParseAddrPort(text)
 	if err == nil {
@@ -126,6 +128,8 @@
 	return ""
 }
 
+// setNumber parses a number or duration and stores it if it is in the key's range. It
+// rejects NaN, which is not equal to itself.
 func setNumber[T cmp.Ordered](k Key, field *T, text string, parse func(string) (T, error)) string {
 	value, err := parse(text)
 	if err != nil || value != value {
@@ -139,6 +143,7 @@
 	return ""
 }
 
+// mustParse parses a bound from the table of keys and panics if it is invalid.
 func mustParse[T any](text string, parse func(string) (T, error)) T {
 	value, err := parse(text)
 	if err != nil {
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -2,14 +2,17 @@
 
 import "time"
 
-// Platform says where the platform's services are and what this VM may ask of them.
+// Platform holds the addresses of the platform's services and the bounds on their use.
 type Platform struct {
 	Table   string
 	Objects string
 	VMList  string
-	// TLSCA is the file of authorities that sign the services' certificates.
-	TLSCA           string
+	// TLSCA is the file of the authorities that sign the services' certificates.
+	TLSCA string
+	// WritesPerSecond and ReadsPerSecond are the whole fleet's budgets of table
+	// operations, of which this VM takes its share.
 	WritesPerSecond float64
 	ReadsPerSecond  float64
-	Timeout         time.Duration
+	// Timeout bounds one operation.
+	Timeout time.Duration
 }
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -8,12 +8,13 @@
 	"gopkg.in/ini.v1"
 )
 
-// reader reads one file and collects what is wrong in it.
+// reader reads one settings file and collects the findings on it.
 type reader struct {
 	path string
-	// keys are those that the file may have, cross looks at their values together.
-	keys  []Key
-	cross func(*reader)
+	// keys are the keys that the file may have. finalCheck checks their values against
+	// each other once all are set.
+	keys       []Key
+	finalCheck func(*reader)
 
 	index    *lineIndex
 	file     *ini.File
@@ -29,11 +30,11 @@
 	}
 	r.file = file
 	r.checkMalformed()
-	r.checkSections()
-	r.checkKnown()
-	r.checkTwice()
+	r.checkUnknownSections()
+	r.checkUnknownKeys()
+	r.checkDuplicates()
 	r.setAll()
-	r.cross(r)
+	r.finalCheck(r)
 }
 
 func (r *reader) addAt(line int, section, key, problem, allowed string) {
@@ -42,6 +43,7 @@
 	})
 }
 
+// add adds a finding at the line of the key, or of its section if the key is missing.
 func (r *reader) add(section, key, problem, allowed string) {
 	r.addAt(r.index.lineFor(section, key), section, key, problem, allowed)
 }
@@ -52,7 +54,7 @@
 	}
 }
 
-func (r *reader) checkSections() {
+func (r *reader) checkUnknownSections() {
 	for section, line := range r.index.sections {
 		if !slices.ContainsFunc(r.keys, func(k Key) bool { return k.Section == section }) {
 			r.addAt(line, section, "", "unknown section", strings.Join(sectionNames(r.keys), ", "))
@@ -60,7 +62,7 @@
 	}
 }
 
-func (r *reader) checkKnown() {
+func (r *reader) checkUnknownKeys() {
 	for _, at := range r.index.keys {
 		allowed := keyNames(r.keys, at.section)
 		if len(allowed) > 0 && !slices.Contains(allowed, at.key) {
@@ -69,10 +71,10 @@
 	}
 }
 
-func (r *reader) checkTwice() {
-	seen := map[place]bool{}
+func (r *reader) checkDuplicates() {
+	seen := map[position]bool{}
 	for _, at := range r.index.keys {
-		id := place{section: at.section, key: at.key}
+		id := position{section: at.section, key: at.key}
 		if seen[id] {
 			r.addAt(at.line, at.section, at.key, "is given twice", "once")
 		}
@@ -102,7 +104,8 @@
 	}
 }
 
-// value returns the raw text: the library's own String would replace %(name)s.
+// value returns the key's text as written. The INI library's Key.String would expand
+// %(name)s.
 func (r *reader) value(key Key) (text string, given bool) {
 	if r.index.lineOf(key.Section, key.Name) == 0 {
 		return "", false
--- a/internal/settings/relay_keys.go
+++ b/internal/settings/relay_keys.go
@@ -1,7 +1,7 @@
 package settings
 
-// RelayKeys lists every key of a relaying VM's file. Those that it shares with other
-// VMs are taken from Keys.
+// RelayKeys lists every key of a relaying VM's settings file. The keys that it shares
+// with the files of other VMs are taken from Keys.
 var RelayKeys = append(sharedKeys(map[string][]string{
 	"vm":       {"name", "data_centre"},
 	"callers":  {"address", "max_header_bytes", "read_timeout", "idle_timeout"},
@@ -42,7 +42,8 @@
 		field: func(s *Settings) any { return &s.Relay.RetryWindow }},
 }...)
 
-// sharedKeys returns the keys of the given names, by section.
+// sharedKeys returns the keys of Keys whose names are listed for their section, in the
+// order of Keys.
 func sharedKeys(names map[string][]string) []Key {
 	var shared []Key
 	for _, key := range Keys {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,7 @@
 package settings
 
-// Settings are all static settings of a process. Sizes are in bytes.
+// Settings holds all static settings of a process. Sizes are in bytes unless a field
+// says otherwise.
 type Settings struct {
 	VM        VM
 	Callers   Callers
@@ -12,6 +13,6 @@
 	Shutdown  Shutdown
 	Log       Log
 	Metrics   Metrics
-	// Relay is filled for relaying VMs alone.
+	// Relay is only set for relaying VMs.
 	Relay Relay
 }
--- a/internal/settings/shutdown.go
+++ b/internal/settings/shutdown.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Shutdown says how a stop goes.
+// Shutdown holds the settings of a graceful shutdown.
 type Shutdown struct {
-	// UnreadyWait is how long the VM goes on accepting requests after it has become
-	// unready, so that the balancer learns of it.
+	// UnreadyWait is how long the VM still accepts requests after it has become unready,
+	// so that the balancer stops sending requests first.
 	UnreadyWait time.Duration
 }
--- a/internal/settings/targets.go
+++ b/internal/settings/targets.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Targets says how targets are watched.
+// Targets holds the settings for monitoring targets.
 type Targets struct {
 	ReportInterval   time.Duration
 	ConnectTimeout   time.Duration
--- a/internal/settings/vm.go
+++ b/internal/settings/vm.go
@@ -1,13 +1,14 @@
 package settings
 
-// VM says who this process is.
+// VM identifies the VM that this process runs on and holds its resources.
 type VM struct {
 	Name       string
 	DataCentre string
-	// Cores is the part of a processor core that the VM has, 0 if it is not known.
+	// Cores is the number of processor cores that the VM has, which may be a fraction; 0
+	// if unknown.
 	Cores float64
-	// MemoryMB is the memory after which the process is ended, in MiB, and MaxHandles how many
-	// handles it may have open; 0 if they are not known.
+	// MemoryMB is the memory in MiB beyond which the process is killed. MaxHandles is the
+	// number of handles that it may have open. 0 means unknown.
 	MemoryMB   int
 	MaxHandles int
 }
