--- a/internal/service/call.go
+++ b/internal/service/call.go
@@ -1,14 +1,14 @@
 package service
 
-// Call is one call of a plain service.
+// Call is one call to a plain service.
 type Call struct {
 	RequestID string
 	Path      string
 	Body      []byte
-	// ContentType of the body.
+	// ContentType is the media type of Body; may be empty.
 	ContentType string
-	// Idempotent calls may be repeated by the router.
+	// Idempotent says that the router may repeat the call.
 	Idempotent bool
-	// IdempotencyKey is the caller's, passed on; may be empty.
+	// IdempotencyKey is the caller's key, sent to the service unchanged; may be empty.
 	IdempotencyKey string
 }
--- a/internal/service/call_error.go
+++ b/internal/service/call_error.go
@@ -2,12 +2,13 @@
 
 import "fmt"
 
-// CallError reports a call without a whole response.
+// CallError reports a call that got no complete response.
 type CallError struct {
 	Address string
 	// Sent says whether a byte of the call may have left this VM.
 	Sent bool
-	// Silent says that the connection stood but nothing arrived within the bound.
+	// Silent says that nothing arrived within the time limit although the connection
+	// was not closed.
 	Silent bool
 	Cause  error
 }
--- a/internal/service/doc.go
+++ b/internal/service/doc.go
@@ -1,9 +1,9 @@
-// Package service is the system's view of plain services: targets that answer
-// one call with one response.
+// Package service defines how the router calls plain services: targets that answer one
+// call with one response.
 //
-// Connecting and calling are two steps, as they fail differently. A failed Connect
-// proves that the call did not run. A *CallError says whether a byte of the call may
-// have left this VM; if so the call may have run, also when the connection was reset.
-// A response counts only if it carries the call's request id and has its stated
-// length.
+// Connecting and calling are separate steps because they fail differently. A failed
+// Connect proves that the call did not run. A *CallError says whether a byte of the call
+// may have left this VM; if so the call may have run, even if the connection was reset.
+// A response is valid only if it carries the call's request id and has the length that
+// it states.
 package service
--- a/internal/service/httpservice/bench_test.go
+++ b/internal/service/httpservice/bench_test.go
@@ -10,8 +10,8 @@
 	"geraniumcroft/internal/transport"
 )
 
-// BenchmarkCall makes calls one after the other over loopback, on a new connection
-// each or on a proven one; the service's end is in it.
+// BenchmarkCall makes sequential calls over loopback, each on a new connection or all on
+// an idle one. It includes the time of the service.
 func BenchmarkCall(b *testing.B) {
 	for _, fresh := range []bool{true, false} {
 		b.Run(fmt.Sprintf("fresh=%t", fresh), func(b *testing.B) {
--- a/internal/service/httpservice/client.go
+++ b/internal/service/httpservice/client.go
@@ -19,33 +19,33 @@
 type Client struct {
 	pool     *transport.Pool
 	settings Settings
-	kept     *keptConns
+	idle     *idleConns
 }
 
 var _ service.Client = (*Client)(nil)
 
-// New returns a client that makes its connections by pool.
+// New returns a client that makes its connections with pool.
 func New(pool *transport.Pool, s Settings) *Client {
 	s = s.WithDefaults()
-	return &Client{pool: pool, settings: s, kept: newKeptConns(s)}
+	return &Client{pool: pool, settings: s, idle: newIdleConns(s)}
 }
 
 // Connect implements service.Client.
 func (c *Client) Connect(ctx context.Context, address string, fresh bool) (service.Conn, error) {
 	if !fresh {
-		if kept := c.kept.take(address); kept != nil {
-			return kept, nil
+		if idle := c.idle.take(address); idle != nil {
+			return idle, nil
 		}
 	}
-	wire, err := c.pool.Connect(ctx, address, c.settings.SilenceTimeout)
+	transportConn, err := c.pool.Connect(ctx, address, c.settings.SilenceTimeout)
 	if err != nil {
 		return nil, &service.CallError{Address: address, Cause: err}
 	}
-	return &conn{client: c, address: address, wire: wire, provenAt: time.Now()}, nil
+	return &conn{client: c, address: address, transportConn: transportConn, lastActive: time.Now()}, nil
 }
 
-// Load implements service.Client. The report goes on a connection of its own
-// class, so it neither waits behind calls nor holds one up.
+// Load implements service.Client. Load reports use connections of their own, so that
+// they neither wait for calls nor delay them.
 func (c *Client) Load(ctx context.Context, address string) (engine.LoadReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.LoadTimeout)
 	defer cancel()
@@ -71,17 +71,19 @@
 	return report, errors.Wrap(json.Unmarshal(body, &report), "load report")
 }
 
+// suspectIfSilent drops the idle connections to a peer if the time limit has passed.
 func (c *Client) suspectIfSilent(ctx context.Context, address string) {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		c.suspect(address)
 	}
 }
 
-// Close drops every unused connection.
-func (c *Client) Close() { c.kept.dropAll() }
+// Close closes all idle connections.
+func (c *Client) Close() { c.idle.closeAll() }
 
-// suspect drops every unused connection to a peer of which one was found silent.
+// suspect closes all idle connections to a peer after one of its connections was found
+// silent.
 func (c *Client) suspect(address string) {
-	c.kept.drop(address)
+	c.idle.closeAllTo(address)
 	c.pool.Suspect(address)
 }
--- a/internal/service/httpservice/client_test.go
+++ b/internal/service/httpservice/client_test.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// A desk's hold must not be confirmed twice. The service reads the second call on
-// a kept connection, may have run it, and closes without an answer. net/http would
-// send a call with an Idempotency-Key again by itself; here the service sees it
-// once, and the error says that it left.
-func TestACallIsNotResentOnADeadKeptConnection(t *testing.T) {
+// A call must not run twice. The service reads a second call on a reused connection, may
+// have run it, and closes the connection without a response. net/http would resend a
+// request with an Idempotency-Key; this client sends it once, and the error says that it
+// was sent.
+func TestCallIsNotResentOnBrokenIdleConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &pipeService{answer: func(number int, _ *http.Request) (string, bool) {
+		p := &pipeService{respond: func(number int, _ *http.Request) (string, bool) {
 			if number == 1 {
-				return wholeAnswer, true
+				return completeResponse, true
 			}
 			return "", false
 		}}
@@ -28,9 +28,9 @@
 			t.Fatal(err)
 		}
 		_, err := call(t.Context(), t, client, false)
-		failure := callErrorOf(t, err)
+		failure := asCallError(t, err)
 		if !failure.Sent || failure.Silent {
-			t.Fatalf("%v, expected a call that left and a connection that broke", err)
+			t.Fatalf("%v, expected a call that was sent and a connection that was closed", err)
 		}
 		if dials, requests := p.counts(); dials != 1 || requests != 2 {
 			t.Fatalf("%d dials, %d requests", dials, requests)
@@ -38,13 +38,13 @@
 	})
 }
 
-// A call that may not be repeated goes on a connection made for it, also when a
-// kept one is at hand, and one that was kept longer than it counts as proven is
-// not used by any call: a connection that went silent while it was idle would
-// turn a refusal into an unknown outcome.
-func TestOnlyAProvenConnectionIsReused(t *testing.T) {
+// A call that may not be repeated gets a new connection even if there is an idle one, and
+// no call gets a connection that has been idle for longer than MaxIdleTime. On a
+// connection that went silent while it was idle, a call that could have been refused
+// would have an unknown outcome.
+func TestOnlyRecentConnectionIsReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &pipeService{answer: func(int, *http.Request) (string, bool) { return wholeAnswer, true }}
+		p := &pipeService{respond: func(int, *http.Request) (string, bool) { return completeResponse, true }}
 		client := newTestClient(t, p.dial)
 		steps := []struct {
 			fresh bool
@@ -52,9 +52,9 @@
 			dials int
 		}{
 			{false, 0, 1},
-			{false, 400 * time.Millisecond, 1}, // proven a moment ago
+			{false, 400 * time.Millisecond, 1}, // within MaxIdleTime
 			{true, 0, 2},
-			{false, 600 * time.Millisecond, 3}, // no longer proven
+			{false, 600 * time.Millisecond, 3}, // the idle connection has expired
 		}
 		for i, step := range steps {
 			time.Sleep(step.after)
@@ -68,11 +68,11 @@
 	})
 }
 
-// A service, or a proxy before it, sends more than the answer that it announced. The
-// rest would be read as the next call's answer, so the connection is not used again.
-func TestAConnectionWithBytesLeftIsNotReused(t *testing.T) {
+// A service, or a proxy in front of it, may send more bytes than its response has. The
+// rest would be read as the response to the next call, so the connection is not reused.
+func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &pipeService{answer: func(int, *http.Request) (string, bool) { return wholeAnswer + wholeAnswer, true }}
+		p := &pipeService{respond: func(int, *http.Request) (string, bool) { return completeResponse + completeResponse, true }}
 		client := newTestClient(t, p.dial)
 		for want := 1; want <= 2; want++ {
 			if _, err := call(t.Context(), t, client, false); err != nil {
@@ -85,57 +85,58 @@
 	})
 }
 
-// The caller gets a truthful answer within the bound. The service has read the
-// call, and then nothing arrives although the connection stands. The call left,
-// so it may have run; the connection is not used again and neither is the one
-// that was kept beside it, but the service itself is not declared dead.
-func TestASilentConnectionIsFoundWithinItsBound(t *testing.T) {
+// The service reads a call, and then nothing arrives although the connection stays open.
+// Do returns within the silence timeout and reports that the call was sent, so that it
+// may have run. Neither this connection nor the idle one to the same service is used
+// again, but new connections to the service still are: the service is not treated as
+// dead.
+func TestSilentConnectionTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		silent := make(chan struct{})
 		p := &pipeService{}
-		p.answer = func(number int, _ *http.Request) (string, bool) {
+		p.respond = func(number int, _ *http.Request) (string, bool) {
 			if number == 2 {
 				<-silent
 			}
-			return wholeAnswer, true
+			return completeResponse, true
 		}
 		client := newTestClient(t, p.dial)
 		if _, err := call(t.Context(), t, client, true); err != nil {
 			t.Fatal(err)
 		}
 		start := time.Now()
-		held, err := client.Connect(t.Context(), testAddress, true)
+		silentConn, err := client.Connect(t.Context(), testAddress, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		// Keep the first connection proven while the second is silent.
-		client.settings.MaxIdleTime, client.kept.settings.MaxIdleTime = time.Hour, time.Hour
-		kept, err := client.Connect(t.Context(), testAddress, false)
+		// Keep the first connection from expiring while the second is silent.
+		client.settings.MaxIdleTime, client.idle.settings.MaxIdleTime = time.Hour, time.Hour
+		idle, err := client.Connect(t.Context(), testAddress, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		kept.Release()
-		_, err = held.Do(t.Context(), testCall)
-		failure := callErrorOf(t, err)
+		idle.Release()
+		_, err = silentConn.Do(t.Context(), testCall)
+		failure := asCallError(t, err)
 		if !failure.Sent || !failure.Silent {
-			t.Fatalf("%v, expected silence after the call left", err)
+			t.Fatalf("%v, expected silence after the call was sent", err)
 		}
 		if took := time.Since(start); took != time.Second {
-			t.Fatalf("found after %s of virtual time", took)
+			t.Fatalf("timed out after %s of virtual time", took)
 		}
 		close(silent)
 		if _, err := call(t.Context(), t, client, false); err != nil {
 			t.Fatal(err)
 		}
 		if dials, _ := p.counts(); dials != 3 {
-			t.Fatalf("%d dials: the connection beside the silent one was used", dials)
+			t.Fatalf("%d dials: the idle connection was used after another one had been silent", dials)
 		}
 	})
 }
 
-// Whatever ends a call before its whole response, the caller must not take a part
-// of an answer for the answer.
-func TestAPartOfAResponseIsNoAnswer(t *testing.T) {
+// A response that is truncated, too large or without a stated length must be an error:
+// the caller must not take a part of a response for the complete one.
+func TestIncompleteResponseIsAnError(t *testing.T) {
 	cases := map[string]string{
 		"nothing":              "",
 		"half a head":          "HTTP/1.1 200 OK\r\nRequest-",
@@ -150,23 +151,23 @@
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := &pipeService{answer: func(int, *http.Request) (string, bool) { return text, false }}
+				p := &pipeService{respond: func(int, *http.Request) (string, bool) { return text, false }}
 				response, err := call(t.Context(), t, newTestClient(t, p.dial), true)
 				if err == nil {
-					t.Fatalf("taken for an answer: %+v", response)
+					t.Fatalf("accepted as a response: %+v", response)
 				}
-				if failure := callErrorOf(t, err); !failure.Sent {
-					t.Fatalf("%v, but the call left", err)
+				if failure := asCallError(t, err); !failure.Sent {
+					t.Fatalf("%v, but the call was sent", err)
 				}
 			})
 		})
 	}
 }
 
-func TestAWholeResponseIsHandedUp(t *testing.T) {
+func TestCompleteResponseIsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var seen http.Header
-		p := &pipeService{answer: func(_ int, req *http.Request) (string, bool) {
+		p := &pipeService{respond: func(_ int, req *http.Request) (string, bool) {
 			seen = req.Header
 			return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nRequest-Id: r\r\nGeraniumcroft-Not-Run: true\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true
 		}}
@@ -183,9 +184,9 @@
 	})
 }
 
-// The caller goes away, or its deadline passes, while the service works. Do
-// returns at once and says that the call left.
-func TestTheEndOfTheContextEndsTheCall(t *testing.T) {
+// The caller's context is canceled, or its deadline passes, while the service works. Do
+// returns at once and reports that the call was sent.
+func TestContextEndAbortsCall(t *testing.T) {
 	for name, end := range map[string]struct {
 		after  time.Duration
 		cause  error
@@ -198,7 +199,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				release := make(chan struct{})
 				defer close(release)
-				p := &pipeService{answer: func(int, *http.Request) (string, bool) {
+				p := &pipeService{respond: func(int, *http.Request) (string, bool) {
 					<-release
 					return "", false
 				}}
@@ -212,7 +213,7 @@
 				}
 				start := time.Now()
 				_, err := call(ctx, t, newTestClient(t, p.dial), true)
-				failure := callErrorOf(t, err)
+				failure := asCallError(t, err)
 				if took := time.Since(start); took != end.after {
 					t.Fatalf("took %s of virtual time", took)
 				}
@@ -224,18 +225,18 @@
 	}
 }
 
-// brokenConn is a connection that takes no byte.
+// brokenConn is a connection whose writes fail.
 type brokenConn struct{ net.Conn }
 
 func (brokenConn) Write([]byte) (int, error) { return 0, errors.New("reset") }
 
-// A caller whose call did not leave may be told "not run": no connection was made,
-// or the connection took not one byte.
-func TestNothingIsSentWithoutAConnectionThatTakesIt(t *testing.T) {
+// Only a call of which no byte was sent may be reported as not run: no connection was
+// made, or the first write failed.
+func TestUnsentCallIsReportedAsUnsent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		refuse := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 		_, err := newTestClient(t, refuse).Connect(t.Context(), testAddress, true)
-		if failure := callErrorOf(t, err); failure.Sent {
+		if failure := asCallError(t, err); failure.Sent {
 			t.Fatalf("%v, but there was no connection", err)
 		}
 		p := &pipeService{}
@@ -244,17 +245,17 @@
 			return brokenConn{conn}, err
 		}
 		_, err = call(t.Context(), t, newTestClient(t, broken), true)
-		if failure := callErrorOf(t, err); failure.Sent {
-			t.Fatalf("%v, but no byte left", err)
+		if failure := asCallError(t, err); failure.Sent {
+			t.Fatalf("%v, but no byte was sent", err)
 		}
 	})
 }
 
-// A connection carries one call. A second call on the same handle would race the
-// response of the first.
-func TestAHandleCarriesOneCall(t *testing.T) {
+// A Conn carries one call. A second call on the same Conn would race with the response of
+// another call on the underlying connection.
+func TestConnCarriesOneCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &pipeService{answer: func(int, *http.Request) (string, bool) { return wholeAnswer, true }}
+		p := &pipeService{respond: func(int, *http.Request) (string, bool) { return completeResponse, true }}
 		client := newTestClient(t, p.dial)
 		conn, err := client.Connect(t.Context(), testAddress, true)
 		if err != nil {
@@ -265,7 +266,7 @@
 		}
 		conn.Release()
 		_, err = conn.Do(t.Context(), testCall)
-		if failure := callErrorOf(t, err); failure.Sent || !errors.Is(err, errUsed) {
+		if failure := asCallError(t, err); failure.Sent || !errors.Is(err, errUsed) {
 			t.Fatalf("%v", err)
 		}
 	})
--- a/internal/service/httpservice/conn.go
+++ b/internal/service/httpservice/conn.go
@@ -20,22 +20,25 @@
 	HeaderNotRun         = "Geraniumcroft-Not-Run"
 )
 
-// framingAllowance is what chunked framing may add to a body, in bytes.
+// framingAllowance is how many bytes chunked framing may add to a body.
 const framingAllowance = 64 << 10
 
 var (
 	errUsed     = errors.New("the connection has already carried its call")
-	errNoLength = errors.New("the response states no length, so its end cannot be told from a cut")
+	errNoLength = errors.New("the response states no length, so a truncated body cannot be detected")
 )
 
-// conn carries one call; it implements service.Conn.
+// conn is a connection for one call. It implements service.Conn.
 type conn struct {
-	client   *Client
-	address  string
-	wire     *transport.Conn
-	used     bool
-	provenAt time.Time
-	expiry   *time.Timer // while kept
+	client        *Client
+	address       string
+	transportConn *transport.Conn
+	// used says that the conn has carried its call or was released.
+	used bool
+	// lastActive is when the connection was opened or last brought a response.
+	lastActive time.Time
+	// expiry closes the connection; it is set while the connection is idle.
+	expiry *time.Timer
 }
 
 // Release implements service.Conn.
@@ -44,14 +47,14 @@
 		return
 	}
 	c.used = true
-	c.giveBack()
+	c.putIdle()
 }
 
-// giveBack keeps the connection under a new handle, so that whoever holds the old
-// one cannot send a second call on it.
-func (c *conn) giveBack() {
-	next := &conn{client: c.client, address: c.address, wire: c.wire, provenAt: c.provenAt}
-	c.client.kept.put(next)
+// putIdle stores the connection as idle in a new conn, so that a holder of the old one
+// cannot send a second call on it.
+func (c *conn) putIdle() {
+	next := &conn{client: c.client, address: c.address, transportConn: c.transportConn, lastActive: c.lastActive}
+	c.client.idle.put(next)
 }
 
 // Do implements service.Conn.
@@ -62,24 +65,24 @@
 	c.used = true
 	req, err := newRequest(c.address, call)
 	if err != nil {
-		c.wire.Close()
+		c.transportConn.Close()
 		return service.Response{}, &service.CallError{Address: c.address, Cause: err}
 	}
-	stop := context.AfterFunc(ctx, c.wire.Close)
+	stop := context.AfterFunc(ctx, c.transportConn.Close)
 	defer stop()
-	if sent, err := c.wire.Send(req); err != nil {
-		return service.Response{}, c.failed(ctx, sent, err)
+	if sent, err := c.transportConn.Send(req); err != nil {
+		return service.Response{}, c.fail(ctx, sent, err)
 	}
 	resp, reusable, err := c.receive(req)
 	if err != nil {
-		return service.Response{}, c.failed(ctx, true, err)
+		return service.Response{}, c.fail(ctx, true, err)
 	}
 	if !reusable || !stop() {
-		c.wire.Close()
+		c.transportConn.Close()
 		return resp, nil
 	}
-	c.provenAt = time.Now()
-	c.giveBack()
+	c.lastActive = time.Now()
+	c.putIdle()
 	return resp, nil
 }
 
@@ -98,11 +101,11 @@
 	return req, nil
 }
 
-// receive reads the whole response and reports whether the connection can carry
+// receive reads the complete response and reports whether the connection can carry
 // another call.
 func (c *conn) receive(req *http.Request) (service.Response, bool, error) {
 	max := c.client.settings.MaxBodyBytes
-	resp, err := c.wire.ReadHead(req, max+framingAllowance)
+	resp, err := c.transportConn.ReadHead(req, max+framingAllowance)
 	if err != nil {
 		return service.Response{}, false, err
 	}
@@ -114,30 +117,32 @@
 	if err != nil {
 		return service.Response{}, false, err
 	}
-	answer := service.Response{
+	response := service.Response{
 		RequestID: resp.Header.Get(HeaderRequestID),
 		Status:    resp.StatusCode,
 		Header:    resp.Header,
 		Body:      body,
 		NotRun:    resp.Header.Get(HeaderNotRun) == "true",
 	}
-	return answer, !resp.Close && c.wire.Buffered() == 0, nil
+	return response, !resp.Close && c.transportConn.Buffered() == 0, nil
 }
 
-// failed closes the connection and says what is known of the call.
-func (c *conn) failed(ctx context.Context, sent bool, err error) error {
-	c.wire.Close()
-	failure := &service.CallError{Address: c.address, Sent: sent, Silent: transport.IsSilence(err), Cause: err}
+// fail closes the connection and returns a *CallError with what is known about the call.
+func (c *conn) fail(ctx context.Context, sent bool, err error) error {
+	c.transportConn.Close()
+	callErr := &service.CallError{Address: c.address, Sent: sent, Silent: transport.IsSilence(err), Cause: err}
 	if cause := context.Cause(ctx); cause != nil {
-		failure.Cause = cause
-		failure.Silent = errors.Is(cause, context.DeadlineExceeded)
+		callErr.Cause = cause
+		callErr.Silent = errors.Is(cause, context.DeadlineExceeded)
 	}
-	if failure.Silent {
+	if callErr.Silent {
 		c.client.suspect(c.address)
 	}
-	return failure
+	return callErr
 }
 
+// readBounded reads the whole body. It returns transport.ErrTooLarge if the body has more
+// than max bytes.
 func readBounded(body io.Reader, max int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(body, max+1))
 	if err != nil {
--- a/internal/service/httpservice/pipe_test.go
+++ b/internal/service/httpservice/pipe_test.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	testAddress = "192.0.2.1:80"
-	wholeAnswer = "HTTP/1.1 200 OK\r\nRequest-Id: r\r\nContent-Length: 2\r\n\r\nok"
+	testAddress      = "192.0.2.1:80"
+	completeResponse = "HTTP/1.1 200 OK\r\nRequest-Id: r\r\nContent-Length: 2\r\n\r\nok"
 )
 
-// pipeService is a service's end of connections that are pipes, so that tests run
-// in virtual time. Each request is answered by answer with its number.
+// pipeService is the service's end of in-memory pipes, so that tests run in virtual time.
+// It answers each request with what respond returns for the request's number.
 type pipeService struct {
-	// answer returns what to send, and whether the connection goes on.
-	answer func(number int, req *http.Request) (string, bool)
+	// respond returns what to send and whether to keep the connection open.
+	respond func(number int, req *http.Request) (string, bool)
 
 	mu       sync.Mutex // guards the fields below
 	dials    int
@@ -53,9 +53,9 @@
 		p.requests++
 		number := p.requests
 		p.mu.Unlock()
-		text, goOn := p.answer(number, req)
+		text, keepOpen := p.respond(number, req)
 		_, _ = io.WriteString(conn, text)
-		if !goOn {
+		if !keepOpen {
 			return
 		}
 	}
@@ -86,7 +86,7 @@
 	return conn.Do(ctx, testCall)
 }
 
-func callErrorOf(t *testing.T, err error) *service.CallError {
+func asCallError(t *testing.T, err error) *service.CallError {
 	t.Helper()
 	var failure *service.CallError
 	if !errors.As(err, &failure) {
--- a/internal/service/httpservice/settings.go
+++ b/internal/service/httpservice/settings.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Settings bound calls. A zero field takes its default.
+// Settings holds the limits of calls. A zero field means its default.
 type Settings struct {
-	// SilenceTimeout is how long a connection may bring nothing while a response is awaited.
+	// SilenceTimeout is how long a connection may bring no bytes while a response is awaited.
 	SilenceTimeout time.Duration
-	// MaxIdleTime is how long after an answer a connection counts as proven.
+	// MaxIdleTime is how long after it was opened, or after its last response, a
+	// connection may be reused. A connection can fail unnoticed while it is idle.
 	MaxIdleTime time.Duration
-	// MaxIdlePerPeer bounds the kept connections to one peer.
+	// MaxIdlePerPeer bounds the idle connections to one peer.
 	MaxIdlePerPeer int
-	// MaxBodyBytes bounds a response's body in bytes.
+	// MaxBodyBytes bounds the size of a response's body.
 	MaxBodyBytes int64
 	// LoadTimeout bounds a request for a load report.
 	LoadTimeout time.Duration
--- a/internal/service/response.go
+++ b/internal/service/response.go
@@ -2,13 +2,13 @@
 
 import "net/http"
 
-// Response is a service's whole answer.
+// Response is a service's complete response.
 type Response struct {
-	// RequestID is the id that the service answered for; it must be the call's.
+	// RequestID is the request id in the response; it must be the call's.
 	RequestID string
 	Status    int
 	Header    http.Header
 	Body      []byte
-	// NotRun says that the service declares that it did not run the call.
+	// NotRun says that the service states that it did not run the call.
 	NotRun bool
 }
