--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -1,14 +1,14 @@
-// Package engine is the system's view of model engines.
+// Package engine defines how the router communicates with model engines.
 //
-// A generation runs over one or more stages; each stage is one engine working on
-// a range of layers. The router opens a stream to the engine of each stage and
-// engines send activations to the next stage directly. The stream of the last
-// stage yields tokens; those of the others yield only heartbeats and errors, so
-// the router learns which stage failed without asking another one.
+// A generation runs over one or more stages; each stage is one engine that processes a
+// range of layers. The router opens a stream to the engine of each stage, and engines send
+// activations to the next stage directly. The stream of the last stage carries tokens; the
+// streams of the others carry only heartbeats and errors, so that the router detects the
+// failure of a stage without a query to another one.
 //
-// Each failure says what is known. An *OpenError says whether the request left this
-// VM, and whether the engine was merely busy. A *StreamError tells a stream that
-// broke from one that went silent, which says nothing about the engine. An
-// *OrderError is ambiguous when the order may have taken effect: the engine's State
-// is read back then, and the order is not repeated blindly.
+// Each error says what is known about the failure. An *OpenError says whether the request
+// was sent and whether the engine was only busy. A *StreamError distinguishes a stream that
+// broke from one that went silent; silence of a connection says nothing about the engine. An
+// *OrderError is ambiguous if the order may have taken effect: the caller must then read the
+// engine's State instead of repeating the order.
 package engine
--- a/internal/engine/event.go
+++ b/internal/engine/event.go
@@ -1,6 +1,6 @@
 package engine
 
-// EventKind says what an Event is.
+// EventKind is the kind of an Event.
 type EventKind string
 
 // The kinds of events of a stage's stream.
@@ -15,18 +15,18 @@
 // Event is one message of a stage's stream.
 type Event struct {
 	Kind EventKind `json:"kind"`
-	// RequestID and Epoch name the generation that the event belongs to.
+	// RequestID and Epoch identify the generation that the event belongs to.
 	RequestID string `json:"requestId"`
 	Epoch     uint32 `json:"epoch"`
 	// Position counts generated tokens from 0; for EventToken.
 	Position int    `json:"position,omitempty"`
 	Text     string `json:"text,omitempty"`
-	// Trace lists the executions that made the token, in order; for EventToken.
+	// Trace lists the executions that produced the token, in order; for EventToken.
 	Trace []Execution `json:"trace,omitempty"`
 	// Finish is "stop" or "length"; for EventDone.
 	Finish string `json:"finish,omitempty"`
-	// FailedStage is the index of the stage that an EventError is about; it need not be
-	// the stage that reports it. Message says what happened.
+	// FailedStage is the index of the stage that failed, which may be another one than the
+	// stage that reports it; for EventError. Message describes the failure.
 	FailedStage int    `json:"blame,omitempty"`
 	Message     string `json:"message,omitempty"`
 	// ReusedKV counts the positions for which the engine had KV cache; for EventReady.
--- a/internal/engine/execution.go
+++ b/internal/engine/execution.go
@@ -2,7 +2,7 @@
 
 import "geraniumcroft/internal/config"
 
-// Execution is one stage's work on one token.
+// Execution records that a stage processed a token.
 type Execution struct {
 	Target string            `json:"target"`
 	Epoch  uint32            `json:"epoch"`
--- a/internal/engine/hop.go
+++ b/internal/engine/hop.go
@@ -2,7 +2,7 @@
 
 import "geraniumcroft/internal/config"
 
-// Hop is one stage as the engines need to know it.
+// Hop describes one stage of a generation to the engines.
 type Hop struct {
 	Target  string            `json:"target"`
 	Address string            `json:"address"`
--- a/internal/engine/httpengine/bench_test.go
+++ b/internal/engine/httpengine/bench_test.go
@@ -38,8 +38,8 @@
 	})
 }
 
-// tcpEngine answers every request with a ready stream and hands its connections
-// out. It has no goroutine a connection, so that what is measured is the client.
+// tcpEngine answers every request with a ready stream and sends its connections to conns.
+// It has no goroutine per connection, so that the benchmarks measure the client.
 type tcpEngine struct {
 	listener net.Listener
 	conns    chan net.Conn
@@ -72,14 +72,15 @@
 	}
 }
 
+// chunk returns data as one chunk of a chunked body.
 func chunk(data []byte) []byte {
 	return fmt.Appendf(nil, "%x\r\n%s\r\n", len(data), data)
 }
 
-// BenchmarkTokens receives tokens on 64 streams over loopback. An operation is
-// one token; the sender's time is in it, so the client alone is faster. With
-// perWrite=1 each token is a write, a packet and a read of its own, as at 66 ms
-// between the tokens of a stream. Run with -cpu 1 for a figure a core.
+// BenchmarkTokens receives tokens on 64 streams over loopback. An operation is one token
+// and includes the sender's time, so the client alone is faster. With perWrite=1 each token
+// is a separate write, packet and read, as with 66 ms between the tokens of a stream. Run
+// with -cpu 1 for the rate per core.
 func BenchmarkTokens(b *testing.B) {
 	for _, perWrite := range []int{1, 16} {
 		b.Run(fmt.Sprintf("perWrite=%d", perWrite), func(b *testing.B) { benchmarkTokens(b, perWrite) })
@@ -129,8 +130,8 @@
 	}
 }
 
-// BenchmarkOpen opens and closes streams one after the other: a new connection
-// each time, as streams have, or a kept one, as a load report has.
+// BenchmarkOpen measures sequential requests: opening and closing a stream on a new
+// connection, and a control call on a kept-alive connection.
 func BenchmarkOpen(b *testing.B) {
 	b.Run("connection=new", func(b *testing.B) {
 		server := newTCPEngine(b)
@@ -146,7 +147,7 @@
 		}
 	})
 	b.Run("connection=kept", func(b *testing.B) {
-		server := newKeptEngine(b)
+		server := newKeepAliveEngine(b)
 		pool := transport.NewPool(transport.Settings{}, nil)
 		client := New(pool, Settings{})
 		for b.Loop() {
@@ -157,7 +158,9 @@
 	})
 }
 
-func newKeptEngine(b *testing.B) net.Listener {
+// newKeepAliveEngine returns the listener of an engine that answers requests on one
+// connection.
+func newKeepAliveEngine(b *testing.B) net.Listener {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -179,9 +182,9 @@
 	return listener
 }
 
-// BenchmarkOpenStreams reports what an open stream costs in this process: heap
-// and goroutine stacks, the server's end of the connection included. The kernel's
-// socket buffers are not in it.
+// BenchmarkOpenStreams reports the memory that an open stream needs in this process: heap
+// and goroutine stacks, including the server's end of the connection but not the kernel's
+// socket buffers.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 2000
 	server := newTCPEngine(b)
@@ -212,6 +215,7 @@
 	}
 }
 
+// memory returns the bytes of heap and stacks in use after garbage collection.
 func memory() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/engine/httpengine/gated_body_test.go
+++ b/internal/engine/httpengine/checked_body_test.go
@@ -14,10 +14,10 @@
 	"geraniumcroft/internal/transport"
 )
 
-// The operator sees no order of a holder that lost its lease while it waited for a
-// connection. The lease is checked again once the connection stands, and the order's
-// bytes are held back: the engine reads no whole order.
-func TestOrderIsHeldBackOnceTheConnectionStands(t *testing.T) {
+// A holder may lose its lease while its order waits for a connection. The order's check runs
+// once there is a connection. If it fails, the body is not sent, and the engine reads no
+// complete order.
+func TestOrderIsNotSentWhenItsCheckFails(t *testing.T) {
 	errLost := errors.New("lease lost")
 	whole := make(chan string, 2)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -28,8 +28,8 @@
 	pool := transport.NewPool(transport.Settings{}, nil)
 	client := New(pool, Settings{})
 	address := strings.TrimPrefix(server.URL, "http://")
-	order := func(id string, gate func() error) error {
-		return client.Order(engine.WithOrderCheck(context.Background(), gate), address, engine.Order{ID: id})
+	order := func(id string, check func() error) error {
+		return client.Order(engine.WithOrderCheck(context.Background(), check), address, engine.Order{ID: id})
 	}
 	if err := order("first", func() error { return nil }); err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 	close(whole)
 	for body := range whole {
 		if !strings.Contains(body, `"first"`) {
-			t.Errorf("the engine read the whole order %s", body)
+			t.Errorf("the engine read the complete order %s", body)
 		}
 	}
 }
--- a/internal/engine/httpengine/client.go
+++ b/internal/engine/httpengine/client.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	contentTypeJSON   = "application/json"
-	maxControlAnswer  = 8 << 20
-	maxRefusalMessage = 4 << 10
+	contentTypeJSON    = "application/json"
+	maxControlResponse = 8 << 20
+	maxRefusalMessage  = 4 << 10
 )
 
 // Client implements engine.Client.
@@ -31,7 +31,7 @@
 
 var _ engine.Client = (*Client)(nil)
 
-// New returns a client that makes its connections by pool.
+// New returns a client that makes its connections with pool.
 func New(pool *transport.Pool, s Settings) *Client {
 	return &Client{pool: pool, settings: s.WithDefaults()}
 }
@@ -39,14 +39,14 @@
 // Cancel implements engine.Client.
 func (c *Client) Cancel(ctx context.Context, address, requestID string, epoch uint32) error {
 	path := fmt.Sprintf("/v1/stages/%s?epoch=%d", url.PathEscape(requestID), epoch)
-	_, err := c.control(ctx, http.MethodDelete, address, path, nil, nil)
+	_, err := c.controlCall(ctx, http.MethodDelete, address, path, nil, nil)
 	return err
 }
 
 // Load implements engine.Client.
 func (c *Client) Load(ctx context.Context, address string) (engine.LoadReport, error) {
 	var report engine.LoadReport
-	_, err := c.control(ctx, http.MethodGet, address, "/v1/load", nil, &report)
+	_, err := c.controlCall(ctx, http.MethodGet, address, "/v1/load", nil, &report)
 	return report, err
 }
 
@@ -54,41 +54,41 @@
 func (c *Client) CacheEvents(ctx context.Context, address string, after uint64) (engine.CacheEvents, error) {
 	var events engine.CacheEvents
 	path := fmt.Sprintf("/v1/cache-events?after=%d", after)
-	_, err := c.control(ctx, http.MethodGet, address, path, nil, &events)
+	_, err := c.controlCall(ctx, http.MethodGet, address, path, nil, &events)
 	return events, err
 }
 
 // State implements engine.Client.
 func (c *Client) State(ctx context.Context, address string) (engine.State, error) {
 	var state engine.State
-	_, err := c.control(ctx, http.MethodGet, address, "/v1/state", nil, &state)
+	_, err := c.controlCall(ctx, http.MethodGet, address, "/v1/state", nil, &state)
 	return state, err
 }
 
 // Order implements engine.Client.
 func (c *Client) Order(ctx context.Context, address string, order engine.Order) error {
-	sent, err := c.control(ctx, http.MethodPost, address, "/v1/orders", order, nil)
+	sent, err := c.controlCall(ctx, http.MethodPost, address, "/v1/orders", order, nil)
 	if err == nil {
 		return nil
 	}
-	failure := &engine.OrderError{Address: address, Cause: err}
+	orderErr := &engine.OrderError{Address: address, Cause: err}
 	var refused *RefusedError
 	if errors.As(err, &refused) {
-		failure.OldFencing = refused.Code == CodeOldFencing
-		failure.Ambiguous = refused.Status >= http.StatusInternalServerError
-		return failure
+		orderErr.OldFencing = refused.Code == CodeOldFencing
+		orderErr.Ambiguous = refused.Status >= http.StatusInternalServerError
+		return orderErr
 	}
-	failure.Ambiguous = sent
-	return failure
+	orderErr.Ambiguous = sent
+	return orderErr
 }
 
-// control makes one bounded call and reports whether it may have left this VM,
-// which it may from the moment that a connection was handed to it.
-func (c *Client) control(ctx context.Context, method, address, path string, in, out any) (sent bool, err error) {
+// controlCall makes one call within ControlTimeout. It reports whether the request may have
+// been sent, which is so as soon as it has a connection.
+func (c *Client) controlCall(ctx context.Context, method, address, path string, in, out any) (sent bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.ControlTimeout)
 	defer cancel()
-	var left atomic.Bool
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { left.Store(true) }}
+	var connected atomic.Bool
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	req, err := newRequest(httptrace.WithClientTrace(ctx, trace), method, address, path, in)
 	if err != nil {
 		return false, err
@@ -96,27 +96,28 @@
 	resp, err := c.pool.Kept(address).RoundTrip(req)
 	if err != nil {
 		c.suspectIfSilent(ctx, address)
-		return left.Load(), errors.Wrapf(err, "%s %s", method, path)
+		return connected.Load(), errors.Wrapf(err, "%s %s", method, path)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode/100 != 2 {
 		return true, readRefusal(resp)
 	}
-	err = readAnswer(resp.Body, out)
+	err = readResponse(resp.Body, out)
 	if err != nil {
 		c.suspectIfSilent(ctx, address)
 	}
 	return true, errors.Wrapf(err, "answer to %s %s", method, path)
 }
 
+// suspectIfSilent drops the idle connections to a peer if the time limit has passed.
 func (c *Client) suspectIfSilent(ctx context.Context, address string) {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		c.pool.Suspect(address)
 	}
 }
 
-// newRequest makes a request that net/http cannot send twice: its body has no
-// GetBody, so net/http does not replay it when a connection fails under it.
+// newRequest returns a request that net/http cannot send twice: without GetBody, net/http
+// does not send the body again if a connection fails.
 func newRequest(ctx context.Context, method, address, path string, in any) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil || in == nil {
@@ -127,14 +128,15 @@
 		return nil, err
 	}
 	req.Body = io.NopCloser(bytes.NewReader(body))
-	if gate := engine.OrderCheck(ctx); gate != nil {
-		req.Body = &gatedBody{body: bytes.NewReader(body), gate: gate}
+	if check := engine.OrderCheck(ctx); check != nil {
+		req.Body = &checkedBody{body: bytes.NewReader(body), check: check}
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", contentTypeJSON)
 	return req, nil
 }
 
+// readRefusal returns the *RefusedError of a response other than success.
 func readRefusal(resp *http.Response) error {
 	refused := &RefusedError{}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusalMessage))
@@ -148,8 +150,9 @@
 	return refused
 }
 
-func readAnswer(body io.Reader, out any) error {
-	data, err := io.ReadAll(io.LimitReader(body, maxControlAnswer))
+// readResponse decodes a response's body into out, if out is not nil.
+func readResponse(body io.Reader, out any) error {
+	data, err := io.ReadAll(io.LimitReader(body, maxControlResponse))
 	if err != nil || out == nil {
 		return err
 	}
--- a/internal/engine/httpengine/decoder.go
+++ b/internal/engine/httpengine/decoder.go
@@ -6,14 +6,14 @@
 	"geraniumcroft/internal/engine"
 )
 
-// decoder decodes the events of one stream. Most of an event's strings are those
-// of the event before; it keeps these, so a token costs two allocations: its text
+// decoder decodes the events of one stream. Most strings of an event equal those of the
+// event before. The decoder reuses these, so that a token needs two allocations: its text
 // and its trace.
 type decoder struct {
-	kind      engine.EventKind
-	requestID string
-	targets   []string
-	stages    int
+	lastKind      engine.EventKind
+	lastRequestID string
+	lastTargets   []string
+	traceLength   int
 }
 
 // decode decodes one event. Unknown fields are skipped.
@@ -39,9 +39,9 @@
 func (d *decoder) field(in *jlexer.Lexer, key string, event *engine.Event) {
 	switch key {
 	case "kind":
-		event.Kind = engine.EventKind(same((*string)(&d.kind), in.UnsafeString()))
+		event.Kind = engine.EventKind(reuse((*string)(&d.lastKind), in.UnsafeString()))
 	case "requestId":
-		event.RequestID = same(&d.requestID, in.UnsafeString())
+		event.RequestID = reuse(&d.lastRequestID, in.UnsafeString())
 	case "epoch":
 		event.Epoch = in.Uint32()
 	case "position":
@@ -64,21 +64,21 @@
 }
 
 func (d *decoder) trace(in *jlexer.Lexer) []engine.Execution {
-	trace := make([]engine.Execution, 0, d.stages)
+	trace := make([]engine.Execution, 0, d.traceLength)
 	in.Delim('[')
 	for !in.IsDelim(']') {
 		trace = append(trace, d.execution(in, len(trace)))
 		in.WantComma()
 	}
 	in.Delim(']')
-	d.stages = len(trace)
+	d.traceLength = len(trace)
 	return trace
 }
 
 func (d *decoder) execution(in *jlexer.Lexer, index int) engine.Execution {
 	var x engine.Execution
-	if index == len(d.targets) {
-		d.targets = append(d.targets, "")
+	if index == len(d.lastTargets) {
+		d.lastTargets = append(d.lastTargets, "")
 	}
 	in.Delim('{')
 	for !in.IsDelim('}') {
@@ -86,7 +86,7 @@
 		in.WantColon()
 		switch key {
 		case "target":
-			x.Target = same(&d.targets[index], in.UnsafeString())
+			x.Target = reuse(&d.lastTargets[index], in.UnsafeString())
 		case "epoch":
 			x.Epoch = in.Uint32()
 		case "layers":
@@ -119,9 +119,9 @@
 	return from, to
 }
 
-// same returns the last string when it equals the value, which stands in a buffer
-// that is used again, and a copy of the value otherwise.
-func same(last *string, value string) string {
+// reuse returns the last string if it equals the value, and otherwise a copy of the value,
+// which becomes the last string. The value itself is in a buffer that will be overwritten.
+func reuse(last *string, value string) string {
 	if *last != value {
 		*last = string([]byte(value))
 	}
--- a/internal/engine/httpengine/decoder_test.go
+++ b/internal/engine/httpengine/decoder_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// FuzzDecodeEvent compares the decoder with encoding/json on events of all shapes,
-// the second time with the strings of the event before in memory.
+// FuzzDecodeEvent compares the decoder with encoding/json on arbitrary events. It decodes
+// each event twice, the second time with the decoder's last strings equal to its own.
 func FuzzDecodeEvent(f *testing.F) {
 	f.Add("token", "r-1", uint32(1), 5, "a \"quoted\" é\n word", "e1", "e2", 4, "", "")
 	f.Add("error", "", uint32(4294967295), -1, "", "", "\\", 0, "stop", "stage 2 \x00 died")
@@ -47,7 +47,7 @@
 		for range 2 {
 			buffer := append([]byte(nil), line...)
 			got, err := d.decode(buffer)
-			clear(buffer) // nothing of the event may still stand in the buffer
+			clear(buffer) // the event must not refer to the buffer
 			if err != nil || !reflect.DeepEqual(got, expected) {
 				t.Fatalf("%s: %+v, %v; expected %+v", line, got, err, expected)
 			}
@@ -55,7 +55,8 @@
 	})
 }
 
-// FuzzDecodeLine feeds lines that an engine must not send.
+// FuzzDecodeLine checks that lines which an engine must not send do not make the decoder
+// panic, and that an empty line is an error.
 func FuzzDecodeLine(f *testing.F) {
 	for _, line := range []string{``, `{`, `null`, `[]`, `{"kind":"token"`, `{"kind":"token"} x`, `{"trace":[{"layers":null}]}`, `{"position":1e99}`, `{"x":[[[{}]]]}`} {
 		f.Add([]byte(line))
@@ -64,7 +65,7 @@
 		var d decoder
 		_, err := d.decode(line)
 		if err == nil && len(line) == 0 {
-			t.Fatal("an empty line was taken for an event")
+			t.Fatal("an empty line was decoded as an event")
 		}
 	})
 }
--- a/internal/engine/httpengine/open.go
+++ b/internal/engine/httpengine/open.go
@@ -16,28 +16,28 @@
 
 // Open implements engine.Client. The stream lives until Close or until ctx ends.
 func (c *Client) Open(ctx context.Context, address string, open engine.StageOpen) (engine.Stream, error) {
-	failure := &engine.OpenError{Address: address}
+	openErr := &engine.OpenError{Address: address}
 	req, err := newRequest(context.Background(), http.MethodPost, address, "/v1/stages", open)
 	if err != nil {
-		failure.Cause = err
-		return nil, failure
+		openErr.Cause = err
+		return nil, openErr
 	}
 	start := time.Now()
-	wire, err := c.connect(ctx, address)
+	conn, err := c.connect(ctx, address)
 	if err != nil {
-		failure.Cause = err
-		return nil, failure
+		openErr.Cause = err
+		return nil, openErr
 	}
-	wire.Until(start.Add(c.settings.OpenTimeout))
-	s := newStream(ctx, c, address, wire)
-	if err := s.begin(req, failure); err != nil {
-		failure.Cause = s.why(err)
-		failure.Busy = isBusy(failure.Cause)
-		if transport.IsSilence(failure.Cause) {
+	conn.Until(start.Add(c.settings.OpenTimeout))
+	s := newStream(ctx, c, address, conn)
+	if err := s.openStage(req, openErr); err != nil {
+		openErr.Cause = s.errorCause(err)
+		openErr.Busy = isBusy(openErr.Cause)
+		if transport.IsSilence(openErr.Cause) {
 			c.pool.Suspect(address)
 		}
 		s.Close()
-		return nil, failure
+		return nil, openErr
 	}
 	return s, nil
 }
@@ -53,27 +53,27 @@
 	return c.pool.Connect(ctx, address, c.settings.OpenTimeout)
 }
 
-// begin sends the request and waits for the ready event. It notes in failure what
-// is known of the request, should it not come.
-func (s *stream) begin(req *http.Request, failure *engine.OpenError) (err error) {
-	failure.Sent, err = s.wire.Send(req)
+// openStage sends the request and waits for the ready event. It records in openErr whether
+// the request was sent and the status of a refusal.
+func (s *stream) openStage(req *http.Request, openErr *engine.OpenError) (err error) {
+	openErr.Sent, err = s.conn.Send(req)
 	if err != nil {
 		return err
 	}
-	resp, err := s.wire.ReadHead(req, maxRefusalMessage)
+	resp, err := s.conn.ReadHead(req, maxRefusalMessage)
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		failure.Status = resp.StatusCode
+		openErr.Status = resp.StatusCode
 		return readRefusal(resp)
 	}
 	s.body = resp.Body
-	s.wire.Limit(math.MaxInt64)
+	s.conn.Limit(math.MaxInt64)
 	if err := s.awaitReady(); err != nil {
 		return err
 	}
-	s.wire.Until(time.Time{})
-	s.wire.Bound(s.client.settings.SilenceTimeout)
+	s.conn.Until(time.Time{})
+	s.conn.Bound(s.client.settings.SilenceTimeout)
 	return nil
 }
--- a/internal/engine/httpengine/open_test.go
+++ b/internal/engine/httpengine/open_test.go
@@ -13,10 +13,10 @@
 	"geraniumcroft/internal/engine"
 )
 
-// What an OpenError says decides whether the router may claim that nothing ran.
-// Where no connection was made, nothing left; from the moment that one was in
-// hand, the engine may have begun, also when it never answered.
-func TestAnOpenErrorTellsWhetherTheRequestLeft(t *testing.T) {
+// An OpenError decides whether the router may report that nothing ran. Without a
+// connection, nothing was sent. Once there was one, the engine may have started, even if it
+// never answered.
+func TestOpenErrorSaysWhetherRequestWasSent(t *testing.T) {
 	refuse := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	hang := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
@@ -39,17 +39,17 @@
 		{"closed after the request", serving(func(p *pipeEngine, _ net.Conn, in *bufio.Reader) { p.read(in) }), true, 0, 0},
 		{"no answer at all", serving(func(p *pipeEngine, _ net.Conn, in *bufio.Reader) {
 			p.read(in)
-			untilClosed(in)
+			waitClosed(in)
 		}), true, 0, 2 * time.Second},
 		{"head without the ready event", serving(func(p *pipeEngine, conn net.Conn, in *bufio.Reader) {
 			p.read(in)
 			send(conn, streamHead)
-			untilClosed(in)
+			waitClosed(in)
 		}), true, 0, 2 * time.Second},
 		{"a token before the ready event", serving(func(p *pipeEngine, conn net.Conn, in *bufio.Reader) {
 			p.read(in)
 			send(conn, streamHead+`{"kind":"token","requestId":"r","epoch":1}`+"\n")
-			untilClosed(in)
+			waitClosed(in)
 		}), true, 0, 0},
 		{"busy", serving(func(p *pipeEngine, conn net.Conn, in *bufio.Reader) {
 			p.read(in)
@@ -61,7 +61,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				start := time.Now()
 				_, err := newPipeClient(t, c.dial).Open(t.Context(), testAddress, testOpen)
-				open := openErrorOf(t, err)
+				open := asOpenError(t, err)
 				if open.Sent != c.sent || open.Status != c.status {
 					t.Fatalf("sent %t, status %d: %v", open.Sent, open.Status, err)
 				}
@@ -77,14 +77,14 @@
 	}
 }
 
-// writeFails is a connection that takes the first request and none after it, as
-// one does whose peer reset it while it was idle.
-type writeFails struct {
+// failingConn is a connection on which every write after the first fails, as if its peer
+// had reset it while it was idle.
+type failingConn struct {
 	net.Conn
 	writes int
 }
 
-func (c *writeFails) Write(p []byte) (int, error) {
+func (c *failingConn) Write(p []byte) (int, error) {
 	c.writes++
 	if c.writes > 1 {
 		return 0, errors.New("reset")
@@ -92,11 +92,11 @@
 	return c.Conn.Write(p)
 }
 
-// An operator's order must not be carried out twice behind the lease holder's
-// back. The kept connection dies under the second order. net/http would send it
-// again by itself on a new connection if the request let it; the client hands the
-// failure up as ambiguous, and the holder reads the engine back instead.
-func TestAnOrderIsNotResentOnADeadKeptConnection(t *testing.T) {
+// An order must not be executed twice without the lease holder's knowledge. The kept-alive
+// connection fails when the second order is written. net/http would resend the order on a
+// new connection if the request had GetBody; the client returns an ambiguous error instead,
+// upon which the holder reads the engine's state.
+func TestOrderIsNotResentOnBrokenIdleConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pipeEngine{}
 		p.serve = func(_ int, conn net.Conn, in *bufio.Reader) {
@@ -106,13 +106,13 @@
 		}
 		dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := p.dial(ctx, network, address)
-			return &writeFails{Conn: conn}, err
+			return &failingConn{Conn: conn}, err
 		}
 		client := newPipeClient(t, dial)
 		if err := client.Order(t.Context(), testAddress, engine.Order{ID: "1"}); err != nil {
 			t.Fatal(err)
 		}
-		synctest.Wait() // the connection is back among the kept ones
+		synctest.Wait() // the connection is idle again
 		err := client.Order(t.Context(), testAddress, engine.Order{ID: "2"})
 		var order *engine.OrderError
 		if !errors.As(err, &order) || !order.Ambiguous || order.OldFencing {
@@ -124,9 +124,9 @@
 	})
 }
 
-// The lease holder learns from a refusal that another one took over, and does not
-// take a refusal for an order that may have had an effect.
-func TestARefusedOrderIsNotAmbiguous(t *testing.T) {
+// A refusal is not ambiguous, since a refused order has no effect. Its code tells the lease
+// holder that another one has taken over.
+func TestRefusedOrderIsNotAmbiguous(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pipeEngine{}
 		p.serve = func(_ int, conn net.Conn, in *bufio.Reader) {
@@ -141,17 +141,17 @@
 	})
 }
 
-// A load report does not come although the kept connection stands: it went silent
-// while it was idle. The first request waits its bound, the idle connections to
-// this engine are dropped with it, and the next request is answered on a new one.
-func TestOneSilentConnectionMakesTheOthersSuspect(t *testing.T) {
+// A kept-alive connection went silent while it was idle, so a request for a load report gets
+// no response on it. When this request times out, the other idle connections to the engine
+// are dropped as well, and the next request is answered on a new connection.
+func TestSilentConnectionDropsIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pipeEngine{}
 		hold := make(chan struct{})
 		p.serve = func(number int, conn net.Conn, in *bufio.Reader) {
 			p.read(in)
 			if number <= 2 {
-				<-hold // both requests are under way, so there are two connections
+				<-hold // both requests are in flight, so there are two connections
 			}
 			send(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
 			for p.read(in) {
@@ -177,10 +177,10 @@
 		}
 		synctest.Wait()
 		if _, err := client.Load(t.Context(), testAddress); err == nil {
-			t.Fatal("an answer from a silent connection")
+			t.Fatal("a response on a silent connection")
 		}
 		if _, err := client.Load(t.Context(), testAddress); err != nil {
-			t.Fatalf("the other kept connection was used: %v", err)
+			t.Fatalf("the other idle connection was used: %v", err)
 		}
 		if dials, _ := p.counts(); dials != 3 {
 			t.Fatalf("%d dials", dials)
--- a/internal/engine/httpengine/pipe_test.go
+++ b/internal/engine/httpengine/pipe_test.go
@@ -17,8 +17,8 @@
 
 const readyLine = `{"kind":"ready","requestId":"r","epoch":1}` + "\n"
 
-// pipeEngine is an engine's end of connections that are pipes, so that tests run
-// in virtual time. Each connection is served by serve with its number.
+// pipeEngine is the engine's end of in-memory pipes, so that tests run in virtual time. It
+// calls serve for each connection, with the connection's number.
 type pipeEngine struct {
 	serve func(number int, conn net.Conn, in *bufio.Reader)
 
@@ -40,7 +40,7 @@
 	return near, nil
 }
 
-// read reads one request whole.
+// read reads one complete request and reports whether there was one.
 func (p *pipeEngine) read(in *bufio.Reader) bool {
 	req, err := http.ReadRequest(in)
 	if err != nil {
@@ -65,8 +65,8 @@
 
 func send(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
 
-// untilClosed waits until the router closes the connection.
-func untilClosed(in *bufio.Reader) { _, _ = in.ReadByte() }
+// waitClosed waits until the router closes the connection.
+func waitClosed(in *bufio.Reader) { _, _ = in.ReadByte() }
 
 func newPipeClient(t *testing.T, dial transport.DialFunc) *Client {
 	pool := transport.NewPool(transport.Settings{}, dial)
@@ -78,7 +78,7 @@
 
 const testAddress = "192.0.2.1:80"
 
-func openErrorOf(t *testing.T, err error) *engine.OpenError {
+func asOpenError(t *testing.T, err error) *engine.OpenError {
 	t.Helper()
 	var open *engine.OpenError
 	if !errors.As(err, &open) {
--- a/internal/engine/httpengine/protocol_bench_test.go
+++ b/internal/engine/httpengine/protocol_bench_test.go
@@ -19,30 +19,30 @@
 	"geraniumcroft/internal/transport"
 )
 
-// fanServer serves streams by net/http, in HTTP/1.1 or HTTP/2; what is sent to a
-// stream's channel goes out as one token.
-type fanServer struct {
+// tokenServer serves streams with net/http over HTTP/1.1 or HTTP/2. It sends each item of a
+// stream's channel as one token.
+type tokenServer struct {
 	*httptest.Server
 	streams chan chan []byte
 }
 
-func newFanServer(b *testing.B, two bool) *fanServer {
-	s := &fanServer{streams: make(chan chan []byte, 1<<12)}
+func newTokenServer(b *testing.B, http2 bool) *tokenServer {
+	s := &tokenServer{streams: make(chan chan []byte, 1<<12)}
 	s.Server = httptest.NewUnstartedServer(http.HandlerFunc(s.serve))
-	s.Config.Protocols = protocols(two)
+	s.Config.Protocols = protocols(http2)
 	s.Start()
 	b.Cleanup(s.Close)
 	return s
 }
 
-func protocols(two bool) *http.Protocols {
+func protocols(http2 bool) *http.Protocols {
 	p := new(http.Protocols)
-	p.SetHTTP1(!two)
-	p.SetUnencryptedHTTP2(two)
+	p.SetHTTP1(!http2)
+	p.SetUnencryptedHTTP2(http2)
 	return p
 }
 
-func (s *fanServer) serve(w http.ResponseWriter, r *http.Request) {
+func (s *tokenServer) serve(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	flush := http.NewResponseController(w)
 	_, _ = io.WriteString(w, readyLine)
@@ -55,11 +55,11 @@
 	}
 }
 
-// opener opens a stream and returns how to receive its next token.
+// opener opens a stream and returns a function that receives its next token.
 type opener func(b *testing.B, address string) func() (engine.Event, error)
 
-// openOwn opens streams as the router does, each on a connection of its own.
-func openOwn(dial transport.DialFunc) opener {
+// openSeparate opens streams as the router does, each on a connection of its own.
+func openSeparate(dial transport.DialFunc) opener {
 	pool := transport.NewPool(transport.Settings{}, dial)
 	client := New(pool, Settings{SilenceTimeout: time.Minute})
 	return func(b *testing.B, address string) func() (engine.Event, error) {
@@ -95,16 +95,16 @@
 	}
 }
 
-func forEachProtocol(b *testing.B, dial transport.DialFunc, run func(b *testing.B, server *fanServer, open opener)) {
-	b.Run("protocol=http1", func(b *testing.B) { run(b, newFanServer(b, false), openOwn(dial)) })
-	b.Run("protocol=http2", func(b *testing.B) { run(b, newFanServer(b, true), openMultiplexed(dial)) })
+func forEachProtocol(b *testing.B, dial transport.DialFunc, run func(b *testing.B, server *tokenServer, open opener)) {
+	b.Run("protocol=http1", func(b *testing.B) { run(b, newTokenServer(b, false), openSeparate(dial)) })
+	b.Run("protocol=http2", func(b *testing.B) { run(b, newTokenServer(b, true), openMultiplexed(dial)) })
 }
 
-// BenchmarkProtocolTokens compares a connection a stream with HTTP/2 streams on
-// one connection: tokens a second and memory, both ends in this process.
+// BenchmarkProtocolTokens compares one connection per stream with HTTP/2 streams on one
+// connection. It reports tokens per second and memory, with both ends in this process.
 func BenchmarkProtocolTokens(b *testing.B) {
 	const streams = 200
-	forEachProtocol(b, transport.NewDialer(transport.Settings{}), func(b *testing.B, server *fanServer, open opener) {
+	forEachProtocol(b, transport.NewDialer(transport.Settings{}), func(b *testing.B, server *tokenServer, open opener) {
 		line, _ := json.Marshal(tokenEvent())
 		line = append(line, '\n')
 		rounds := b.N/streams + 1
@@ -140,8 +140,8 @@
 	})
 }
 
-// lossyConn delays what it reads now and then, as TCP does when a segment was
-// lost: nothing behind it on the same connection goes ahead of its repetition.
+// lossyConn delays one in readsPerLoss reads, on average, as TCP does when a segment is
+// lost: no later data on the same connection is delivered before its retransmission.
 type lossyConn struct {
 	net.Conn
 	random *rand.Rand
@@ -149,17 +149,17 @@
 }
 
 const (
-	lossAReads  = 100
-	retransmit  = 200 * time.Millisecond
-	lateAfter   = 100 * time.Millisecond
-	tokenPeriod = 66 * time.Millisecond
+	readsPerLoss    = 100
+	retransmitDelay = 200 * time.Millisecond
+	lateThreshold   = 100 * time.Millisecond
+	tokenPeriod     = 66 * time.Millisecond
 )
 
 func (c *lossyConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if c.random.IntN(lossAReads) == 0 {
+	if c.random.IntN(readsPerLoss) == 0 {
 		c.losses.Add(1)
-		time.Sleep(retransmit)
+		time.Sleep(retransmitDelay)
 	}
 	return n, err
 }
@@ -177,12 +177,12 @@
 	}
 }
 
-// BenchmarkHeadOfLine reports how many tokens come more than 100 ms late for each
-// lost segment, on 64 streams of a token each 66 ms.
+// BenchmarkHeadOfLine reports how many tokens arrive more than 100 ms late per lost
+// segment, on 64 streams with a token every 66 ms.
 func BenchmarkHeadOfLine(b *testing.B) {
 	const streams, rounds = 64, 100
 	var losses atomic.Int64
-	forEachProtocol(b, lossyDialer(&losses), func(b *testing.B, server *fanServer, open opener) {
+	forEachProtocol(b, lossyDialer(&losses), func(b *testing.B, server *tokenServer, open opener) {
 		for range b.N {
 			losses.Store(0)
 			late := 0
@@ -200,7 +200,7 @@
 							b.Error(err)
 							return
 						}
-						if time.Since(start)-time.Duration(event.Position) > lateAfter {
+						if time.Since(start)-time.Duration(event.Position) > lateThreshold {
 							mu.Lock()
 							late++
 							mu.Unlock()
--- a/internal/engine/httpengine/refused_error.go
+++ b/internal/engine/httpengine/refused_error.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// The codes with which engines refuse.
+// The codes of engines' refusals.
 const (
 	CodeBusy       = "busy"
 	CodeOldFencing = "old-fencing"
@@ -11,7 +11,7 @@
 	CodeNotHeld    = "not-held"
 )
 
-// RefusedError is an engine's answer other than success.
+// RefusedError is an engine's response other than success.
 type RefusedError struct {
 	Status  int    `json:"-"`
 	Code    string `json:"code"`
--- a/internal/engine/httpengine/settings.go
+++ b/internal/engine/httpengine/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Settings bound the waits. A zero field takes its default.
+// Settings holds the limits of streams and calls. A zero field means its default.
 type Settings struct {
 	// OpenTimeout bounds the time from Open to the ready event.
 	OpenTimeout time.Duration
@@ -13,7 +13,7 @@
 	SilenceTimeout time.Duration
 	// ControlTimeout bounds every call that is not a stream.
 	ControlTimeout time.Duration
-	// MaxEventBytes bounds one event.
+	// MaxEventBytes bounds the size of one event.
 	MaxEventBytes int
 }
 
--- a/internal/engine/httpengine/stream.go
+++ b/internal/engine/httpengine/stream.go
@@ -13,41 +13,41 @@
 
 var errEventTooLarge = errors.New("an event is larger than the bound")
 
-const firstLineBuffer = 512
+const initialBufferSize = 512
 
 // stream is the router's end of one stage.
 type stream struct {
 	client  *Client
 	address string
 	ctx     context.Context
-	wire    *transport.Conn
-	// release detaches the stream from its context.
-	release func() bool
-
-	// The rest is used by Open and Recv alone. buf[start:end] was read and not yet
-	// decoded.
-	body       io.Reader
-	buf        []byte
-	start, end int
-	decoder    decoder
-	ready      engine.Event
-	readyGiven bool
+	conn    *transport.Conn
+	// detach stops the end of ctx from closing the connection.
+	detach func() bool
+
+	// The fields below are used by Open and Recv only. buf[start:end] was read but not
+	// yet decoded.
+	body          io.Reader
+	buf           []byte
+	start, end    int
+	decoder       decoder
+	ready         engine.Event
+	readyReturned bool
 }
 
-func newStream(ctx context.Context, c *Client, address string, wire *transport.Conn) *stream {
+func newStream(ctx context.Context, c *Client, address string, conn *transport.Conn) *stream {
 	return &stream{
 		client:  c,
 		address: address,
 		ctx:     ctx,
-		wire:    wire,
-		release: context.AfterFunc(ctx, wire.Close),
-		buf:     make([]byte, firstLineBuffer),
+		conn:    conn,
+		detach:  context.AfterFunc(ctx, conn.Close),
+		buf:     make([]byte, initialBufferSize),
 	}
 }
 
-// awaitReady reads the first event.
+// awaitReady reads the first event, which must be the ready event, and stores it for Recv.
 func (s *stream) awaitReady() error {
-	event, err := s.next()
+	event, err := s.nextEvent()
 	if err != nil {
 		return err
 	}
@@ -63,43 +63,44 @@
 
 // Recv implements engine.Stream. The first event is the ready event.
 func (s *stream) Recv() (engine.Event, error) {
-	if !s.readyGiven {
-		s.readyGiven = true
+	if !s.readyReturned {
+		s.readyReturned = true
 		return s.ready, nil
 	}
-	event, err := s.next()
+	event, err := s.nextEvent()
 	if err == nil {
 		return event, nil
 	}
-	return engine.Event{}, s.broken(err)
+	return engine.Event{}, s.streamError(err)
 }
 
-func (s *stream) broken(err error) error {
-	cause := s.why(err)
-	failure := &engine.StreamError{Address: s.address, Silent: transport.IsSilence(cause), Cause: cause}
-	if failure.Silent {
+// streamError closes the stream and returns a *StreamError for a failed read.
+func (s *stream) streamError(err error) error {
+	cause := s.errorCause(err)
+	streamErr := &engine.StreamError{Address: s.address, Silent: transport.IsSilence(cause), Cause: cause}
+	if streamErr.Silent {
 		s.client.pool.Suspect(s.address)
 	}
 	s.Close()
-	return failure
+	return streamErr
 }
 
-// why returns the cause of a failed wait: the end of the context, which closes the
-// connection, goes before what the closed connection says.
-func (s *stream) why(err error) error {
+// errorCause returns the cause of a failed read or write. The end of the context closes the
+// connection, so the context's error takes precedence over that of the connection.
+func (s *stream) errorCause(err error) error {
 	if cause := context.Cause(s.ctx); cause != nil {
 		return cause
 	}
 	return err
 }
 
-// Close implements engine.Stream. It may be called while Recv waits, which ends.
+// Close implements engine.Stream. It may be called during Recv, which then returns.
 func (s *stream) Close() {
-	s.release()
-	s.wire.Close()
+	s.detach()
+	s.conn.Close()
 }
 
-func (s *stream) next() (engine.Event, error) {
+func (s *stream) nextEvent() (engine.Event, error) {
 	line, err := s.line()
 	if err != nil {
 		return engine.Event{}, err
@@ -111,7 +112,7 @@
 	return event, nil
 }
 
-// line returns the next line; it stands until the next call.
+// line returns the next line, which is valid until the next call.
 func (s *stream) line() ([]byte, error) {
 	searched := s.start
 	for {
@@ -132,8 +133,9 @@
 	}
 }
 
-// makeRoom moves what was read to the buffer's start or grows it, and returns by
-// how much the content moved.
+// makeRoom makes room at the end of a full buffer: it moves the unread bytes to the start,
+// or doubles the buffer if they are there already. It returns by how many bytes the content
+// moved.
 func (s *stream) makeRoom() (int, error) {
 	if s.end < len(s.buf) {
 		return 0, nil
@@ -153,7 +155,8 @@
 	return 0, nil
 }
 
-// fill reads once.
+// fill reads once from the connection into the buffer. The end of the body is
+// io.ErrUnexpectedEOF.
 func (s *stream) fill() error {
 	n, err := s.body.Read(s.buf[s.end:])
 	s.end += n
--- a/internal/engine/httpengine/stream_test.go
+++ b/internal/engine/httpengine/stream_test.go
@@ -12,11 +12,11 @@
 	"geraniumcroft/internal/engine"
 )
 
-// The caller sees its answer go on from another engine within the bound. The
-// engine sends two heartbeats, then the connection goes silent without a reset:
-// the read would never return, and only the bound on it tells the router. The
-// engine is not blamed: a new stream to it opens.
-func TestASilentStreamIsFoundWithinItsBound(t *testing.T) {
+// A stream must not wait for longer than SilenceTimeout, so that the router can continue the
+// response from another engine in time. The engine sends two heartbeats, then the connection
+// goes silent without a reset, so that without the time limit the read would never return.
+// The engine does not count as failed: a new stream to it can be opened.
+func TestSilentStreamTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pipeEngine{}
 		p.serve = func(_ int, conn net.Conn, in *bufio.Reader) {
@@ -26,7 +26,7 @@
 				time.Sleep(900 * time.Millisecond)
 				send(conn, `{"kind":"heartbeat","requestId":"r","epoch":1}`+"\n")
 			}
-			untilClosed(in)
+			waitClosed(in)
 		}
 		client := newPipeClient(t, p.dial)
 		stream, err := client.Open(t.Context(), testAddress, testOpen)
@@ -46,21 +46,21 @@
 			t.Fatalf("%v, expected silence", err)
 		}
 		if waited := time.Since(last); waited != time.Second {
-			t.Fatalf("found after %s of virtual time", waited)
+			t.Fatalf("timed out after %s of virtual time", waited)
 		}
 		again, err := client.Open(t.Context(), testAddress, testOpen)
 		if err != nil {
 			t.Fatal(err)
 		}
 		again.Close()
-		time.Sleep(3 * time.Second) // virtual: the engine's end sends on and notices
+		time.Sleep(3 * time.Second) // virtual time; the engine's end detects that it was closed
 	})
 }
 
-// The caller reads slowly and still gets its whole answer. The router does not
-// call Recv for longer than the bound while the engine's tokens wait in the
-// connection: that is no silence, as the bound covers waits for bytes alone.
-func TestASlowReaderIsNotASilentConnection(t *testing.T) {
+// A slow caller still gets its complete response. The router does not call Recv for longer
+// than SilenceTimeout while the engine's tokens wait in the connection. This is not silence:
+// the time limit only applies to waits for bytes.
+func TestSlowReaderIsNotReportedAsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pipeEngine{}
 		p.serve = func(_ int, conn net.Conn, in *bufio.Reader) {
@@ -90,17 +90,17 @@
 	})
 }
 
-// The caller goes away while the engine is quiet. Its context ends, the read that
-// waits returns at once, and the engine's end of the connection closes, which
-// frees the slot. Nothing is reported as silent, so the engine is not blamed.
-func TestACancelEndsTheReadAndClosesTheConnection(t *testing.T) {
+// The caller's context is canceled while the engine sends nothing. The pending read returns
+// at once, and the engine's end of the connection is closed, which frees the slot. The error
+// does not report silence, so the cancel does not count as a failure of the engine.
+func TestCancelEndsRecvAndClosesConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		closed := make(chan struct{})
 		p := &pipeEngine{}
 		p.serve = func(_ int, conn net.Conn, in *bufio.Reader) {
 			p.read(in)
 			send(conn, streamHead+readyLine)
-			untilClosed(in)
+			waitClosed(in)
 			close(closed)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -120,8 +120,8 @@
 	})
 }
 
-// A stage whose engine sends an endless line must not eat the router's memory.
-func TestAnEventHasABoundedSize(t *testing.T) {
+// An engine that sends an endless line must not exhaust the router's memory.
+func TestEventSizeIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pipeEngine{}
 		p.serve = func(_ int, conn net.Conn, in *bufio.Reader) {
--- a/internal/engine/load_report.go
+++ b/internal/engine/load_report.go
@@ -2,15 +2,17 @@
 
 import "time"
 
-// LoadReport is what an engine or service says of its load. It lags.
+// LoadReport is a target's report of its own load. It may be out of date.
 type LoadReport struct {
-	// At is the target's clock when the report was made.
-	At     time.Time `json:"at"`
-	Active int       `json:"active"`
-	Queued int       `json:"queued"`
-	Slots  int       `json:"slots"`
-	// TokensPerSecond is the target's present rate.
+	// At is the time of the report by the target's clock.
+	At time.Time `json:"at"`
+	// Active and Queued count requests; Slots is the number of requests that the target
+	// processes at once.
+	Active int `json:"active"`
+	Queued int `json:"queued"`
+	Slots  int `json:"slots"`
+	// TokensPerSecond is the target's current rate.
 	TokensPerSecond float64 `json:"tokensPerSecond,omitempty"`
-	// Leaving says that the target is about to go.
+	// Leaving says that the target has announced that it is leaving.
 	Leaving bool `json:"leaving,omitempty"`
 }
--- a/internal/engine/open_error.go
+++ b/internal/engine/open_error.go
@@ -5,12 +5,12 @@
 // OpenError reports that a stage could not be opened.
 type OpenError struct {
 	Address string
-	// Sent says whether the request left this VM; if not, the engine cannot have
-	// taken it.
+	// Sent says whether a part of the request may have left this VM. If not, the engine
+	// cannot have accepted it.
 	Sent bool
-	// Status is the HTTP status of a refusal, 0 when there was no answer.
+	// Status is the HTTP status of a refusal, 0 if there was none.
 	Status int
-	// Busy says that the engine refused because it has no free slot now.
+	// Busy says that the engine refused because it has no free slot at present.
 	Busy  bool
 	Cause error
 }
--- a/internal/engine/order_error.go
+++ b/internal/engine/order_error.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// OrderError reports that an order was refused or its answer lost.
+// OrderError reports that an order was refused or that its response was lost.
 type OrderError struct {
 	Address string
 	// OldFencing says that the engine has seen a higher fencing number.
--- a/internal/engine/prefix.go
+++ b/internal/engine/prefix.go
@@ -5,13 +5,14 @@
 const (
 	// PrefixBlockTokens is the number of prompt tokens in one cached block.
 	PrefixBlockTokens = 16
-	// MaxPrefixBlocks bounds the blocks of one prompt that are hashed.
+	// MaxPrefixBlocks is the largest number of blocks of one prompt that are hashed.
 	MaxPrefixBlocks = 256
 )
 
-// PrefixHashes returns the hash of each whole block's prefix of a prompt, the
-// longest last. Router and engines must agree on it, as cache events carry these
-// hashes. Model, version and adapter are part of it: their caches do not mix.
+// PrefixHashes returns the hashes of the prefixes of a prompt that end with a complete
+// block, the longest last. The router and the engines must compute the same hashes, since
+// cache events carry them. The hashes include model, version and adapter, whose caches are
+// separate.
 func PrefixHashes(model, version, adapter string, prompt []string) []uint64 {
 	blocks := min(len(prompt)/PrefixBlockTokens, MaxPrefixBlocks)
 	if blocks == 0 {
@@ -33,6 +34,7 @@
 
 var separator = []byte{0}
 
+// writePart adds a part with a separator, so that parts cannot run into each other.
 func writePart(digest *xxhash.Digest, part string) {
 	_, _ = digest.WriteString(part)
 	_, _ = digest.Write(separator)
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -1,10 +1,10 @@
 package engine
 
-// Stream is the router's end of one stage. Recv is called by one goroutine.
+// Stream is the router's end of one stage. Only one goroutine may call Recv.
 type Stream interface {
-	// Recv returns the next event. It returns a *StreamError when the stream broke,
-	// and when nothing, not even a heartbeat, arrived within the client's bound.
+	// Recv returns the next event. It returns a *StreamError if the stream broke, or if
+	// nothing, not even a heartbeat, arrived within the client's time limit.
 	Recv() (Event, error)
-	// Close gives up the stream; the engine cancels the stage.
+	// Close closes the stream, upon which the engine cancels the stage.
 	Close()
 }
--- a/internal/engine/stream_error.go
+++ b/internal/engine/stream_error.go
@@ -5,7 +5,8 @@
 // StreamError reports that a stage's stream broke or went silent.
 type StreamError struct {
 	Address string
-	// Silent says that nothing arrived within the bound while the connection stood.
+	// Silent says that nothing arrived within the time limit although the connection
+	// was not closed.
 	Silent bool
 	Cause  error
 }
