--- a/internal/generation/epoch.go
+++ b/internal/generation/epoch.go
@@ -182,7 +182,7 @@
 // stage, namely the one before it if its activations stopped. A stage that does not
 // exist counts as the engine's own.
 func (e *epoch) reportedFault(stage int, event engine.Event) *fault {
-	failed := event.Blame
+	failed := event.FailedStage
 	if failed < 0 || failed >= len(e.stages) {
 		failed = stage
 	}
--- a/internal/service/httpservice/bench_test.go
+++ b/internal/service/httpservice/bench_test.go
@@ -10,8 +10,8 @@
 	"geraniumcroft/internal/transport"
 )
 
-// BenchmarkCall makes calls one after the other over loopback, on a new connection
-// each or on a proven one; the service's end is in it.
+// BenchmarkCall makes sequential calls over loopback, each on a new connection or all on
+// an idle one. It includes the time of the service.
 func BenchmarkCall(b *testing.B) {
 	for _, fresh := range []bool{true, false} {
 		b.Run(fmt.Sprintf("fresh=%t", fresh), func(b *testing.B) {
@@ -22,7 +22,7 @@
 			defer s.Close()
 			pool := transport.NewPool(transport.Settings{}, nil)
 			defer pool.Close()
-			client := New(pool, Settings{ProvenFor: time.Minute})
+			client := New(pool, Settings{MaxIdleTime: time.Minute})
 			defer client.Close()
 			b.ReportAllocs()
 			for b.Loop() {
