--- a/internal/harness/baseline/router_test.go
+++ b/internal/harness/baseline/router_test.go
@@ -81,7 +81,7 @@
 // of its own making.
 func TestBaselineServesWhatDoesNotFail(t *testing.T) {
 	w, ctx := newWorld(t)
-	answer, err := w.caller.Draft(ctx, "summary", "bay 7", 12, nil)
+	answer, err := w.caller.Generate(ctx, "summary", "bay 7", 12, nil)
 	if err != nil || answer.Outcome != "complete" || len(answer.Tokens) != 12 {
 		t.Errorf("%v, %+v", err, answer)
 	}
@@ -109,7 +109,7 @@
 // A stage dies after the caller has tokens: the stream is given up, and says so.
 func TestBaselineGivesUpAStreamWithTokens(t *testing.T) {
 	w, ctx := newWorld(t)
-	answer, err := w.caller.Draft(ctx, "summary", "bay 7", 2000, func(position int) {
+	answer, err := w.caller.Generate(ctx, "summary", "bay 7", 2000, func(position int) {
 		if position == 5 {
 			w.engines[0].Die()
 			w.engines[1].Die()
--- a/internal/harness/callclient/answer.go
+++ b/internal/harness/callclient/answer.go
@@ -16,9 +16,9 @@
 	// Tokens are the pieces of a generation, Body a call's answer or a problem.
 	Tokens []string
 	Body   string
-	// First and Took run from the sending of the request.
-	First time.Duration
-	Took  time.Duration
+	// FirstToken and Took run from the sending of the request.
+	FirstToken time.Duration
+	Took       time.Duration
 }
 
 // Text returns a generation's text.
@@ -44,7 +44,7 @@
 		return nil
 	}
 	if len(a.Tokens) == 0 {
-		a.First = time.Since(started)
+		a.FirstToken = time.Since(started)
 	}
 	a.Tokens = append(a.Tokens, chunk.Choices[0].Delta.Content)
 	if onToken != nil {
--- a/internal/harness/callclient/client.go
+++ b/internal/harness/callclient/client.go
@@ -40,9 +40,9 @@
 	return whole(response, started)
 }
 
-// Draft asks for a streamed generation. onToken, if not nil, is called with each
+// Generate asks for a streamed generation. onToken, if not nil, is called with each
 // token's number, from 0.
-func (c Client) Draft(ctx context.Context, profile, prompt string, maxTokens int, onToken func(int)) (Answer, error) {
+func (c Client) Generate(ctx context.Context, profile, prompt string, maxTokens int, onToken func(int)) (Answer, error) {
 	body, err := json.Marshal(chatRequest{
 		Model: profile, Messages: []chatMessage{{Role: "user", Content: prompt}}, MaxTokens: maxTokens, Stream: true,
 	})
--- a/internal/harness/demo/demo.go
+++ b/internal/harness/demo/demo.go
@@ -161,5 +161,5 @@
 
 func (d *Demo) report(who string, a callclient.Answer) {
 	d.say("   %-28s %d %-8s %3d tokens  first %8s  whole %8s\n", who, a.Status, a.Outcome, len(a.Tokens),
-		a.First.Round(100*time.Microsecond), a.Took.Round(100*time.Microsecond))
+		a.FirstToken.Round(100*time.Microsecond), a.Took.Round(100*time.Microsecond))
 }
--- a/internal/harness/demo/steps.go
+++ b/internal/harness/demo/steps.go
@@ -37,7 +37,7 @@
 }
 
 func (d *Demo) draft(ctx context.Context) error {
-	answer, err := d.client(0).Draft(ctx, "summary", "breaker report of bay 7", draftTokens, nil)
+	answer, err := d.client(0).Generate(ctx, "summary", "breaker report of bay 7", draftTokens, nil)
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 }
 
 func (d *Demo) urgentUnderLoad(ctx context.Context) error {
-	idle, err := d.client(0).Draft(ctx, "permit-check", "permit 1", 5, nil)
+	idle, err := d.client(0).Generate(ctx, "permit-check", "permit 1", 5, nil)
 	if err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 	var bulk errgroup.Group
 	for i := range bulkDrafts {
 		bulk.Go(func() error {
-			answer, err := d.client(i%2).Draft(ctx, "summary", fmt.Sprintf("summary %d", i), bulkTokens, nil)
+			answer, err := d.client(i%2).Generate(ctx, "summary", fmt.Sprintf("summary %d", i), bulkTokens, nil)
 			if err != nil {
 				return err
 			}
@@ -94,7 +94,7 @@
 
 func (d *Demo) urgentProbes(ctx context.Context) error {
 	for i := range urgentProbes {
-		answer, err := d.client(i%2).Draft(ctx, "permit-check", fmt.Sprintf("permit %d", i), 5, nil)
+		answer, err := d.client(i%2).Generate(ctx, "permit-check", fmt.Sprintf("permit %d", i), 5, nil)
 		if err != nil {
 			return err
 		}
@@ -121,7 +121,7 @@
 			killed = d.killBusyEngine()
 		}
 	}
-	answer, err := d.client(0).Draft(ctx, "summary", "transformer inspection", draftTokens, onToken)
+	answer, err := d.client(0).Generate(ctx, "summary", "transformer inspection", draftTokens, onToken)
 	if err != nil {
 		return err
 	}
--- a/internal/harness/experiment/overhead.go
+++ b/internal/harness/experiment/overhead.go
@@ -79,8 +79,8 @@
 	body := []byte(`{"bay":7}`)
 	return []*way{
 		{"first token, routed", func(ctx context.Context, number int) (time.Duration, error) {
-			answer, err := client.Draft(ctx, "draft", fmt.Sprintf("bay %d", number), 4, nil)
-			return answer.First, orIncomplete(err, answer)
+			answer, err := client.Generate(ctx, "draft", fmt.Sprintf("bay %d", number), 4, nil)
+			return answer.FirstToken, orIncomplete(err, answer)
 		}, newDistribution()},
 		{"first token, direct", func(ctx context.Context, number int) (time.Duration, error) {
 			return directCaller.draft(ctx, hop, fmt.Sprintf("direct-%d", number), 4)
--- a/internal/harness/experiment/relay.go
+++ b/internal/harness/experiment/relay.go
@@ -78,7 +78,7 @@
 	_ = asPart(streams, partCaller, func(ctx context.Context) error {
 		for i := range relayStreams {
 			wait.Go(func() {
-				_, _ = s.client(0).Draft(ctx, "draft", promptOf("draft", i), endlessTokens, func(int) { got.Add(1) }) // ends by stop
+				_, _ = s.client(0).Generate(ctx, "draft", promptOf("draft", i), endlessTokens, func(int) { got.Add(1) }) // ends by stop
 			})
 		}
 		return nil
--- a/internal/harness/experiment/relay_memory.go
+++ b/internal/harness/experiment/relay_memory.go
@@ -30,7 +30,7 @@
 		return err
 	}
 	routed, err := s.held(ctx, func(ctx context.Context, number int, first func()) {
-		_, _ = s.client(0).Draft(ctx, "draft", promptOf("draft", number), endlessTokens, func(token int) { // ends with ctx
+		_, _ = s.client(0).Generate(ctx, "draft", promptOf("draft", number), endlessTokens, func(token int) { // ends with ctx
 			if token == 0 {
 				first()
 			}
--- a/internal/harness/experiment/saturation.go
+++ b/internal/harness/experiment/saturation.go
@@ -94,7 +94,7 @@
 		if random.Float64() < longShare {
 			length = longDraft
 		}
-		answer, err := s.client(worker).Draft(ctx, "summary", promptOf("summary", worker*1_000_000+number), length, func(int) { tokens.Add(1) })
+		answer, err := s.client(worker).Generate(ctx, "summary", promptOf("summary", worker*1_000_000+number), length, func(int) { tokens.Add(1) })
 		if ctx.Err() == nil && orIncomplete(err, answer) != nil {
 			failed.Add(1)
 		}
--- a/internal/harness/experiment/sizes_full.go
+++ b/internal/harness/experiment/sizes_full.go
@@ -74,13 +74,13 @@
 	profile := "summary-" + workspaceName(number)
 	for count := 0; ctx.Err() == nil; count++ {
 		sent := time.Now()
-		answer, err := s.client(worker).Draft(ctx, profile, promptOf(profile, worker*1_000_000+count), fullDraft, func(int) { tokens.Add(1) })
+		answer, err := s.client(worker).Generate(ctx, profile, promptOf(profile, worker*1_000_000+count), fullDraft, func(int) { tokens.Add(1) })
 		switch {
 		case ctx.Err() != nil:
 		case orIncomplete(err, answer) != nil:
 			failed.Add(1)
 		case sent.After(from):
-			firsts.add(answer.First)
+			firsts.add(answer.FirstToken)
 		}
 	}
 }
--- a/internal/harness/experiment/tally.go
+++ b/internal/harness/experiment/tally.go
@@ -37,7 +37,7 @@
 	case a.Outcome == outcomeComplete:
 		y.complete++
 		late := sent.Sub(intended)
-		y.first.add(a.First + late)
+		y.first.add(a.FirstToken + late)
 		y.whole.add(a.Took + late)
 	case a.Outcome == outcomeNotRun:
 		y.notRun++
--- a/internal/harness/experiment/timed_draft.go
+++ b/internal/harness/experiment/timed_draft.go
@@ -16,7 +16,7 @@
 
 func draftTimed(ctx context.Context, caller callclient.Client, profile string, number, tokens int) *timedDraft {
 	d := &timedDraft{}
-	d.answer, d.err = caller.Draft(ctx, profile, promptOf(profile, number), tokens, func(int) {
+	d.answer, d.err = caller.Generate(ctx, profile, promptOf(profile, number), tokens, func(int) {
 		d.tokens = append(d.tokens, time.Now())
 	})
 	return d
--- a/internal/harness/experiment/traffic.go
+++ b/internal/harness/experiment/traffic.go
@@ -41,7 +41,7 @@
 	if f.tokens == 0 {
 		return caller.Call(ctx, f.profile, "", []byte(`{"bay":7}`))
 	}
-	return caller.Draft(ctx, f.profile, promptOf(f.profile, number), f.tokens, nil)
+	return caller.Generate(ctx, f.profile, promptOf(f.profile, number), f.tokens, nil)
 }
 
 // promptOf returns a prompt that shares no prefix with another request's.
--- a/internal/harness/loadgen/arrival.go
+++ b/internal/harness/loadgen/arrival.go
@@ -8,9 +8,9 @@
 	// At is the intended time from the run's start.
 	At time.Duration
 	// Mix is the index of the profile in the mix, Profile the name to send.
-	Mix     int
-	Profile string
-	Router  string
+	ProfileIndex int
+	Profile      string
+	Router       string
 	// PromptTokens and MaxTokens are this request's.
 	PromptTokens int
 	MaxTokens    int
--- a/internal/harness/loadgen/call.go
+++ b/internal/harness/loadgen/call.go
@@ -45,7 +45,7 @@
 	}
 	var got echo
 	if err := json.Unmarshal(answer, &got); err != nil {
-		r.fault(CheckParsesAsTold, "status %d: %v", response.StatusCode, err)
+		r.fault(CheckParses, "status %d: %v", response.StatusCode, err)
 		return
 	}
 	if got.Echo != body {
--- a/internal/harness/loadgen/compare.go
+++ b/internal/harness/loadgen/compare.go
@@ -10,7 +10,7 @@
 func Compare(w io.Writer, a, b *Report) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "second report / first report")
-	fmt.Fprintf(t, "tokens a second: %s\n", ratio(b.TokensASecond, a.TokensASecond))
+	fmt.Fprintf(t, "tokens a second: %s\n", ratio(b.TokensPerSecond, a.TokensPerSecond))
 	for _, ending := range []Ending{EndComplete, EndNotRun, EndUnknown, EndNoAnswer} {
 		fmt.Fprintf(t, "share %s: %.4f, was %.4f\n", ending, b.share(ending), a.share(ending))
 	}
--- a/internal/harness/loadgen/loadgen_test.go
+++ b/internal/harness/loadgen/loadgen_test.go
@@ -58,7 +58,7 @@
 		{"not-run after tokens", KindChat, streamOf(good[0], outcomeEvent("not-run", 1), streamEnd), EndNotRun, []Check{CheckOneOutcome}},
 		{"no end", KindChat, streamOf(good[:3]...), EndComplete, []Check{CheckEndOfStream}},
 		{"another request's token", KindChat, streamOf(chunk("request-2", "t0 "), good[1], good[2], streamEnd), EndComplete, []Check{CheckOwnAnswer}},
-		{"no JSON", KindChat, streamOf("data: {\n\n", good[0], good[1], good[2], streamEnd), EndComplete, []Check{CheckParsesAsTold}},
+		{"no JSON", KindChat, streamOf("data: {\n\n", good[0], good[1], good[2], streamEnd), EndComplete, []Check{CheckParses}},
 		{"cut off", KindChat, cutOff, EndNoAnswer, nil},
 		{"refusal", KindChat, refusal(503, "not-run", "not-run"), EndNotRun, nil},
 		{"refusal of two minds", KindChat, refusal(503, "not-run", "unknown"), EndNotRun, []Check{CheckOneOutcome}},
@@ -106,7 +106,7 @@
 	if report.Requests != count || report.Endings[EndComplete] != count || report.Tokens != 2*count || report.FaultCount() != 0 {
 		t.Fatalf("report %+v", report)
 	}
-	if s := report.Series[0]; s.FirstToken.Count != count || s.Between.Count != count || s.Whole.Count != count {
+	if s := report.Series[0]; s.FirstToken.Count != count || s.BetweenTokens.Count != count || s.Whole.Count != count {
 		t.Fatalf("series %+v", s)
 	}
 	dir := t.TempDir()
@@ -184,7 +184,7 @@
 		if b, _ := again.Next(); a != b {
 			t.Fatalf("same seed, %+v and %+v", a, b)
 		}
-		if a.Mix == 0 {
+		if a.ProfileIndex == 0 {
 			chats++
 			names[a.Profile]++
 			longest = max(longest, a.MaxTokens)
--- a/internal/harness/loadgen/recorder.go
+++ b/internal/harness/loadgen/recorder.go
@@ -76,7 +76,7 @@
 }
 
 func (c *recorder) addTimes(r *result) {
-	key := seriesKey{mix: r.arrival.Mix, ending: r.ending}
+	key := seriesKey{mix: r.arrival.ProfileIndex, ending: r.ending}
 	s := c.series[key]
 	if s == nil {
 		s = &series{first: newHistogram(), between: newHistogram(), whole: newHistogram()}
@@ -96,21 +96,21 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	report := &Report{
-		Start:          start.UTC(),
-		Seed:           c.options.Seed,
-		Rate:           c.options.Rate,
-		Routers:        len(c.options.Routers),
-		Profiles:       c.options.Profiles,
-		SendingSeconds: sending.Seconds(),
-		WholeSeconds:   whole.Seconds(),
-		Endings:        map[Ending]int{},
-		Reasons:        c.reasons,
-		Tokens:         c.tokens,
-		TokensASecond:  float64(c.tokens) / whole.Seconds(),
-		NotSent:        c.unsent,
-		SentLate:       c.late.quantiles(),
-		Faults:         c.faults,
-		Examples:       c.examples,
+		Start:           start.UTC(),
+		Seed:            c.options.Seed,
+		Rate:            c.options.Rate,
+		Routers:         len(c.options.Routers),
+		Profiles:        c.options.Profiles,
+		SendingSeconds:  sending.Seconds(),
+		WholeSeconds:    whole.Seconds(),
+		Endings:         map[Ending]int{},
+		Reasons:         c.reasons,
+		Tokens:          c.tokens,
+		TokensPerSecond: float64(c.tokens) / whole.Seconds(),
+		NotSent:         c.unsent,
+		SentLate:        c.late.quantiles(),
+		Faults:          c.faults,
+		Examples:        c.examples,
 	}
 	for key, s := range c.series {
 		report.Requests += s.requests
--- a/internal/harness/loadgen/report.go
+++ b/internal/harness/loadgen/report.go
@@ -22,9 +22,9 @@
 	Requests       int            `json:"requests"`
 	Endings        map[Ending]int `json:"endings"`
 	// Reasons counts what did not complete by ending and reason.
-	Reasons       map[string]int `json:"reasons,omitempty"`
-	Tokens        int            `json:"tokens"`
-	TokensASecond float64        `json:"tokensASecond"`
+	Reasons         map[string]int `json:"reasons,omitempty"`
+	Tokens          int            `json:"tokens"`
+	TokensPerSecond float64        `json:"tokensASecond"`
 	// NotSent counts arrivals beyond the bound on requests in hand.
 	NotSent int `json:"notSent"`
 	// SentLate is how long after the intended times this tool sent.
@@ -37,25 +37,25 @@
 
 // SeriesReport is one profile's requests with one ending.
 type SeriesReport struct {
-	Profile    string    `json:"profile"`
-	Ending     Ending    `json:"ending"`
-	Requests   int       `json:"requests"`
-	FirstToken Quantiles `json:"firstToken"`
-	Between    Quantiles `json:"betweenTokens"`
-	Whole      Quantiles `json:"whole"`
+	Profile       string    `json:"profile"`
+	Ending        Ending    `json:"ending"`
+	Requests      int       `json:"requests"`
+	FirstToken    Quantiles `json:"firstToken"`
+	BetweenTokens Quantiles `json:"betweenTokens"`
+	Whole         Quantiles `json:"whole"`
 
 	series *series
 }
 
 func newSeriesReport(profile string, ending Ending, s *series) SeriesReport {
 	return SeriesReport{
-		Profile:    profile,
-		Ending:     ending,
-		Requests:   s.requests,
-		FirstToken: s.first.quantiles(),
-		Between:    s.between.quantiles(),
-		Whole:      s.whole.quantiles(),
-		series:     s,
+		Profile:       profile,
+		Ending:        ending,
+		Requests:      s.requests,
+		FirstToken:    s.first.quantiles(),
+		BetweenTokens: s.between.quantiles(),
+		Whole:         s.whole.quantiles(),
+		series:        s,
 	}
 }
 
--- a/internal/harness/loadgen/result.go
+++ b/internal/harness/loadgen/result.go
@@ -41,11 +41,11 @@
 
 // The checks.
 const (
-	CheckOneOutcome   Check = "exactly-one-outcome"
-	CheckTokens       Check = "no-token-gap-or-repeat"
-	CheckTokenCount   Check = "token-count-is-true"
-	CheckOwnAnswer    Check = "answer-to-own-request"
-	CheckProblemBody  Check = "refusal-has-a-problem-body"
-	CheckEndOfStream  Check = "stream-ends-with-done"
-	CheckParsesAsTold Check = "answer-can-be-parsed"
+	CheckOneOutcome  Check = "exactly-one-outcome"
+	CheckTokens      Check = "no-token-gap-or-repeat"
+	CheckTokenCount  Check = "token-count-is-true"
+	CheckOwnAnswer   Check = "answer-to-own-request"
+	CheckProblemBody Check = "refusal-has-a-problem-body"
+	CheckEndOfStream Check = "stream-ends-with-done"
+	CheckParses      Check = "answer-can-be-parsed"
 )
--- a/internal/harness/loadgen/schedule.go
+++ b/internal/harness/loadgen/schedule.go
@@ -51,7 +51,7 @@
 	a := Arrival{
 		Number:       s.number,
 		At:           s.at,
-		Mix:          mix,
+		ProfileIndex: mix,
 		Profile:      o.Profiles[mix].nameFor(int(s.workspaces.Uint64())),
 		Router:       o.Routers[s.number%len(o.Routers)],
 		PromptTokens: s.prompts[mix].draw(),
--- a/internal/harness/loadgen/sender.go
+++ b/internal/harness/loadgen/sender.go
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithDeadline(ctx, due.Add(s.options.Timeout))
 	defer cancel()
 	r := &result{arrival: a, ending: EndNoAnswer, late: time.Since(due)}
-	if s.options.Profiles[a.Mix].Kind == KindCall {
+	if s.options.Profiles[a.ProfileIndex].Kind == KindCall {
 		s.call(ctx, r, due)
 	} else {
 		s.chat(ctx, r, due)
--- a/internal/harness/loadgen/stream.go
+++ b/internal/harness/loadgen/stream.go
@@ -80,7 +80,7 @@
 	}
 	var e streamEvent
 	if err := json.Unmarshal(data, &e); err != nil {
-		s.r.fault(CheckParsesAsTold, "event %.60q: %v", data, err)
+		s.r.fault(CheckParses, "event %.60q: %v", data, err)
 		return
 	}
 	if s.done {
@@ -140,7 +140,7 @@
 // its caller without an answer; that is counted, and is no fault of a router that died.
 func (s *stream) finish(err error) {
 	if errors.Is(err, bufio.ErrBufferFull) {
-		s.r.fault(CheckParsesAsTold, "a line above %d bytes", maxLine)
+		s.r.fault(CheckParses, "a line above %d bytes", maxLine)
 	}
 	if s.r.ending == EndNoAnswer {
 		s.r.reason = reasonOf(err)
--- a/internal/harness/loadgen/text.go
+++ b/internal/harness/loadgen/text.go
@@ -12,7 +12,7 @@
 func (r *Report) WriteText(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "%d requests in %.1f s at %.0f a second, answered within %.1f s; %d tokens, %.0f a second\n",
-		r.Requests, r.SendingSeconds, r.Rate, r.WholeSeconds, r.Tokens, r.TokensASecond)
+		r.Requests, r.SendingSeconds, r.Rate, r.WholeSeconds, r.Tokens, r.TokensPerSecond)
 	for _, ending := range []Ending{EndComplete, EndNotRun, EndUnknown, EndNoAnswer} {
 		fmt.Fprintf(t, "%s: %d\n", ending, r.Endings[ending])
 	}
@@ -49,5 +49,5 @@
 }
 
 func (s SeriesReport) rows() []row {
-	return []row{{"first token", s.FirstToken}, {"between tokens", s.Between}, {"whole", s.Whole}}
+	return []row{{"first token", s.FirstToken}, {"between tokens", s.BetweenTokens}, {"whole", s.Whole}}
 }
--- a/internal/harness/rig/fleet_test.go
+++ b/internal/harness/rig/fleet_test.go
@@ -72,7 +72,7 @@
 	midDraft := make(chan struct{})
 	var callers sync.WaitGroup
 	callers.Go(func() {
-		answer, err := f.client(0).Draft(ctx, "draft", "p", 300, func(position int) {
+		answer, err := f.client(0).Generate(ctx, "draft", "p", 300, func(position int) {
 			if position == 3 {
 				close(midDraft)
 			}
@@ -223,7 +223,7 @@
 	var callers sync.WaitGroup
 	const drafts = 40
 	for range drafts {
-		callers.Go(func() { _, _ = f.client(0).Draft(stuck, "draft", "p", 10, nil) })
+		callers.Go(func() { _, _ = f.client(0).Generate(stuck, "draft", "p", 10, nil) })
 	}
 	for f.Nodes[0].Router().InHand() < drafts && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
--- a/internal/harness/rig/prefix_test.go
+++ b/internal/harness/rig/prefix_test.go
@@ -27,7 +27,7 @@
 	}
 	prompt := strings.Repeat("word ", 4*engine.PrefixBlockTokens)
 	draft := func() {
-		answer, err := f.client(0).Draft(ctx, "draft", prompt, 3, nil)
+		answer, err := f.client(0).Generate(ctx, "draft", prompt, 3, nil)
 		if err != nil || answer.Outcome != "complete" {
 			t.Fatalf("%v, outcome %q: %s", err, answer.Outcome, answer.Body)
 		}
