--- a/internal/harness/loadgen/bench_test.go
+++ b/internal/harness/loadgen/bench_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// BenchmarkReadStream is the tool's own work on one token.
+// BenchmarkReadStream measures the time that the load generator itself spends on a token.
 func BenchmarkReadStream(b *testing.B) {
 	const tokens = 1000
 	var text strings.Builder
--- a/internal/harness/loadgen/chat.go
+++ b/internal/harness/loadgen/chat.go
@@ -25,9 +25,10 @@
 	Content string `json:"content"`
 }
 
-func (s *sender) chat(ctx context.Context, r *result, due time.Time) {
+// sendChat requests a streamed chat completion and checks the stream.
+func (s *sender) sendChat(ctx context.Context, r *result, due time.Time) {
 	a := r.arrival
-	prompt := words(fmt.Sprintf("chat-%d-%d", s.options.Seed, a.Number), a.PromptTokens)
+	prompt := paddedText(fmt.Sprintf("chat-%d-%d", s.options.Seed, a.Number), a.PromptTokens)
 	body, err := json.Marshal(chatRequest{
 		Model:     a.Profile,
 		Messages:  []chatMessage{{Role: "user", Content: prompt}},
@@ -39,12 +40,12 @@
 	}
 	response, err := s.post(ctx, a, "/v1/chat/completions", "application/json", body)
 	if err != nil {
-		r.reason = reasonOf(err)
+		r.reason = errorReason(err)
 		return
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		s.chatRefused(r, response, due)
+		s.readChatRefusal(r, response, due)
 		return
 	}
 	st := newStream(r, due, response.Header.Get(headerRequestID), s.options.AnyText)
@@ -52,18 +53,20 @@
 	st.checkTrailer(response.Trailer)
 }
 
-func (s *sender) chatRefused(r *result, response *http.Response, due time.Time) {
+// readChatRefusal reads a response whose status is not 200.
+func (s *sender) readChatRefusal(r *result, response *http.Response, due time.Time) {
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
 	if err != nil {
-		r.reason = reasonOf(err)
+		r.reason = errorReason(err)
 		return
 	}
 	r.whole = time.Since(due)
-	r.refused(response, answer)
+	r.readRefusal(response, answer)
 }
 
-// reasonOf names an error shortly: reports count by it.
-func reasonOf(err error) string {
+// errorReason returns a short name for a transport error. Reports count requests by
+// this name, so it contains nothing that differs between requests.
+func errorReason(err error) string {
 	var failed *url.Error
 	if errors.As(err, &failed) {
 		err = failed.Err
--- a/internal/harness/loadgen/compare.go
+++ b/internal/harness/loadgen/compare.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// Compare writes the second report's figures as ratios to the first's.
+// Compare writes each figure of report b as a ratio to that of report a.
 func Compare(w io.Writer, a, b *Report) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "second report / first report")
@@ -24,6 +24,7 @@
 	return t.Flush()
 }
 
+// share returns the fraction of the requests that ended this way, 0 without requests.
 func (r *Report) share(ending Ending) float64 {
 	if r.Requests == 0 {
 		return 0
@@ -53,6 +54,7 @@
 	}
 }
 
+// ratio formats b/a, or returns "-" if a is 0.
 func ratio(b, a float64) string {
 	if a == 0 {
 		return "-"
--- a/internal/harness/loadgen/doc.go
+++ b/internal/harness/loadgen/doc.go
@@ -1,13 +1,14 @@
-// Package loadgen sends requests to routers as their callers would, and checks and
-// times the answers.
+// Package loadgen is a load generator. It sends requests to routers as callers do,
+// and checks and times the responses.
 //
-// Arrivals are open-loop: each request has an intended time from a Poisson process,
-// drawn beforehand from a fixed seed, and is sent then whether or not earlier ones
-// were answered. Latency counts from the intended time, so a stall of the routers or
-// of this tool makes every request that should have been sent meanwhile slow, as it
-// would be for callers; how late the tool itself was is reported apart.
+// The load is open-loop: arrivals form a Poisson process with a fixed seed, and each
+// request is sent at its intended time whether or not earlier requests have been
+// answered. Latency is measured from the intended time. A stall of the routers or of
+// the load generator therefore adds to the latency of every request that was due
+// during the stall, as it does for real callers. The delay of the load generator
+// itself is reported separately.
 //
-// Every answer is checked: exactly one outcome, an answer to the request that was
-// sent, and no gap or repeat among the tokens where the engine's text carries the
-// token's position, as the stand-in's does.
+// Every response is checked: it has exactly one outcome and belongs to the request
+// that was sent. Where the text of a token contains the position of the token, as
+// that of the stand-in engine does, the tokens have no gap and no repeat.
 package loadgen
--- a/internal/harness/loadgen/fake_router_test.go
+++ b/internal/harness/loadgen/fake_router_test.go
@@ -11,10 +11,12 @@
 
 const requestID = "request-1"
 
-// script answers one request; the body was read already.
-type script func(w http.ResponseWriter, body string)
+// handler answers one request, whose body has already been read.
+type handler func(w http.ResponseWriter, body string)
 
-func serve(t *testing.T, answer script) string {
+// serve starts a router that answers every request with the handler, and returns its
+// address.
+func serve(t *testing.T, answer handler) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -25,6 +27,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
+// chunk returns a server-sent event with one token.
 func chunk(id, text string) string {
 	return fmt.Sprintf("data: {\"id\":\"chatcmpl-%s\",\"model\":\"drafts\",\"choices\":[{\"delta\":{\"content\":%q}}]}\n\n", id, text)
 }
@@ -35,14 +38,14 @@
 
 const streamEnd = "data: [DONE]\n\n"
 
-func streamOf(parts ...string) script {
+func streamOf(parts ...string) handler {
 	return func(w http.ResponseWriter, _ string) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, strings.Join(parts, ""))
 	}
 }
 
-func refusal(status int, header, outcome string) script {
+func refusal(status int, header, outcome string) handler {
 	return func(w http.ResponseWriter, _ string) {
 		w.Header().Set(headerOutcome, header)
 		w.Header().Set("Content-Type", "application/problem+json")
@@ -51,15 +54,16 @@
 	}
 }
 
-func echoOf(change func(string) string) script {
+// echoing returns a handler that echoes the body after change.
+func echoing(change func(string) string) handler {
 	return func(w http.ResponseWriter, body string) {
 		w.Header().Set(headerOutcome, "complete")
 		_, _ = fmt.Fprintf(w, `{"executed":%q,"echo":%q}`, requestID, change(body))
 	}
 }
 
-// cutOff resets the connection after some tokens.
-func cutOff(w http.ResponseWriter, _ string) {
+// abortConnection sends one token and then resets the connection.
+func abortConnection(w http.ResponseWriter, _ string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	_, _ = io.WriteString(w, chunk(requestID, "t0 "))
 	_ = http.NewResponseController(w).Flush()
--- a/internal/harness/loadgen/histogram.go
+++ b/internal/harness/loadgen/histogram.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	lowest  = int64(time.Microsecond)
-	highest = int64(time.Hour)
-	digits  = 3
+	minRecorded       = int64(time.Microsecond)
+	maxRecorded       = int64(time.Hour)
+	significantDigits = 3
 )
 
-// histogram holds durations from 1 µs to 1 h, to three digits.
+// histogram records durations from 1 µs to 1 h with three significant digits.
 type histogram struct {
 	h *hdrhistogram.Histogram
 }
 
 func newHistogram() histogram {
-	return histogram{h: hdrhistogram.New(lowest, highest, digits)}
+	return histogram{h: hdrhistogram.New(minRecorded, maxRecorded, significantDigits)}
 }
 
+// add records d. Durations out of range are recorded as the nearest bound.
 func (h histogram) add(d time.Duration) {
-	// A value within the bounds cannot fail to be recorded.
-	_ = h.h.RecordValue(min(max(int64(d), lowest), highest))
+	// RecordValue fails only for values out of range.
+	_ = h.h.RecordValue(min(max(int64(d), minRecorded), maxRecorded))
 }
 
-// Quantiles are a histogram's figures, in milliseconds.
+// Quantiles is the summary of a histogram. Durations are in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean"`
--- a/internal/harness/loadgen/lengths.go
+++ b/internal/harness/loadgen/lengths.go
@@ -8,37 +8,40 @@
 )
 
 const (
-	// Nine in ten lengths are lognormal about the median; the rest are Pareto above
-	// twice the median, with a mean but no variance.
-	tailShare  = 0.1
-	bodySigma  = 0.7
-	tailStart  = 2.0
-	tailAlpha  = 1.5
-	maxLengths = 50.0 // times the median
+	// Nine in ten lengths have a lognormal distribution around the median. The others
+	// have a Pareto distribution that starts at twice the median; with an exponent of
+	// 1.5 it has a finite mean and an infinite variance.
+	tailShare       = 0.1
+	bodySigma       = 0.7
+	tailStartFactor = 2.0
+	tailAlpha       = 1.5
+	maxLengthFactor = 50.0 // times the median
 )
 
-// lengths draws from a heavy-tailed distribution with about the given median.
-type lengths struct {
+// lengthSampler draws lengths from a heavy-tailed distribution whose median is about
+// the given one.
+type lengthSampler struct {
 	median float64
 	random *rand.Rand
 	body   distuv.LogNormal
 	tail   distuv.Pareto
 }
 
-func newLengths(median int, random *rand.Rand) lengths {
+func newLengthSampler(median int, random *rand.Rand) lengthSampler {
 	m := float64(median)
-	return lengths{
+	return lengthSampler{
 		median: m,
 		random: random,
 		body:   distuv.LogNormal{Mu: math.Log(m), Sigma: bodySigma, Src: random},
-		tail:   distuv.Pareto{Xm: tailStart * m, Alpha: tailAlpha, Src: random},
+		tail:   distuv.Pareto{Xm: tailStartFactor * m, Alpha: tailAlpha, Src: random},
 	}
 }
 
-func (l lengths) draw() int {
+// sample returns a length of at least 1 and at most maxLengthFactor times the median.
+func (l lengthSampler) sample() int {
 	value := l.body.Rand()
 	if l.random.Float64() < tailShare {
 		value = l.tail.Rand()
 	}
-	return max(1, int(math.Round(min(value, maxLengths*l.median))))
+	return max(1, int(math.Round(min(value, maxLengthFactor*l.median))))
 }
--- a/internal/harness/loadgen/loadgen_test.go
+++ b/internal/harness/loadgen/loadgen_test.go
@@ -12,9 +12,10 @@
 	"time"
 )
 
-const seconds10 = 10 * time.Second
+const lateness = 10 * time.Second
 
-func optionsFor(t *testing.T, kind Kind, answer script, count int) Options {
+// optionsFor returns options for one router with the handler and one profile.
+func optionsFor(t *testing.T, kind Kind, answer handler, count int) Options {
 	t.Helper()
 	return Options{
 		Routers:     []string{serve(t, answer)},
@@ -28,7 +29,8 @@
 	}
 }
 
-func runOne(t *testing.T, kind Kind, answer script) *result {
+// runOne sends one request to a router with the handler.
+func runOne(t *testing.T, kind Kind, answer handler) *result {
 	t.Helper()
 	o := optionsFor(t, kind, answer, 1)
 	s := newSender(&o)
@@ -37,14 +39,14 @@
 	return s.send(context.Background(), a, time.Now())
 }
 
-// Each answer that a router must never give fails its check, and the good ones fail none.
-func TestAnswersAreChecked(t *testing.T) {
+// Each malformed response fails its check, and well-formed responses fail none.
+func TestResponseChecks(t *testing.T) {
 	good := []string{chunk(requestID, "t0 "), chunk(requestID, "t1 "), outcomeEvent("complete", 2), streamEnd}
 	identity := func(body string) string { return body }
 	cases := []struct {
 		name   string
 		kind   Kind
-		answer script
+		answer handler
 		ending Ending
 		faults []Check
 	}{
@@ -59,13 +61,13 @@
 		{"no end", KindChat, streamOf(good[:3]...), EndComplete, []Check{CheckEndOfStream}},
 		{"another request's token", KindChat, streamOf(chunk("request-2", "t0 "), good[1], good[2], streamEnd), EndComplete, []Check{CheckOwnAnswer}},
 		{"no JSON", KindChat, streamOf("data: {\n\n", good[0], good[1], good[2], streamEnd), EndComplete, []Check{CheckParses}},
-		{"cut off", KindChat, cutOff, EndNoAnswer, nil},
+		{"cut off", KindChat, abortConnection, EndNoAnswer, nil},
 		{"refusal", KindChat, refusal(503, "not-run", "not-run"), EndNotRun, nil},
-		{"refusal of two minds", KindChat, refusal(503, "not-run", "unknown"), EndNotRun, []Check{CheckOneOutcome}},
+		{"refusal with two outcomes", KindChat, refusal(503, "not-run", "unknown"), EndNotRun, []Check{CheckOneOutcome}},
 		{"refusal without outcome", KindCall, refusal(503, "", "not-run"), EndNoAnswer, []Check{CheckOneOutcome, CheckOneOutcome}},
 		{"complete refusal", KindCall, refusal(503, "complete", "complete"), EndComplete, []Check{CheckOneOutcome}},
-		{"call", KindCall, echoOf(identity), EndComplete, nil},
-		{"another call's answer", KindCall, echoOf(strings.ToUpper), EndComplete, []Check{CheckOwnAnswer}},
+		{"call", KindCall, echoing(identity), EndComplete, nil},
+		{"another call's answer", KindCall, echoing(strings.ToUpper), EndComplete, []Check{CheckOwnAnswer}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -81,21 +83,22 @@
 	}
 }
 
-// A request that is sent ten seconds late has waited for ten seconds: a stall is not
-// hidden by the requests that it kept from being sent.
+// A request that is sent ten seconds late has a latency of at least ten seconds. With
+// latency from the actual send time, a stall would hide the delay of the requests that
+// could not be sent during the stall.
 func TestLatencyCountsFromTheIntendedTime(t *testing.T) {
 	o := optionsFor(t, KindChat, streamOf(chunk(requestID, "t0 "), outcomeEvent("complete", 1), streamEnd), 1)
 	s := newSender(&o)
 	defer s.close()
-	r := s.send(context.Background(), Arrival{Profile: "drafts", Router: o.Routers[0]}, time.Now().Add(-seconds10))
+	r := s.send(context.Background(), Arrival{Profile: "drafts", Router: o.Routers[0]}, time.Now().Add(-lateness))
 	for what, d := range map[string]time.Duration{"late": r.late, "first": r.first, "whole": r.whole} {
-		if d < seconds10 {
+		if d < lateness {
 			t.Errorf("%s is %s", what, d)
 		}
 	}
 }
 
-// The reports hold every request, survive the file and can be drawn and compared.
+// A report covers every request, can be written and read back, plotted and compared.
 func TestReports(t *testing.T) {
 	const count = 50
 	o := optionsFor(t, KindChat, streamOf(chunk(requestID, "t0 "), chunk(requestID, "t1 "), outcomeEvent("complete", 2), streamEnd), count)
@@ -140,8 +143,8 @@
 	}
 }
 
-// An arrival beyond the bound is counted and not sent, and delays no other.
-func TestBoundOnRequestsInHand(t *testing.T) {
+// An arrival above MaxInFlight is counted and not sent, and it delays no other request.
+func TestMaxInFlight(t *testing.T) {
 	release := make(chan struct{})
 	good := streamOf(chunk(requestID, "t0 "), outcomeEvent("complete", 1), streamEnd)
 	o := optionsFor(t, KindChat, nil, 20)
@@ -153,8 +156,8 @@
 	recorder := newRecorder(&o)
 	done := make(chan *Report)
 	go func() { done <- run(context.Background(), &o, recorder) }()
-	for range 1000 { // the stand-in answers once the others were turned away
-		if recorder.unsentNow() == o.Count-o.MaxInFlight {
+	for range 1000 { // the router answers once all arrivals above the limit are counted
+		if recorder.unsentCount() == o.Count-o.MaxInFlight {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -166,6 +169,8 @@
 	}
 }
 
+// The schedule has the rate, the shares and the distributions that the options give, and
+// the same seed gives the same schedule.
 func TestScheduleFollowsItsOptions(t *testing.T) {
 	const count = 20000
 	o := Options{
@@ -192,8 +197,8 @@
 		routers[a.Router]++
 		last = a
 	}
-	within := func(what string, got, want, part float64) {
-		if got < want*(1-part) || got > want*(1+part) {
+	within := func(what string, got, want, tolerance float64) {
+		if got < want*(1-tolerance) || got > want*(1+tolerance) {
 			t.Errorf("%s is %v, want about %v", what, got, want)
 		}
 	}
@@ -209,11 +214,13 @@
 	}
 }
 
+// Load is sent to other machines only with AllowRemote, and router addresses are IP
+// addresses.
 func TestRemoteRoutersNeedAFlag(t *testing.T) {
 	o := optionsFor(t, KindChat, streamOf(), 1)
 	o.Routers = []string{"192.0.2.1:80"}
 	if _, err := Run(context.Background(), o); err == nil {
-		t.Error("load left the machine")
+		t.Error("a router on another machine was accepted")
 	}
 	o.AllowRemote = true
 	if err := o.Check(); err != nil {
@@ -221,7 +228,7 @@
 	}
 	o.Routers = []string{"router.example:80"}
 	if o.Check() == nil {
-		t.Error("a name was taken")
+		t.Error("a host name was accepted")
 	}
 }
 
@@ -233,12 +240,12 @@
 	}
 	for _, bad := range []string{"", "share=1", "name=a,share=0", "name=a,kind=x", "name=a,prompt=-1", "name=a-%s", "name=a,x=1", "name=a,share=NaN"} {
 		if _, err := ParseProfile(bad); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
 
-func (c *recorder) unsentNow() int {
+func (c *recorder) unsentCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unsent
--- a/internal/harness/loadgen/options.go
+++ b/internal/harness/loadgen/options.go
@@ -7,35 +7,40 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Options describe one run.
+// Options configures one run.
 type Options struct {
-	// Routers are addresses of callers' listeners, IP:port, used in turn.
-	Routers  []string
+	// Routers are the addresses, IP:port, of the callers' listeners. They are used
+	// round-robin.
+	Routers []string
+	// Profiles are the profiles that the load is made of.
 	Profiles []Profile
-	// Rate is arrivals a second.
+	// Rate is the mean number of arrivals per second.
 	Rate float64
-	// Count and Duration bound the arrivals; at least one is set.
+	// Count and Duration limit the arrivals; 0 is no limit. At least one is above 0.
 	Count    int
 	Duration time.Duration
-	// Timeout bounds one request.
+	// Timeout limits one request, from its intended send time.
 	Timeout time.Duration
-	// MaxInFlight bounds the requests in hand. An arrival beyond it is not sent and
-	// counted as such.
+	// MaxInFlight limits the requests in flight. An arrival above the limit is not
+	// sent; the report counts it in NotSent.
 	MaxInFlight int
-	Seed        uint64
-	// Workspaces is over how many workspaces a profile with %d in its name is spread,
-	// and Skew the exponent of the Zipf distribution of their sizes, above 1.
+	// Seed is the seed of the schedule.
+	Seed uint64
+	// Workspaces is the number of workspaces that a profile with %d in its name is
+	// spread over. Skew is the exponent, above 1, of the Zipf distribution of their
+	// sizes.
 	Workspaces int
 	Skew       float64
-	// BearerKey is sent when not empty.
+	// BearerKey is sent as a bearer token if it is not empty.
 	BearerKey string
-	// AnyText turns the check of token positions off.
+	// AnyText disables the checks that depend on the text of the stand-ins: the
+	// positions of tokens and the echo of a call.
 	AnyText bool
-	// AllowRemote lets the run leave this machine.
+	// AllowRemote permits routers that are not on a loopback address.
 	AllowRemote bool
 }
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	DefaultRate        = 50
 	DefaultDuration    = 10 * time.Second
@@ -45,7 +50,7 @@
 	DefaultSkew        = 1.2
 )
 
-// Check reports all that is wrong with the options.
+// Check returns an error that joins all problems of the options.
 func (o *Options) Check() error {
 	var findings error
 	add := func(ok bool, format string, args ...any) {
@@ -64,7 +69,7 @@
 	add(o.Rate > 0, "the rate %v is not above 0", o.Rate)
 	add(o.Count > 0 || o.Duration > 0, "neither a count nor a duration bounds the run")
 	add(o.Timeout > 0, "the timeout %s is not above 0", o.Timeout)
-	add(o.MaxInFlight > 0, "the bound on requests in hand %d is not above 0", o.MaxInFlight)
+	add(o.MaxInFlight > 0, "the maximum of requests in flight %d is not above 0", o.MaxInFlight)
 	add(o.Workspaces > 0, "the number of workspaces %d is not above 0", o.Workspaces)
 	add(o.Skew > 1, "the skew %v is not above 1", o.Skew)
 	return findings
--- a/internal/harness/loadgen/plot.go
+++ b/internal/harness/loadgen/plot.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
-	// The formats that SavePlot can write.
+	// Register the formats that SavePlot can write.
 	_ "gonum.org/v1/plot/vg/vgimg"
 	_ "gonum.org/v1/plot/vg/vgsvg"
 )
@@ -16,13 +16,16 @@
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 14 * vg.Centimeter
-	plotDigits = 4 // of nines on the horizontal axis
-	plotSteps  = 20
+	// maxNines is the end of the horizontal axis: 99.99 % has four nines.
+	maxNines = 4
+	// stepsPerNine is the number of points of a line from one nine to the next.
+	stepsPerNine = 20
 )
 
-// SavePlot draws latency over percentile of each series, with a nine more at each
-// unit to the right. The file's extension, .svg or .png, says the format. It needs a
-// report of a run and not one that was read from a file.
+// SavePlot plots the latency of each series by percentile. The horizontal axis is
+// logarithmic: each unit adds a nine to the percentile. The extension of the file, .svg
+// or .png, selects the format. The report must come from Run: one that was read from a
+// file has no histograms, so its plot has no lines.
 func (r *Report) SavePlot(file string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%d requests at %.0f a second", r.Requests, r.Rate)
@@ -41,8 +44,9 @@
 	return p.Save(plotWidth, plotHeight, file)
 }
 
-// addLines numbers its lines on, for each to have its colour.
-func (s SeriesReport) addLines(p *plot.Plot, number *int) error {
+// addLines adds a line for each histogram of the series. lineCount counts the lines of
+// the plot, which gives each line its own colour.
+func (s SeriesReport) addLines(p *plot.Plot, lineCount *int) error {
 	if s.series == nil {
 		return nil
 	}
@@ -57,25 +61,26 @@
 		if err != nil {
 			return err
 		}
-		line.Color = plotutil.Color(*number)
-		*number++
+		line.Color = plotutil.Color(*lineCount)
+		*lineCount++
 		p.Add(line)
 		p.Legend.Add(fmt.Sprintf("%s %s: %s", s.Profile, s.Ending, part.name), line)
 	}
 	return nil
 }
 
-// points stop where there are too few values for the percentile.
+// points returns the points of a line. It ends at the percentile above which the
+// histogram has less than one value.
 func (h histogram) points() plotter.XYs {
 	var points plotter.XYs
 	count := float64(h.h.TotalCount())
-	for step := 0; step <= plotDigits*plotSteps; step++ {
-		nines := float64(step) / plotSteps
-		rest := math.Pow(10, -nines)
-		if rest*count < 1 {
+	for step := 0; step <= maxNines*stepsPerNine; step++ {
+		nines := float64(step) / stepsPerNine
+		tail := math.Pow(10, -nines)
+		if tail*count < 1 {
 			break
 		}
-		value := milliseconds(max(lowest, h.h.ValueAtPercentile(100*(1-rest))))
+		value := milliseconds(max(minRecorded, h.h.ValueAtPercentile(100*(1-tail))))
 		points = append(points, plotter.XY{X: nines, Y: value})
 	}
 	return points
--- a/internal/harness/loadgen/profile.go
+++ b/internal/harness/loadgen/profile.go
@@ -8,37 +8,39 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind says how a profile's requests are sent.
+// Kind is the type of a profile's requests.
 type Kind string
 
 // The kinds of requests.
 const (
-	// KindChat asks for a streamed chat completion.
+	// KindChat requests a streamed chat completion.
 	KindChat Kind = "chat"
 	// KindCall calls a plain service.
 	KindCall Kind = "call"
 )
 
-// Profile is one part of the mix.
+// Profile describes one part of the load.
 type Profile struct {
-	// Name is the profile's name; %d in it is replaced by the workspace's number.
-	Name  string  `json:"name"`
-	Kind  Kind    `json:"kind"`
+	// Name is the name of the profile; %d in it is replaced by the number of the
+	// workspace.
+	Name string `json:"name"`
+	Kind Kind   `json:"kind"`
+	// Share is the weight of the profile relative to the other profiles.
 	Share float64 `json:"share"`
 	// PromptTokens and MaxTokens are the medians of heavy-tailed distributions. For
-	// KindCall the former is the body's number of words.
+	// KindCall, PromptTokens is the number of words in the body.
 	PromptTokens int `json:"promptTokens"`
 	MaxTokens    int `json:"maxTokens"`
 }
 
-// The defaults of a Profile.
+// Defaults of a Profile.
 const (
 	defaultPromptTokens = 64
 	defaultMaxTokens    = 64
 )
 
-// ParseProfile reads "name=drafts-%d,share=8,kind=chat,prompt=200,tokens=120"; only
-// the name is needed.
+// ParseProfile parses a profile such as
+// "name=drafts-%d,share=8,kind=chat,prompt=200,tokens=120". Only the name is required.
 func ParseProfile(text string) (Profile, error) {
 	p := Profile{Kind: KindChat, Share: 1, PromptTokens: defaultPromptTokens, MaxTokens: defaultMaxTokens}
 	for field := range strings.SplitSeq(text, ",") {
@@ -81,6 +83,7 @@
 	return err
 }
 
+// positive parses an integer above 0.
 func positive(value string) (int, error) {
 	n, err := strconv.Atoi(value)
 	if err == nil && n < 1 {
@@ -89,6 +92,7 @@
 	return n, err
 }
 
+// nameFor returns the name with the number of the workspace filled in.
 func (p Profile) nameFor(workspace int) string {
 	if strings.Contains(p.Name, "%d") {
 		return fmt.Sprintf(p.Name, workspace)
--- a/internal/harness/loadgen/recorder.go
+++ b/internal/harness/loadgen/recorder.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// maxExamples bounds the faults that a report spells out.
+// maxExamples is the maximum number of faults that a report lists in full.
 const maxExamples = 20
 
-// seriesKey tells series apart.
+// seriesKey identifies a series.
 type seriesKey struct {
-	mix    int
-	ending Ending
+	profileIndex int
+	ending       Ending
 }
 
-// series is the timings of one profile's requests with one ending.
+// series holds the latencies of the requests of one profile with one ending.
 type series struct {
 	requests int
 	first    histogram
@@ -24,7 +24,7 @@
 	whole    histogram
 }
 
-// recorder takes in results of many goroutines.
+// recorder collects results. It is safe for concurrent use.
 type recorder struct {
 	options *Options
 
@@ -48,6 +48,7 @@
 	}
 }
 
+// notSent counts an arrival that was not sent.
 func (c *recorder) notSent() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +77,7 @@
 }
 
 func (c *recorder) addTimes(r *result) {
-	key := seriesKey{mix: r.arrival.ProfileIndex, ending: r.ending}
+	key := seriesKey{profileIndex: r.arrival.ProfileIndex, ending: r.ending}
 	s := c.series[key]
 	if s == nil {
 		s = &series{first: newHistogram(), between: newHistogram(), whole: newHistogram()}
@@ -92,6 +93,8 @@
 	}
 }
 
+// report returns the report of a run that started at start, had arrivals for sending
+// and received the last answer after whole.
 func (c *recorder) report(start time.Time, sending, whole time.Duration) *Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,7 +118,7 @@
 	for key, s := range c.series {
 		report.Requests += s.requests
 		report.Endings[key.ending] += s.requests
-		report.Series = append(report.Series, newSeriesReport(c.options.Profiles[key.mix].Name, key.ending, s))
+		report.Series = append(report.Series, newSeriesReport(c.options.Profiles[key.profileIndex].Name, key.ending, s))
 	}
 	slices.SortFunc(report.Series, func(a, b SeriesReport) int {
 		return cmp.Or(cmp.Compare(a.Profile, b.Profile), cmp.Compare(a.Ending, b.Ending))
--- a/internal/harness/loadgen/report.go
+++ b/internal/harness/loadgen/report.go
@@ -9,33 +9,39 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Report is what a run measured. Times are in milliseconds.
+// Report holds the measurements of a run.
 type Report struct {
 	Start    time.Time `json:"start"`
 	Seed     uint64    `json:"seed"`
 	Rate     float64   `json:"rate"`
 	Routers  int       `json:"routers"`
 	Profiles []Profile `json:"profiles"`
-	// SendingSeconds is the time of arrivals, WholeSeconds that to the last answer.
+	// SendingSeconds is the time from the start to the last arrival. WholeSeconds is the
+	// time from the start to the end of the last request.
 	SendingSeconds float64        `json:"sendingSeconds"`
 	WholeSeconds   float64        `json:"wholeSeconds"`
 	Requests       int            `json:"requests"`
 	Endings        map[Ending]int `json:"endings"`
-	// Reasons counts what did not complete by ending and reason.
-	Reasons         map[string]int `json:"reasons,omitempty"`
-	Tokens          int            `json:"tokens"`
-	TokensPerSecond float64        `json:"tokensASecond"`
-	// NotSent counts arrivals beyond the bound on requests in hand.
+	// Reasons counts the requests that did not complete, by "ending: reason".
+	Reasons map[string]int `json:"reasons,omitempty"`
+	Tokens  int            `json:"tokens"`
+	// TokensPerSecond is Tokens divided by WholeSeconds.
+	TokensPerSecond float64 `json:"tokensASecond"`
+	// NotSent counts the arrivals above Options.MaxInFlight.
 	NotSent int `json:"notSent"`
-	// SentLate is how long after the intended times this tool sent.
+	// SentLate is the delay of the load generator: from the intended to the actual send
+	// time.
 	SentLate Quantiles      `json:"sentLate"`
 	Series   []SeriesReport `json:"series"`
-	// Faults counts failed checks; Examples spells out the first.
+	// Faults counts failed checks. Examples lists the first of them, at most maxExamples.
 	Faults   map[Check]int `json:"faults,omitempty"`
 	Examples []Fault       `json:"examples,omitempty"`
 }
 
-// SeriesReport is one profile's requests with one ending.
+// SeriesReport summarises the requests of one profile with one ending. FirstToken and
+// Whole are measured from the intended send time; Whole runs to the outcome, or to the
+// failure of the request. BetweenTokens is the time between successive tokens of an
+// answer.
 type SeriesReport struct {
 	Profile       string    `json:"profile"`
 	Ending        Ending    `json:"ending"`
@@ -44,7 +50,7 @@
 	BetweenTokens Quantiles `json:"betweenTokens"`
 	Whole         Quantiles `json:"whole"`
 
-	series *series
+	series *series // nil in a report from ReadJSON
 }
 
 func newSeriesReport(profile string, ending Ending, s *series) SeriesReport {
@@ -59,7 +65,7 @@
 	}
 }
 
-// FaultCount returns how many checks failed.
+// FaultCount returns the number of failed checks.
 func (r *Report) FaultCount() int {
 	sum := 0
 	for _, n := range r.Faults {
@@ -68,14 +74,14 @@
 	return sum
 }
 
-// WriteJSON writes the report for ReadJSON.
+// WriteJSON writes the report in the format that ReadJSON reads.
 func (r *Report) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(r)
 }
 
-// ReadJSON reads a report from a file.
+// ReadJSON reads a report from a file that WriteJSON wrote.
 func ReadJSON(file string) (*Report, error) {
 	body, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/harness/loadgen/result.go
+++ b/internal/harness/loadgen/result.go
@@ -2,41 +2,46 @@
 
 import "time"
 
-// Ending is how a request ended, as its caller saw it.
+// Ending is the result of a request as its caller sees it.
 type Ending string
 
-// The endings. The first three are the outcomes that a router can tell.
+// The endings. The first three are the outcomes that a router reports.
 const (
 	EndComplete Ending = "complete"
 	EndNotRun   Ending = "not-run"
 	EndUnknown  Ending = "unknown"
-	// EndNoAnswer: the connection failed or the timeout passed before an outcome.
+	// EndNoAnswer means that the caller received no outcome, because the connection
+	// failed or the timeout expired.
 	EndNoAnswer Ending = "no-answer"
 )
 
-// result is what came of one request.
+// result is the record of one request.
 type result struct {
 	arrival Arrival
 	ending  Ending
-	// reason is the router's, or the error's text for EndNoAnswer.
+	// reason is the reason that the router gave. For EndNoAnswer it is that of
+	// errorReason.
 	reason string
-	// late is how long after the intended time the tool sent the request.
+	// late is the delay from the intended to the actual send time.
 	late time.Duration
-	// first and whole count from the intended time; first is 0 without a token.
-	first   time.Duration
-	whole   time.Duration
+	// first is the time from the intended send time to the first token, 0 without
+	// tokens. whole is the time from the intended send time to the outcome, or to the
+	// failure of the request.
+	first time.Duration
+	whole time.Duration
+	// between are the times between successive tokens.
 	between []time.Duration
 	tokens  int
 	faults  []Fault
 }
 
-// Fault is one thing that a router must never do.
+// Fault is a failed check: a router did something that it must never do.
 type Fault struct {
 	Check  Check  `json:"check"`
 	Detail string `json:"detail"`
 }
 
-// Check names what is checked of each answer.
+// Check is the name of a check that every response must pass.
 type Check string
 
 // The checks.
--- a/internal/harness/loadgen/run.go
+++ b/internal/harness/loadgen/run.go
@@ -8,8 +8,8 @@
 	"geraniumcroft/internal/sleep"
 )
 
-// Run sends the load and returns the report. When ctx ends, no more is sent and what
-// is in hand is given up.
+// Run sends the load, waits for all responses and returns the report. When ctx ends, no
+// more requests are sent and the requests in flight are cancelled.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
--- a/internal/harness/loadgen/schedule.go
+++ b/internal/harness/loadgen/schedule.go
@@ -7,24 +7,26 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// seedStream tells this package's random numbers from others with the same seed.
-const seedStream = 0x6c6f6164
+// randomStream is the second word of the PCG seed. It gives the schedule random numbers
+// that are independent of those of other users of the same seed.
+const randomStream = 0x6c6f6164
 
-// Schedule draws arrivals; the same options give the same ones.
+// Schedule generates the arrivals of a run. The same options give the same arrivals. It
+// is not safe for concurrent use.
 type Schedule struct {
 	options    *Options
 	gaps       distuv.Exponential
 	mix        distuv.Categorical
 	workspaces *rand.Zipf
-	prompts    []lengths
-	outputs    []lengths
+	prompts    []lengthSampler
+	outputs    []lengthSampler
 	number     int
 	at         time.Duration
 }
 
-// NewSchedule returns the schedule of a run.
+// NewSchedule returns the schedule of a run, at its first arrival.
 func NewSchedule(o *Options) *Schedule {
-	random := rand.New(rand.NewPCG(o.Seed, seedStream))
+	random := rand.New(rand.NewPCG(o.Seed, randomStream))
 	s := &Schedule{
 		options:    o,
 		gaps:       distuv.Exponential{Rate: o.Rate, Src: random},
@@ -33,8 +35,8 @@
 	var shares []float64
 	for _, p := range o.Profiles {
 		shares = append(shares, p.Share)
-		s.prompts = append(s.prompts, newLengths(p.PromptTokens, random))
-		s.outputs = append(s.outputs, newLengths(p.MaxTokens, random))
+		s.prompts = append(s.prompts, newLengthSampler(p.PromptTokens, random))
+		s.outputs = append(s.outputs, newLengthSampler(p.MaxTokens, random))
 	}
 	s.mix = distuv.NewCategorical(shares, random)
 	return s
@@ -54,8 +56,8 @@
 		ProfileIndex: mix,
 		Profile:      o.Profiles[mix].nameFor(int(s.workspaces.Uint64())),
 		Router:       o.Routers[s.number%len(o.Routers)],
-		PromptTokens: s.prompts[mix].draw(),
-		MaxTokens:    s.outputs[mix].draw(),
+		PromptTokens: s.prompts[mix].sample(),
+		MaxTokens:    s.outputs[mix].sample(),
 	}
 	s.number++
 	return a, true
--- a/internal/harness/loadgen/sender.go
+++ b/internal/harness/loadgen/sender.go
@@ -12,12 +12,13 @@
 const (
 	headerOutcome   = "Geraniumcroft-Outcome"
 	headerRequestID = "Geraniumcroft-Request-Id"
-	// maxAnswer bounds a whole answer, maxLine one line of a stream.
+	// maxAnswer limits the bytes of a response that is not streamed, maxLine those of
+	// a line of a stream.
 	maxAnswer = 4 << 20
 	maxLine   = 16 << 10
 )
 
-// sender sends one request at a time a goroutine and checks its answer.
+// sender sends requests and checks the responses. It is safe for concurrent use.
 type sender struct {
 	client  *http.Client
 	options *Options
@@ -33,15 +34,15 @@
 
 func (s *sender) close() { s.client.CloseIdleConnections() }
 
-// send sends the arrival, whose intended time is due, and returns what came of it.
+// send sends one request, whose intended send time is due, and returns its result.
 func (s *sender) send(ctx context.Context, a Arrival, due time.Time) *result {
 	ctx, cancel := context.WithDeadline(ctx, due.Add(s.options.Timeout))
 	defer cancel()
 	r := &result{arrival: a, ending: EndNoAnswer, late: time.Since(due)}
 	if s.options.Profiles[a.ProfileIndex].Kind == KindCall {
-		s.call(ctx, r, due)
+		s.sendCall(ctx, r, due)
 	} else {
-		s.chat(ctx, r, due)
+		s.sendChat(ctx, r, due)
 	}
 	if r.whole == 0 {
 		r.whole = time.Since(due)
@@ -49,8 +50,8 @@
 	return r
 }
 
-// post sends a body without GetBody, so that net/http cannot send it twice by itself
-// and every request that arrives is one that was meant.
+// post sends a request without GetBody, so that net/http cannot retry it: each request
+// that a router receives is one that the load generator sent on purpose.
 func (s *sender) post(ctx context.Context, a Arrival, path, contentType string, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Router+path, nil)
 	if err != nil {
@@ -65,7 +66,8 @@
 	return s.client.Do(request)
 }
 
-// words returns n words, the first of which makes the text unique.
-func words(first string, n int) string {
+// paddedText returns n words, of which the first is given. The caller passes a unique
+// first word, so that the texts differ.
+func paddedText(first string, n int) string {
 	return first + strings.Repeat(" w", max(0, n-1))
 }
--- a/internal/harness/loadgen/text.go
+++ b/internal/harness/loadgen/text.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// WriteText writes the report for people.
+// WriteText writes the report as a table for readers.
 func (r *Report) WriteText(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "%d requests in %.1f s at %.0f a second, answered within %.1f s; %d tokens, %.0f a second\n",
@@ -43,11 +43,12 @@
 	}
 }
 
-type row struct {
+// latencyRow is one line of the table.
+type latencyRow struct {
 	name      string
 	quantiles Quantiles
 }
 
-func (s SeriesReport) rows() []row {
-	return []row{{"first token", s.FirstToken}, {"between tokens", s.BetweenTokens}, {"whole", s.Whole}}
+func (s SeriesReport) rows() []latencyRow {
+	return []latencyRow{{"first token", s.FirstToken}, {"between tokens", s.BetweenTokens}, {"whole", s.Whole}}
 }
