--- a/internal/harness/callclient/answer.go
+++ b/internal/harness/callclient/answer.go
@@ -7,26 +7,30 @@
 	"time"
 )
 
-// Answer is what a caller got.
+// Answer is the response that a caller received.
 type Answer struct {
-	// Status is the HTTP status, Outcome what the VM said of the request.
-	Status    int
+	// Status is the HTTP status.
+	Status int
+	// Outcome is the outcome that the VM reported.
 	Outcome   string
 	RequestID string
-	// Tokens are the pieces of a generation, Body a call's answer or a problem.
+	// Tokens are the texts of a generation's tokens. Body is the response to a call, or
+	// the body of an error response.
 	Tokens []string
 	Body   string
-	// FirstToken and Took run from the sending of the request.
+	// FirstToken is the time to the first token, Took the time to the end of the
+	// response. Both are measured from the sending of the request.
 	FirstToken time.Duration
 	Took       time.Duration
 }
 
-// Text returns a generation's text.
+// Text returns the text of a generation.
 func (a Answer) Text() string { return strings.Join(a.Tokens, "") }
 
-func (a *Answer) take(event, data string, started time.Time, onToken func(int)) error {
+// addEvent adds the data of one server-sent event.
+func (a *Answer) addEvent(event, data string, started time.Time, onToken func(int)) error {
 	if event == "outcome" {
-		var final finalEvent
+		var final outcomeEvent
 		if err := json.Unmarshal([]byte(data), &final); err != nil {
 			return err
 		}
--- a/internal/harness/callclient/chat_wire.go
+++ b/internal/harness/callclient/chat_wire.go
@@ -20,7 +20,7 @@
 	} `json:"choices"`
 }
 
-type finalEvent struct {
+type outcomeEvent struct {
 	Outcome string `json:"outcome"`
 	Tokens  int    `json:"tokens"`
 }
--- a/internal/harness/callclient/client.go
+++ b/internal/harness/callclient/client.go
@@ -1,5 +1,5 @@
-// Package callclient speaks the callers' API as a service would. The demo and
-// the tests of whole routers use it to see what a caller sees.
+// Package callclient is a client of the callers' API. The demo, the experiments and the
+// tests of whole routers use it to observe what a caller observes.
 package callclient
 
 import (
@@ -15,33 +15,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The headers of the callers' API.
+// Headers of the callers' API.
 const (
-	headerOutcome = "Geraniumcroft-Outcome"
-	headerRequest = "Geraniumcroft-Request-Id"
-	headerKey     = "Idempotency-Key"
+	headerOutcome        = "Geraniumcroft-Outcome"
+	headerRequestID      = "Geraniumcroft-Request-Id"
+	headerIdempotencyKey = "Idempotency-Key"
 )
 
-// Client calls one VM.
+// Client sends requests to one VM. It is safe for concurrent use.
 type Client struct {
-	// Address is IP:port of a callers' listener.
+	// Address is the address, IP:port, of a callers' listener.
 	Address string
-	// HTTP is the client to use; nil takes http.DefaultClient.
+	// HTTP is the HTTP client to use; nil means http.DefaultClient.
 	HTTP *http.Client
 }
 
-// Call sends a call of a plain service; key may be empty.
+// Call calls a plain service. The idempotency key may be empty. A response with an error
+// status is an Answer, not an error.
 func (c Client) Call(ctx context.Context, profile, key string, body []byte) (Answer, error) {
 	started := time.Now()
 	response, err := c.post(ctx, "/v1/profiles/"+profile+"/calls", key, body)
 	if err != nil {
 		return Answer{}, err
 	}
-	return whole(response, started)
+	return readWhole(response, started)
 }
 
-// Generate asks for a streamed generation. onToken, if not nil, is called with each
-// token's number, from 0.
+// Generate requests a streamed generation. onToken, if not nil, is called with the number
+// of each token, from 0. A response with an error status is an Answer, not an error.
 func (c Client) Generate(ctx context.Context, profile, prompt string, maxTokens int, onToken func(int)) (Answer, error) {
 	body, err := json.Marshal(chatRequest{
 		Model: profile, Messages: []chatMessage{{Role: "user", Content: prompt}}, MaxTokens: maxTokens, Stream: true,
@@ -55,7 +56,7 @@
 		return Answer{}, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return whole(response, started)
+		return readWhole(response, started)
 	}
 	defer func() { _ = response.Body.Close() }()
 	return readStream(response, started, onToken)
@@ -66,11 +67,11 @@
 	if err != nil {
 		return nil, err
 	}
-	// A caller's own library must not send the request twice by itself either.
+	// Without GetBody, net/http cannot retry the request.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	if key != "" {
-		request.Header.Set(headerKey, key)
+		request.Header.Set(headerIdempotencyKey, key)
 	}
 	client := c.HTTP
 	if client == nil {
@@ -79,26 +80,29 @@
 	return client.Do(request)
 }
 
-func whole(response *http.Response, started time.Time) (Answer, error) {
+// readWhole reads a response that is not streamed.
+func readWhole(response *http.Response, started time.Time) (Answer, error) {
 	defer func() { _ = response.Body.Close() }()
-	answer := head(response)
+	answer := newAnswer(response)
 	body, err := io.ReadAll(response.Body)
 	answer.Body = string(body)
 	answer.Took = time.Since(started)
 	return answer, err
 }
 
-func head(response *http.Response) Answer {
+// newAnswer returns an Answer with the status and the header fields of a response.
+func newAnswer(response *http.Response) Answer {
 	return Answer{
 		Status:    response.StatusCode,
 		Outcome:   response.Header.Get(headerOutcome),
-		RequestID: response.Header.Get(headerRequest),
+		RequestID: response.Header.Get(headerRequestID),
 	}
 }
 
-// readStream reads server-sent events up to the outcome.
+// readStream reads server-sent events to the end of the stream. A stream without an
+// outcome is an error.
 func readStream(response *http.Response, started time.Time, onToken func(int)) (Answer, error) {
-	answer := head(response)
+	answer := newAnswer(response)
 	answer.Outcome = ""
 	lines := bufio.NewScanner(response.Body)
 	event := ""
@@ -112,7 +116,7 @@
 		if !ok || data == "[DONE]" {
 			continue
 		}
-		if err := answer.take(event, data, started, onToken); err != nil {
+		if err := answer.addEvent(event, data, started, onToken); err != nil {
 			return answer, err
 		}
 		event = ""
