--- a/internal/harness/baseline/call.go
+++ b/internal/harness/baseline/call.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	attempts        = 2
+	maxAttempts     = 2
 	maxBody         = 8 << 20
 	callTimeout     = 5 * time.Second
 	headerOutcome   = "Geraniumcroft-Outcome"
 	headerRequestID = "Geraniumcroft-Request-Id"
-	outcomeWhole    = "complete"
+	outcomeComplete = "complete"
 	outcomeUnknown  = "unknown"
 )
 
@@ -36,35 +36,37 @@
 	call := service.Call{RequestID: fmt.Sprintf("baseline-%d", r.ids.Add(1)), Path: profile.Path, Body: body, ContentType: "application/json"}
 	ctx, cancel := context.WithTimeout(request.Context(), time.Duration(profile.Deadline))
 	defer cancel()
-	response, err := r.callTwice(ctx, snapshot, profile.Service, call)
+	response, err := r.callWithRetry(ctx, snapshot, profile.Service, call)
 	if err != nil {
 		w.Header().Set(headerOutcome, outcomeUnknown)
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
 	}
-	w.Header().Set(headerOutcome, outcomeWhole)
+	w.Header().Set(headerOutcome, outcomeComplete)
 	w.WriteHeader(response.Status)
-	_, _ = w.Write(response.Body) // the caller's loss shows on its side
+	_, _ = w.Write(response.Body) // the caller notices a failed write
 }
 
-// callTwice repeats a failed call on the next instance, whether or not it may be.
-func (r *Router) callTwice(ctx context.Context, snapshot *config.Snapshot, name string, call service.Call) (service.Response, error) {
-	var failed error
-	for range attempts {
-		response, err := r.callOnce(ctx, r.instance(snapshot, name), call)
+// callWithRetry retries a failed call once, on the next instance. It does so whether or
+// not the call may be repeated.
+func (r *Router) callWithRetry(ctx context.Context, snapshot *config.Snapshot, name string, call service.Call) (service.Response, error) {
+	var lastErr error
+	for range maxAttempts {
+		response, err := r.call(ctx, r.instance(snapshot, name), call)
 		if err == nil {
 			return response, nil
 		}
-		failed = err
+		lastErr = err
 	}
-	return service.Response{}, failed
+	return service.Response{}, lastErr
 }
 
-func (r *Router) callOnce(ctx context.Context, instance *config.Target, call service.Call) (service.Response, error) {
+// call sends a call to one instance. A status of 500 or above is an error.
+func (r *Router) call(ctx context.Context, instance *config.Target, call service.Call) (service.Response, error) {
 	if instance == nil {
 		return service.Response{}, errNoTarget
 	}
-	release, err := r.slots.take(ctx, []*config.Target{instance})
+	release, err := r.slots.acquire(ctx, []*config.Target{instance})
 	if err != nil {
 		return service.Response{}, err
 	}
--- a/internal/harness/baseline/choose.go
+++ b/internal/harness/baseline/choose.go
@@ -7,11 +7,11 @@
 	"geraniumcroft/internal/config"
 )
 
-// pipeline returns targets that hold the model's layers once and in order: by
-// turns among those that go on where the one before ends. It is empty when there
-// are none.
+// pipeline returns targets that hold each of the model's layers once and in order. Each
+// target is chosen round-robin from those that start where the previous one ends. The
+// pipeline is empty if there are no targets for some layer.
 func (r *Router) pipeline(snapshot *config.Snapshot, ref config.ModelRef) []*config.Target {
-	holders := sorted(snapshot, func(t *config.Target) bool {
+	holders := matchingTargets(snapshot, func(t *config.Target) bool {
 		return t.Kind == config.KindEngine && t.Model == ref.Model && t.Version == ref.Version
 	})
 	turn := int(r.turn.Add(1))
@@ -21,30 +21,31 @@
 		if len(next) == 0 {
 			return nil
 		}
-		taken := next[turn%len(next)]
-		chosen = append(chosen, taken)
-		reached = taken.Layers.To
+		chosenTarget := next[turn%len(next)]
+		chosen = append(chosen, chosenTarget)
+		reached = chosenTarget.Layers.To
 	}
 	return chosen
 }
 
-// instance returns the instance of a plain service whose turn it is; nil when
-// there is none.
+// instance returns the next instance of a plain service, round-robin, or nil if there is
+// none.
 func (r *Router) instance(snapshot *config.Snapshot, name string) *config.Target {
-	instances := sorted(snapshot, func(t *config.Target) bool { return t.Kind == config.KindService && t.Service == name })
+	instances := matchingTargets(snapshot, func(t *config.Target) bool { return t.Kind == config.KindService && t.Service == name })
 	if len(instances) == 0 {
 		return nil
 	}
 	return instances[int(r.turn.Add(1))%len(instances)]
 }
 
-func sorted(snapshot *config.Snapshot, matches func(*config.Target) bool) []*config.Target {
-	var found []*config.Target
+// matchingTargets returns the matching targets that take work, sorted by name.
+func matchingTargets(snapshot *config.Snapshot, matches func(*config.Target) bool) []*config.Target {
+	var matching []*config.Target
 	for _, t := range snapshot.Targets {
 		if t.TakesWork() && matches(t) {
-			found = append(found, t)
+			matching = append(matching, t)
 		}
 	}
-	slices.SortFunc(found, func(a, b *config.Target) int { return cmp.Compare(a.Name, b.Name) })
-	return found
+	slices.SortFunc(matching, func(a, b *config.Target) int { return cmp.Compare(a.Name, b.Name) })
+	return matching
 }
--- a/internal/harness/baseline/doc.go
+++ b/internal/harness/baseline/doc.go
@@ -1,9 +1,10 @@
-// Package baseline is a small router to compare with: what a plain proxy with a
-// list of targets does. It takes targets by turns, queues first come first served
-// for a target's slots, has no priorities, refuses nothing early, repeats each
-// failed request once on another target, also one that may have run, and gives a
-// stream up when a stage fails after its first token.
+// Package baseline is a minimal router that the product is compared with. It does what a
+// plain proxy with a list of targets does: it chooses targets round-robin, queues
+// requests for the slots of a target in order of arrival, has no priorities and rejects
+// no request early. It retries each failed request once on another target, even if the
+// request may have run, and ends a stream with a failure if a stage fails after the
+// first token.
 //
-// It uses the same clients of engines and services as the product and speaks the
-// same callers' API, so that what differs in a comparison is the routing alone.
+// It uses the same engine and service clients as the product and serves the same
+// callers' API, so that a comparison shows only the difference in routing.
 package baseline
--- a/internal/harness/baseline/pipeline_attempt.go
+++ b/internal/harness/baseline/pipeline_attempt.go
@@ -9,8 +9,8 @@
 	"geraniumcroft/internal/engine"
 )
 
-// pipelineRun is one attempt at a generation; any stage's failure ends it.
-type pipelineRun struct {
+// pipelineAttempt is one attempt at a generation. It fails as soon as a stage fails.
+type pipelineAttempt struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	client engine.Client
@@ -18,43 +18,44 @@
 	work   sync.WaitGroup
 }
 
-func newPipelineRun(ctx context.Context, client engine.Client, open engine.StageOpen) *pipelineRun {
+func newPipelineAttempt(ctx context.Context, client engine.Client, open engine.StageOpen) *pipelineAttempt {
 	ctx, cancel := context.WithCancelCause(ctx)
-	return &pipelineRun{ctx: ctx, cancel: cancel, client: client, open: open}
+	return &pipelineAttempt{ctx: ctx, cancel: cancel, client: client, open: open}
 }
 
-// relay opens all stages and hands the last one's tokens on.
-func (p *pipelineRun) relay(out *answer) error {
+// relay opens all stages and writes the tokens of the last stage to out.
+func (p *pipelineAttempt) relay(out *responseStream) error {
 	defer p.work.Wait()
 	defer p.cancel(nil)
 	last := len(p.open.Hops) - 1
 	for stage := range last {
-		p.work.Go(func() { p.watch(stage) })
+		p.work.Go(func() { p.watchStage(stage) })
 	}
-	return p.read(last, out.token)
+	return p.read(last, out.writeToken)
 }
 
-// watch ends the run when a stage before the last one fails.
-func (p *pipelineRun) watch(stage int) {
+// watchStage cancels the attempt if a stage before the last one fails.
+func (p *pipelineAttempt) watchStage(stage int) {
 	if err := p.read(stage, func(string) error { return nil }); err != nil {
 		p.cancel(err)
 	}
 }
 
-// read returns nil when the stage said that the generation is done, or when the
-// run has ended.
-func (p *pipelineRun) read(stage int, token func(string) error) error {
+// read reads the events of a stage and passes each token to the callback. It returns nil
+// when the stage reports that the generation is done, and the cause of the cancellation
+// if the attempt has been cancelled.
+func (p *pipelineAttempt) read(stage int, token func(string) error) error {
 	open := p.open
 	open.Index = stage
 	stream, err := p.client.Open(p.ctx, open.Hops[stage].Address, open)
 	if err != nil {
-		return p.why(err)
+		return p.cause(err)
 	}
 	defer stream.Close()
 	for {
 		event, err := stream.Recv()
 		if err != nil {
-			return p.why(err)
+			return p.cause(err)
 		}
 		switch event.Kind {
 		case engine.EventDone:
@@ -69,7 +70,8 @@
 	}
 }
 
-func (p *pipelineRun) why(err error) error {
+// cause returns the reason for which the attempt was cancelled, or err if it was not.
+func (p *pipelineAttempt) cause(err error) error {
 	if cause := context.Cause(p.ctx); cause != nil {
 		return cause
 	}
--- a/internal/harness/baseline/response_stream.go
+++ b/internal/harness/baseline/response_stream.go
@@ -6,15 +6,17 @@
 	"net/http"
 )
 
-// answer is one caller's stream.
-type answer struct {
+// responseStream writes the response to one caller. If it ends without a token, it is an
+// HTTP error.
+type responseStream struct {
 	id      string
 	w       http.ResponseWriter
 	control *http.ResponseController
 	tokens  int
 }
 
-func (a *answer) token(text string) error {
+// writeToken sends one token. The first one also sends the header.
+func (a *responseStream) writeToken(text string) error {
 	if a.tokens == 0 {
 		a.w.Header().Set("Content-Type", "text/event-stream")
 		a.w.Header().Set(headerRequestID, a.id)
@@ -30,16 +32,17 @@
 	return a.control.Flush()
 }
 
-func (a *answer) end(failed error) {
-	outcome := outcomeWhole
-	if failed != nil {
+// finish ends the response. After a failure its outcome is unknown.
+func (a *responseStream) finish(lastErr error) {
+	outcome := outcomeComplete
+	if lastErr != nil {
 		outcome = outcomeUnknown
 	}
 	if a.tokens == 0 {
 		a.w.Header().Set(headerOutcome, outcome)
 		a.w.Header().Set(headerRequestID, a.id)
-		http.Error(a.w, fmt.Sprint(failed), http.StatusBadGateway)
+		http.Error(a.w, fmt.Sprint(lastErr), http.StatusBadGateway)
 		return
 	}
-	_, _ = fmt.Fprintf(a.w, "event: outcome\ndata: {\"outcome\":%q,\"tokens\":%d}\n\n", outcome, a.tokens) // the caller's loss shows on its side
+	_, _ = fmt.Fprintf(a.w, "event: outcome\ndata: {\"outcome\":%q,\"tokens\":%d}\n\n", outcome, a.tokens) // the caller notices a failed write
 }
--- a/internal/harness/baseline/router.go
+++ b/internal/harness/baseline/router.go
@@ -9,27 +9,27 @@
 	"geraniumcroft/internal/service"
 )
 
-// Options are what a Router is made from.
+// Options configures a Router.
 type Options struct {
-	// Source gives profiles and targets.
+	// Source provides the profiles and the targets.
 	Source   config.Source
 	Engines  engine.Client
 	Services service.Client
 }
 
-// Router implements http.Handler.
+// Router is the baseline router. It implements http.Handler.
 type Router struct {
 	Options
 	mux   *http.ServeMux
-	turn  atomic.Uint64
-	ids   atomic.Uint64
+	turn  atomic.Uint64 // round-robin counter
+	ids   atomic.Uint64 // request IDs given out
 	slots *slots
 }
 
-// New returns a router.
+// New returns a router that uses o.
 func New(o Options) *Router {
 	r := &Router{Options: o, mux: http.NewServeMux(), slots: newSlots()}
-	r.mux.HandleFunc("POST /v1/chat/completions", r.serveDraft)
+	r.mux.HandleFunc("POST /v1/chat/completions", r.serveGeneration)
 	r.mux.HandleFunc("POST /v1/profiles/{profile}/calls", r.serveCall)
 	return r
 }
--- a/internal/harness/baseline/router_test.go
+++ b/internal/harness/baseline/router_test.go
@@ -20,23 +20,24 @@
 
 const testBound = 30 * time.Second
 
-// fixed is a configuration that does not change.
-type fixed struct{ *config.Snapshot }
+// fixedSource is a configuration that does not change.
+type fixedSource struct{ *config.Snapshot }
 
-func (f fixed) Current() *config.Snapshot { return f.Snapshot }
+func (f fixedSource) Current() *config.Snapshot { return f.Snapshot }
 
-// world is a baseline before two engines of each half and two instances.
-type world struct {
+// testRouter is a baseline router with two engines for each half of a model's layers and
+// two instances of a service.
+type testRouter struct {
 	engines  []*enginesim.Engine
 	services []*servicesim.Service
 	caller   callclient.Client
 }
 
-func newWorld(t *testing.T) (*world, context.Context) {
+func newTestRouter(t *testing.T) (*testRouter, context.Context) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testBound)
 	t.Cleanup(cancel)
-	w := &world{}
+	fx := &testRouter{}
 	snapshot := config.NewSnapshot()
 	model := &config.Model{Name: "grid", Layers: 8, Versions: []string{"1"}}
 	snapshot.Models["grid"] = model
@@ -48,14 +49,14 @@
 		})
 		must(t, e.Start("127.0.0.1:0"))
 		t.Cleanup(e.Close)
-		w.engines = append(w.engines, e)
+		fx.engines = append(fx.engines, e)
 		snapshot.Targets[e.Name()] = e.Target()
 	}
 	for number := range 2 {
 		s := servicesim.New(servicesim.Options{Name: fmt.Sprintf("permits-%d", number), Service: "permits"})
 		must(t, s.Start("127.0.0.1:0"))
 		t.Cleanup(s.Close)
-		w.services = append(w.services, s)
+		fx.services = append(fx.services, s)
 		snapshot.Targets[s.Target().Name] = s.Target()
 	}
 	snapshot.Profiles["summary"] = &config.Profile{Name: "summary", Models: []config.ModelRef{{Model: "grid", Version: "1"}}, Deadline: config.Duration(testBound)}
@@ -63,11 +64,11 @@
 	pool := transport.NewPool(transport.Settings{}, nil)
 	t.Cleanup(pool.Close)
 	server := httptest.NewServer(New(Options{
-		Source: fixed{snapshot}, Engines: httpengine.New(pool, httpengine.Settings{}), Services: httpservice.New(pool, httpservice.Settings{}),
+		Source: fixedSource{snapshot}, Engines: httpengine.New(pool, httpengine.Settings{}), Services: httpservice.New(pool, httpservice.Settings{}),
 	}))
 	t.Cleanup(server.Close)
-	w.caller = callclient.Client{Address: strings.TrimPrefix(server.URL, "http://"), HTTP: &http.Client{}}
-	return w, ctx
+	fx.caller = callclient.Client{Address: strings.TrimPrefix(server.URL, "http://"), HTTP: &http.Client{}}
+	return fx, ctx
 }
 
 func must(t *testing.T, err error) {
@@ -77,42 +78,43 @@
 	}
 }
 
-// Without failures the baseline is right: what a comparison shows is not a fault
-// of its own making.
+// Without failures the baseline serves requests correctly. A comparison would otherwise
+// show faults of the baseline's own implementation.
 func TestBaselineServesWhatDoesNotFail(t *testing.T) {
-	w, ctx := newWorld(t)
-	answer, err := w.caller.Generate(ctx, "summary", "bay 7", 12, nil)
+	fx, ctx := newTestRouter(t)
+	answer, err := fx.caller.Generate(ctx, "summary", "bay 7", 12, nil)
 	if err != nil || answer.Outcome != "complete" || len(answer.Tokens) != 12 {
 		t.Errorf("%v, %+v", err, answer)
 	}
-	call, err := w.caller.Call(ctx, "lockout", "", []byte("{}"))
+	call, err := fx.caller.Call(ctx, "lockout", "", []byte("{}"))
 	if err != nil || call.Outcome != "complete" {
 		t.Errorf("%v, %+v", err, call)
 	}
 }
 
-// The crew's lockout is executed, its answer is lost, and the baseline sends it
-// again: the crew reads complete, the record holds two. That is what the product
-// is compared with; a baseline that were careful here would show nothing.
-func TestBaselineRunsACallTwiceWhenItsAnswerIsLost(t *testing.T) {
-	w, ctx := newWorld(t)
-	for _, s := range w.services {
+// A service executes a call that is not idempotent, and the response is lost. The baseline
+// sends the call again, so it runs twice while the caller is told that it is complete. A
+// baseline without this failure would be no comparison for how the product handles it.
+func TestBaselineRunsACallTwiceWhenItsResponseIsLost(t *testing.T) {
+	fx, ctx := newTestRouter(t)
+	for _, s := range fx.services {
 		s.SetFaults(func(f *servicesim.Faults) { f.LoseResponses = 1 })
 	}
-	_, err := w.caller.Call(ctx, "lockout", "", []byte("{}"))
+	_, err := fx.caller.Call(ctx, "lockout", "", []byte("{}"))
 	must(t, err)
-	if ran := w.services[0].ExecutedTotal() + w.services[1].ExecutedTotal(); ran != 2 {
+	if ran := fx.services[0].ExecutedTotal() + fx.services[1].ExecutedTotal(); ran != 2 {
 		t.Errorf("ran %d times, want 2", ran)
 	}
 }
 
-// A stage dies after the caller has tokens: the stream is given up, and says so.
-func TestBaselineGivesUpAStreamWithTokens(t *testing.T) {
-	w, ctx := newWorld(t)
-	answer, err := w.caller.Generate(ctx, "summary", "bay 7", 2000, func(position int) {
+// If a stage crashes after the caller has received tokens, the stream ends with the outcome
+// unknown.
+func TestBaselineEndsAStreamThatHasTokens(t *testing.T) {
+	fx, ctx := newTestRouter(t)
+	answer, err := fx.caller.Generate(ctx, "summary", "bay 7", 2000, func(position int) {
 		if position == 5 {
-			w.engines[0].Die()
-			w.engines[1].Die()
+			fx.engines[0].Die()
+			fx.engines[1].Die()
 		}
 	})
 	if err != nil || answer.Outcome != "unknown" || len(answer.Tokens) < 6 {
--- a/internal/harness/baseline/slots.go
+++ b/internal/harness/baseline/slots.go
@@ -9,7 +9,8 @@
 	"geraniumcroft/internal/config"
 )
 
-// slots queue first come first served for each target.
+// slots limits the requests in progress on each target. Requests wait in order of
+// arrival.
 type slots struct {
 	mu       sync.Mutex // guards the field below
 	byTarget map[string]*semaphore.Weighted
@@ -17,20 +18,21 @@
 
 func newSlots() *slots { return &slots{byTarget: map[string]*semaphore.Weighted{}} }
 
-func (s *slots) of(t *config.Target) *semaphore.Weighted {
+// semaphoreOf returns the semaphore with the slots of a target.
+func (s *slots) semaphoreOf(t *config.Target) *semaphore.Weighted {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.byTarget[t.Name]
-	if held == nil {
-		held = semaphore.NewWeighted(int64(t.Slots))
-		s.byTarget[t.Name] = held
+	slot := s.byTarget[t.Name]
+	if slot == nil {
+		slot = semaphore.NewWeighted(int64(t.Slots))
+		s.byTarget[t.Name] = slot
 	}
-	return held
+	return slot
 }
 
-// take waits for a slot on each target in order of layers, so that no two
-// requests wait for each other; the returned function gives them back.
-func (s *slots) take(ctx context.Context, targets []*config.Target) (release func(), err error) {
+// acquire waits for a slot on each target. The targets are in order of their layers, so
+// that requests cannot deadlock. The returned function releases the slots.
+func (s *slots) acquire(ctx context.Context, targets []*config.Target) (release func(), err error) {
 	var held []*semaphore.Weighted
 	release = func() {
 		for _, slot := range held {
@@ -38,7 +40,7 @@
 		}
 	}
 	for _, t := range targets {
-		slot := s.of(t)
+		slot := s.semaphoreOf(t)
 		if err := slot.Acquire(ctx, 1); err != nil {
 			release()
 			return nil, err
