--- a/internal/harness/testseed/series.go
+++ b/internal/harness/testseed/series.go
@@ -6,13 +6,14 @@
 	"strconv"
 )
 
-// firstSeed is the environment variable that moves every Series.
-const firstSeed = "TEST_FIRST_SEED"
+// firstSeedVariable is the environment variable with the first seed of every Series.
+const firstSeedVariable = "TEST_FIRST_SEED"
 
-// Series yields count seeds for a test that draws its runs itself: from 0 on, or from
-// the number in the environment, which a long run sets to another one in each round.
+// Series yields count consecutive seeds, for tests that generate their own random runs.
+// They start at 0, or at the value of TEST_FIRST_SEED, which long test runs set to another
+// value in each round. It panics if that value is not an unsigned integer.
 func Series(count uint64) iter.Seq[uint64] {
-	first := fromEnvironment()
+	first := firstSeed()
 	return func(yield func(uint64) bool) {
 		for n := range count {
 			if !yield(first + n) {
@@ -22,14 +23,15 @@
 	}
 }
 
-func fromEnvironment() uint64 {
-	value := os.Getenv(firstSeed)
+// firstSeed returns the seed in the environment, or 0 without one.
+func firstSeed() uint64 {
+	value := os.Getenv(firstSeedVariable)
 	if value == "" {
 		return 0
 	}
 	first, err := strconv.ParseUint(value, 10, 64)
 	if err != nil {
-		panic(firstSeed + ": " + err.Error())
+		panic(firstSeedVariable + ": " + err.Error())
 	}
 	return first
 }
--- a/internal/harness/testseed/testseed.go
+++ b/internal/harness/testseed/testseed.go
@@ -1,9 +1,9 @@
 // Package testseed fixes the seed of a package's randomised tests.
 //
-// pgregory.net/rapid takes a fresh seed on each run. A test that fails once in a
-// hundred runs would then block a change that has nothing to do with it, and pass
-// when it is run again. With a fixed seed every run of the same code has the same
-// verdict; fresh seeds are for the long runs, which give one by -rapid.seed.
+// By default, pgregory.net/rapid uses a new seed in each run. A test that fails in one
+// of a hundred runs would then block an unrelated change and pass when it is repeated.
+// With a fixed seed, every run of the same code has the same result. Long test runs set
+// new seeds with -rapid.seed.
 package testseed
 
 import (
@@ -12,24 +12,25 @@
 )
 
 const (
-	rapidSeed = "rapid.seed"
-	// random is rapid's own default: another seed on each run.
-	random = "0"
-	fixed  = "1"
+	rapidSeedFlag = "rapid.seed"
+	// randomSeed is the default of rapid: a new seed in each run.
+	randomSeed = "0"
+	fixedSeed  = "1"
 )
 
-// Main runs the package's tests, with the seed fixed unless the command line or the
-// environment gives one; -rapid.seed=0 asks for another on each run. It is called by
-// TestMain, in packages that import rapid.
+// Main runs the tests of a package. It sets a fixed seed unless the command line or the
+// environment sets one; -rapid.seed=0 selects a new seed in each run. TestMain calls it in
+// packages that import rapid.
 func Main(m *testing.M) {
 	flag.Parse()
-	if !given(rapidSeed) && flag.Lookup(rapidSeed).Value.String() == random {
-		_ = flag.Set(rapidSeed, fixed)
+	if !flagSet(rapidSeedFlag) && flag.Lookup(rapidSeedFlag).Value.String() == randomSeed {
+		_ = flag.Set(rapidSeedFlag, fixedSeed)
 	}
 	m.Run()
 }
 
-func given(name string) bool {
+// flagSet reports whether the flag is set on the command line.
+func flagSet(name string) bool {
 	found := false
 	flag.Visit(func(f *flag.Flag) { found = found || f.Name == name })
 	return found
