--- a/internal/harness/baseline/call.go
+++ b/internal/harness/baseline/call.go
@@ -52,7 +52,7 @@
 func (r *Router) callWithRetry(ctx context.Context, snapshot *config.Snapshot, name string, call service.Call) (service.Response, error) {
 	var lastErr error
 	for range maxAttempts {
-		response, err := r.call(ctx, r.instance(snapshot, name), call)
+		response, err := r.callInstance(ctx, r.instance(snapshot, name), call)
 		if err == nil {
 			return response, nil
 		}
@@ -61,8 +61,8 @@
 	return service.Response{}, lastErr
 }
 
-// call sends a call to one instance. A status of 500 or above is an error.
-func (r *Router) call(ctx context.Context, instance *config.Target, call service.Call) (service.Response, error) {
+// callInstance sends a call to one instance. A status of 500 or above is an error.
+func (r *Router) callInstance(ctx context.Context, instance *config.Target, call service.Call) (service.Response, error) {
 	if instance == nil {
 		return service.Response{}, errNoTarget
 	}
--- a/internal/harness/baseline/pipeline_attempt.go
+++ b/internal/harness/baseline/pipeline_attempt.go
@@ -49,13 +49,13 @@
 	open.Index = stage
 	stream, err := p.client.Open(p.ctx, open.Hops[stage].Address, open)
 	if err != nil {
-		return p.cause(err)
+		return p.attemptErr(err)
 	}
 	defer stream.Close()
 	for {
 		event, err := stream.Recv()
 		if err != nil {
-			return p.cause(err)
+			return p.attemptErr(err)
 		}
 		switch event.Kind {
 		case engine.EventDone:
@@ -70,8 +70,8 @@
 	}
 }
 
-// cause returns the reason for which the attempt was cancelled, or err if it was not.
-func (p *pipelineAttempt) cause(err error) error {
+// attemptErr returns the reason for which the attempt was cancelled, or err if it was not.
+func (p *pipelineAttempt) attemptErr(err error) error {
 	if cause := context.Cause(p.ctx); cause != nil {
 		return cause
 	}
