--- a/internal/harness/demo/demo.go
+++ b/internal/harness/demo/demo.go
@@ -1,8 +1,8 @@
-// Package demo shows the product at work in one process: two routers, stand-ins
-// for the platform, engines and a plain service, and the failures that matter.
+// Package demo demonstrates the product in one process: two routers, stand-ins for the
+// platform, the engines and a plain service, and the most important failures.
 //
-// Each step says what its caller got and how long it took, and fails the demo
-// unless all of it was right.
+// Each step prints the response that its caller received and how long it took. The demo
+// fails unless all responses are correct.
 package demo
 
 import (
@@ -23,24 +23,24 @@
 )
 
 const (
-	layers       = 24
-	middle       = 12
-	engineSlots  = 4
-	layerRate    = 6000.0
-	setUpTimeout = 30 * time.Second
-	stepTimeout  = 60 * time.Second
+	layers               = 24
+	splitLayer           = 12
+	engineSlots          = 4
+	layerTokensPerSecond = 6000.0
+	setupTimeout         = 30 * time.Second
+	stepTimeout          = 60 * time.Second
 )
 
-// Demo is a running fleet with its script.
+// Demo is a running fleet and the steps to run on it.
 type Demo struct {
 	out        io.Writer
 	fleet      *rig.Fleet
 	violations chan invariant.Violation
 }
 
-// New starts the fleet.
+// New starts and configures the fleet. The demo prints to out.
 func New(ctx context.Context, out io.Writer) (*Demo, error) {
-	ctx, cancel := context.WithTimeout(ctx, setUpTimeout)
+	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
 	d := &Demo{out: out, violations: make(chan invariant.Violation, 64)}
 	fleet, err := rig.Start(ctx, rig.Options{Routers: 2, OnViolation: d.onViolation})
@@ -51,6 +51,8 @@
 	return d, d.configure(ctx)
 }
 
+// onViolation records a violated invariant for Run. Run needs only one, so it drops those
+// that do not fit into the channel.
 func (d *Demo) onViolation(v invariant.Violation) {
 	select {
 	case d.violations <- v:
@@ -61,6 +63,7 @@
 // Close stops the fleet.
 func (d *Demo) Close() { d.fleet.Stop() }
 
+// configure adds a model, a workspace, targets and profiles to the configuration.
 func (d *Demo) configure(ctx context.Context) error {
 	model := &config.Model{Name: "grid", Layers: layers, Versions: []string{"1"}, ActivationBytes: 16 << 10}
 	entities := []struct {
@@ -82,13 +85,15 @@
 	return d.addProfiles(ctx)
 }
 
+// addTargets adds two engines for each half of the layers and two instances of the plain
+// service.
 func (d *Demo) addTargets(ctx context.Context, model *config.Model) error {
-	halves := []config.LayerRange{{From: 0, To: middle}, {From: middle, To: layers}}
+	halves := []config.LayerRange{{From: 0, To: splitLayer}, {From: splitLayer, To: layers}}
 	for half, held := range halves {
 		for copyOf := range 2 {
 			_, err := d.fleet.AddEngine(ctx, enginesim.Options{
 				Name: fmt.Sprintf("engine-%d%c", half, 'a'+copyOf), Model: model, Version: "1", Layers: held,
-				Slots: engineSlots, LayerTokensPerSecond: layerRate, TokenLatency: 2 * time.Millisecond,
+				Slots: engineSlots, LayerTokensPerSecond: layerTokensPerSecond, TokenLatency: 2 * time.Millisecond,
 			}, fmt.Sprintf("dc-%d", copyOf), "a100")
 			if err != nil {
 				return err
@@ -126,21 +131,22 @@
 	return callclient.Client{Address: d.fleet.Nodes[router].CallersAddress(), HTTP: &http.Client{}}
 }
 
-// Run plays the script. The error says what was not right.
+// Run runs all steps. The error says which response was not correct, or which invariant
+// was violated.
 func (d *Demo) Run(ctx context.Context) error {
 	steps := []struct {
 		title string
 		run   func(context.Context) error
 	}{
-		{"a draft over two stages", d.draft},
-		{"a lockout confirmation, which is not idempotent", d.confirmation},
-		{"urgent work while drafts fill the engines", d.urgentUnderLoad},
-		{"a stage dies in the middle of a draft", d.stageDies},
-		{"the service dies after it has run a confirmation", d.answerLost},
-		{"an operator drains a target", d.drainTarget},
+		{"a draft over two stages", d.runDraft},
+		{"a lockout confirmation, which is not idempotent", d.runCall},
+		{"urgent work while drafts fill the engines", d.runUrgentUnderLoad},
+		{"a stage dies in the middle of a draft", d.runStageFailure},
+		{"the service dies after it has run a confirmation", d.runLostResponse},
+		{"an operator drains a target", d.runDrain},
 	}
 	for number, step := range steps {
-		d.say("\n%d. %s\n", number+1, step.title)
+		d.printf("\n%d. %s\n", number+1, step.title)
 		bounded, cancel := context.WithTimeout(ctx, stepTimeout)
 		err := step.run(bounded)
 		cancel()
@@ -152,14 +158,15 @@
 	case v := <-d.violations:
 		return fmt.Errorf("invariant %s violated: %s", v.Name, v.Detail)
 	default:
-		d.say("\nAll of it was right; no invariant was violated.\n")
+		d.printf("\nAll of it was right; no invariant was violated.\n")
 		return nil
 	}
 }
 
-func (d *Demo) say(format string, args ...any) { _, _ = fmt.Fprintf(d.out, format, args...) }
+func (d *Demo) printf(format string, args ...any) { _, _ = fmt.Fprintf(d.out, format, args...) }
 
-func (d *Demo) report(who string, a callclient.Answer) {
-	d.say("   %-28s %d %-8s %3d tokens  first %8s  whole %8s\n", who, a.Status, a.Outcome, len(a.Tokens),
+// report prints one response.
+func (d *Demo) report(label string, a callclient.Answer) {
+	d.printf("   %-28s %d %-8s %3d tokens  first %8s  whole %8s\n", label, a.Status, a.Outcome, len(a.Tokens),
 		a.FirstToken.Round(100*time.Microsecond), a.Took.Round(100*time.Microsecond))
 }
--- a/internal/harness/demo/demo_test.go
+++ b/internal/harness/demo/demo_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// The whole path over real connections: what each caller of the script gets is
-// right, with two routers that share engines which they fill, a stage's death and
-// a lost answer. It failed first with a change that was told accepted before the
-// second router had it, then with a pool whose requests all waited for good, then
-// with drafts given up because an engine had no free slot.
+// Runs the demo over real connections: each caller receives the correct response, with two
+// routers that share and fill the engines, a stage that crashes and a lost response. It has
+// caught a configuration change that was reported as accepted before the second router had
+// it, a connection pool in which all requests waited forever, and drafts that were given up
+// because an engine had no free slot.
 func TestScript(t *testing.T) {
 	var out bytes.Buffer
 	d, err := New(context.Background(), &out)
--- a/internal/harness/demo/hints.go
+++ b/internal/harness/demo/hints.go
@@ -6,7 +6,7 @@
 	"geraniumcroft/internal/harness/rig"
 )
 
-// Hints returns curl lines to try on the fleet while it is kept up.
+// Hints returns curl commands to try on the fleet while it keeps running.
 func (d *Demo) Hints() string {
 	callers := d.fleet.Nodes[0].CallersAddress()
 	admin := d.fleet.Nodes[0].AdminAddress()
--- a/internal/harness/demo/steps.go
+++ b/internal/harness/demo/steps.go
@@ -22,6 +22,7 @@
 	killAtToken  = 10
 )
 
+// checkDraft returns an error unless the answer is complete and has all tokens in order.
 func checkDraft(a callclient.Answer, tokens int) error {
 	if a.Outcome != "complete" {
 		return fmt.Errorf("outcome %q, %d tokens: %s", a.Outcome, len(a.Tokens), a.Body)
@@ -36,7 +37,8 @@
 	return nil
 }
 
-func (d *Demo) draft(ctx context.Context) error {
+// runDraft requests a generation that runs on two engines.
+func (d *Demo) runDraft(ctx context.Context) error {
 	answer, err := d.client(0).Generate(ctx, "summary", "breaker report of bay 7", draftTokens, nil)
 	if err != nil {
 		return err
@@ -45,20 +47,22 @@
 	return checkDraft(answer, draftTokens)
 }
 
-func (d *Demo) confirmation(ctx context.Context) error {
-	before := d.executions()
+// runCall makes a call that is not idempotent. The service must execute it once.
+func (d *Demo) runCall(ctx context.Context) error {
+	before := d.totalExecutions()
 	answer, err := d.client(1).Call(ctx, "lockout", "", []byte(`{"bay":7}`))
 	if err != nil {
 		return err
 	}
 	d.report("crew's confirmation", answer)
-	if ran := d.executions() - before; answer.Outcome != "complete" || ran != 1 {
+	if ran := d.totalExecutions() - before; answer.Outcome != "complete" || ran != 1 {
 		return fmt.Errorf("outcome %q, the service ran it %d times: %s", answer.Outcome, ran, answer.Body)
 	}
 	return nil
 }
 
-func (d *Demo) executions() uint64 {
+// totalExecutions returns the number of calls that the instances have executed.
+func (d *Demo) totalExecutions() uint64 {
 	var total uint64
 	for _, s := range d.fleet.Services {
 		total += s.ExecutedTotal()
@@ -66,7 +70,8 @@
 	return total
 }
 
-func (d *Demo) urgentUnderLoad(ctx context.Context) error {
+// runUrgentUnderLoad sends urgent requests while bulk drafts use all slots of the engines.
+func (d *Demo) runUrgentUnderLoad(ctx context.Context) error {
 	idle, err := d.client(0).Generate(ctx, "permit-check", "permit 1", 5, nil)
 	if err != nil {
 		return err
@@ -88,7 +93,7 @@
 	if err := bulk.Wait(); err != nil {
 		return err
 	}
-	d.say("   all %d drafts ended whole\n", bulkDrafts)
+	d.printf("   all %d drafts ended whole\n", bulkDrafts)
 	return nil
 }
 
@@ -114,7 +119,9 @@
 	return nil
 }
 
-func (d *Demo) stageDies(ctx context.Context) error {
+// runStageFailure crashes an engine in the middle of a draft. The caller must receive all
+// tokens in order.
+func (d *Demo) runStageFailure(ctx context.Context) error {
 	var killed string
 	onToken := func(position int) {
 		if position == killAtToken {
@@ -135,6 +142,7 @@
 	return d.fleet.Engines[killed].Revive()
 }
 
+// killBusyEngine crashes an engine that has work and returns its name, or "" if none has.
 func (d *Demo) killBusyEngine() string {
 	for name, engine := range d.fleet.Engines {
 		if engine.Active() > 0 {
@@ -145,8 +153,10 @@
 	return ""
 }
 
-func (d *Demo) answerLost(ctx context.Context) error {
-	before := d.executions()
+// runLostResponse makes a call that is not idempotent and loses its response. The router
+// must not retry it, and must report the outcome as unknown.
+func (d *Demo) runLostResponse(ctx context.Context) error {
+	before := d.totalExecutions()
 	for _, s := range d.fleet.Services {
 		s.SetFaults(func(f *servicesim.Faults) { f.LoseResponses = 1 })
 	}
@@ -158,21 +168,22 @@
 		s.SetFaults(func(f *servicesim.Faults) { f.LoseResponses = 0 })
 	}
 	d.report("confirmation, answer lost", answer)
-	if ran := d.executions() - before; answer.Outcome != "unknown" || ran != 1 {
+	if ran := d.totalExecutions() - before; answer.Outcome != "unknown" || ran != 1 {
 		return fmt.Errorf("outcome %q, the service ran it %d times", answer.Outcome, ran)
 	}
-	d.say("   it ran once, was not sent again, and the crew is told that it may have run\n")
+	d.printf("   it ran once, was not sent again, and the crew is told that it may have run\n")
 	return nil
 }
 
-func (d *Demo) drainTarget(ctx context.Context) error {
+// runDrain drains an instance. It must receive no calls once the change is accepted.
+func (d *Demo) runDrain(ctx context.Context) error {
 	drained := *d.fleet.Nodes[0].Store().Current().Targets["permits-0"]
 	drained.State = config.StateDraining
 	started := time.Now()
 	if err := d.fleet.Apply(ctx, config.EntityTarget, drained.Name, &drained); err != nil {
 		return err
 	}
-	d.say("   in force on both routers after %s\n", time.Since(started).Round(100*time.Microsecond))
+	d.printf("   in force on both routers after %s\n", time.Since(started).Round(100*time.Microsecond))
 	before := d.fleet.Services["permits-0"].ExecutedTotal()
 	for i := range 10 {
 		answer, err := d.client(i%2).Call(ctx, "lockout", "", []byte(`{"bay":10}`))
@@ -186,6 +197,6 @@
 	if got := d.fleet.Services["permits-0"].ExecutedTotal() - before; got != 0 {
 		return fmt.Errorf("the drained target got %d calls", got)
 	}
-	d.say("   10 confirmations after it, none at the drained target\n")
+	d.printf("   10 confirmations after it, none at the drained target\n")
 	return nil
 }
