--- a/internal/harness/experiment/baseline_server.go
+++ b/internal/harness/experiment/baseline_server.go
@@ -11,7 +11,7 @@
 	"geraniumcroft/internal/transport"
 )
 
-// baselineServer is the router to compare with, in front of a scene's targets.
+// baselineServer is a baseline router that uses the targets of a system.
 type baselineServer struct {
 	server   *http.Server
 	pool     *transport.Pool
@@ -19,7 +19,8 @@
 	caller   callclient.Client
 }
 
-func (s *scene) startBaseline() (*baselineServer, error) {
+// startBaseline starts a baseline router with the configuration of the system.
+func (s *system) startBaseline() (*baselineServer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
--- a/internal/harness/experiment/change.go
+++ b/internal/harness/experiment/change.go
@@ -14,60 +14,60 @@
 )
 
 const (
-	fleetToday         = 6
-	wantedChangeMedian = 200.0
-	wantedChangeMost   = 2000.0
-	changePoll         = time.Millisecond
-	changePause        = 100 * time.Millisecond
+	deploymentVMs      = 6
+	maxMedianChangeMS  = 200.0
+	maxChangeMS        = 2000.0
+	changePollInterval = time.Millisecond
+	changeInterval     = 100 * time.Millisecond
 	changeTimeout      = 30 * time.Second
 	faultChanges       = 4
 	outageTime         = 300 * time.Millisecond
-	// outageRecovery lets the circuit to the table close again, and connections that
-	// were found silent be opened anew.
+	// outageRecovery is the time for the circuit breaker of the table to close again and
+	// for silent connections that have been detected to be reopened.
 	outageRecovery = 3 * time.Second
 )
 
-// change measures how long after an operator's request a change is in force on
+// change measures the time from an operator's request until the change is in force on
 // each of six VMs.
 func change(ctx context.Context, t *Trial) error {
-	s, muffled, err := changeScene(ctx)
+	s, silencer, err := newChangeSystem(ctx)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	if err := s.plainChanges(ctx, t); err != nil {
+	if err := s.measureChanges(ctx, t); err != nil {
 		return err
 	}
-	if err := s.drains(ctx, t); err != nil {
+	if err := s.measureDrains(ctx, t); err != nil {
 		return err
 	}
 	if err := s.changesBeforeOutage(ctx, t); err != nil {
 		return err
 	}
-	if err := s.changesPastSilence(ctx, t, muffled); err != nil {
+	if err := s.changesWithSilentPeers(ctx, t, silencer); err != nil {
 		return err
 	}
-	s.finish(t)
+	s.reportViolations(t)
 	return nil
 }
 
-// changeScene returns a fleet and the listeners of its last VM.
-func changeScene(ctx context.Context) (*scene, *muffler, error) {
-	muffled := &muffler{}
-	s, err := newScene(ctx, fleetToday, muffled.adjust)
+// newChangeSystem returns a system and the silencer of the connections to its last VM.
+func newChangeSystem(ctx context.Context) (*system, *connSilencer, error) {
+	silencer := &connSilencer{}
+	s, err := newSystem(ctx, deploymentVMs, silencer.adjust)
 	if err != nil {
 		return nil, nil, err
 	}
 	small := urgentPool
 	small.copies, small.instances = 2, 2
 	if err := s.addPool(ctx, small); err != nil {
-		return s, muffled, err
+		return s, silencer, err
 	}
-	return s, muffled, s.applyProfiles(ctx, generationProfile("summary", config.Bulk, 20*time.Second))
+	return s, silencer, s.applyProfiles(ctx, generationProfile("summary", config.Bulk, 20*time.Second))
 }
 
-// propose makes one change on a VM and returns its version.
-func (s *scene) propose(ctx context.Context, vm int, kind config.EntityKind, name string, entity any, revision uint64) (uint64, error) {
+// proposeChange makes one change on a VM and returns its version.
+func (s *system) proposeChange(ctx context.Context, vm int, kind config.EntityKind, name string, entity any, revision uint64) (uint64, error) {
 	value, err := json.Marshal(entity)
 	if err != nil {
 		return 0, err
@@ -78,8 +78,8 @@
 	return accepted.Version, err
 }
 
-// plainChanges makes new deadlines on the VMs by turns.
-func (s *scene) plainChanges(ctx context.Context, t *Trial) error {
+// measureChanges changes the deadline of a profile repeatedly, on the VMs in turn.
+func (s *system) measureChanges(ctx context.Context, t *Trial) error {
 	inForce, accepted := newDistribution(), newDistribution()
 	ends := time.Now().Add(t.Duration)
 	for number := 0; time.Now().Before(ends) && ctx.Err() == nil; number++ {
@@ -88,19 +88,19 @@
 			return err
 		}
 		accepted.add(took)
-		sleep.For(ctx, changePause)
+		sleep.For(ctx, changeInterval)
 	}
 	t.figure("changes made", "", float64(inForce.count()))
-	t.limited("in force on all 6 VMs, median", "ms", inForce.quantile(50), atMost(wantedChangeMedian))
-	t.limited("in force on all 6 VMs, longest", "ms", inForce.highest(), atMost(wantedChangeMost))
-	t.figure("told accepted, median", "ms", accepted.quantile(50))
-	t.figure("told accepted, longest", "ms", accepted.highest())
+	t.limited("in force on all 6 VMs, median", "ms", inForce.percentile(50), atMost(maxMedianChangeMS))
+	t.limited("in force on all 6 VMs, longest", "ms", inForce.maximum(), atMost(maxChangeMS))
+	t.figure("told accepted, median", "ms", accepted.percentile(50))
+	t.figure("told accepted, longest", "ms", accepted.maximum())
 	return nil
 }
 
-// timeChange adds how long it took until the last VM had a change in force and
-// returns how long until its author was told so.
-func (s *scene) timeChange(ctx context.Context, number int, inForce *distribution) (time.Duration, error) {
+// timeChange makes one change. It adds to inForce the time until the last VM has the
+// change in force, and returns the time until the change was reported as accepted.
+func (s *system) timeChange(ctx context.Context, number int, inForce *distribution) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	profile := *s.Nodes[0].Store().Current().Profiles["summary"]
@@ -108,11 +108,11 @@
 	started := time.Now()
 	reached := make(chan time.Duration, 1)
 	go func() {
-		reached <- s.awaitEverywhere(ctx, started, func(n *node.Node) bool {
+		reached <- s.awaitOnAll(ctx, started, func(n *node.Node) bool {
 			return n.Store().Current().Profiles["summary"].Deadline == profile.Deadline
 		})
 	}()
-	if _, err := s.propose(ctx, number, config.EntityProfile, profile.Name, &profile, profile.Revision); err != nil {
+	if _, err := s.proposeChange(ctx, number, config.EntityProfile, profile.Name, &profile, profile.Revision); err != nil {
 		return 0, err
 	}
 	took := time.Since(started)
@@ -120,19 +120,19 @@
 	return took, nil
 }
 
-// awaitEverywhere returns how long after a moment the last VM shows what is waited
-// for.
-func (s *scene) awaitEverywhere(ctx context.Context, since time.Time, shows func(*node.Node) bool) time.Duration {
+// awaitOnAll waits until applied returns true for every VM, or ctx ends. It returns the time
+// that has passed since the given start.
+func (s *system) awaitOnAll(ctx context.Context, since time.Time, applied func(*node.Node) bool) time.Duration {
 	for _, n := range s.Nodes {
-		for !shows(n) && sleep.For(ctx, changePoll) {
+		for !applied(n) && sleep.For(ctx, changePollInterval) {
 		}
 	}
 	return time.Since(since)
 }
 
-// drains lets an operator drain a target and take it back, and measures when no VM
-// would send to it any more.
-func (s *scene) drains(ctx context.Context, t *Trial) error {
+// measureDrains drains a target and reactivates it, repeatedly. It measures the time until
+// no VM would send a request to the target any more.
+func (s *system) measureDrains(ctx context.Context, t *Trial) error {
 	drained := newDistribution()
 	ends := time.Now().Add(t.Duration / 2)
 	for number := 0; time.Now().Before(ends) && ctx.Err() == nil; number++ {
@@ -140,16 +140,16 @@
 			target := *s.Nodes[0].Store().Current().Targets[engineName(0, 0)]
 			target.State = state
 			started := time.Now()
-			if _, err := s.propose(ctx, number, config.EntityTarget, target.Name, &target, target.Revision); err != nil {
+			if _, err := s.proposeChange(ctx, number, config.EntityTarget, target.Name, &target, target.Revision); err != nil {
 				return err
 			}
-			took := s.awaitEverywhere(ctx, started, func(n *node.Node) bool { return n.Store().Current().Targets[target.Name].State == state })
+			took := s.awaitOnAll(ctx, started, func(n *node.Node) bool { return n.Store().Current().Targets[target.Name].State == state })
 			if state == config.StateDraining {
 				drained.add(took)
 			}
 		}
 	}
-	t.figure("drain in force on all 6 VMs, median", "ms", drained.quantile(50))
-	t.limited("drain in force on all 6 VMs, longest", "ms", drained.highest(), atMost(wantedChangeMost))
+	t.figure("drain in force on all 6 VMs, median", "ms", drained.percentile(50))
+	t.limited("drain in force on all 6 VMs, longest", "ms", drained.maximum(), atMost(maxChangeMS))
 	return nil
 }
--- a/internal/harness/experiment/change_faults.go
+++ b/internal/harness/experiment/change_faults.go
@@ -12,10 +12,10 @@
 	"geraniumcroft/internal/sleep"
 )
 
-// changesBeforeOutage takes the table away as soon as a VM has put a change in
-// force, which is right after the table took it and before any peer has it. Its
-// author can be told that it is accepted only once the table is back.
-func (s *scene) changesBeforeOutage(ctx context.Context, t *Trial) error {
+// changesBeforeOutage makes the table unavailable as soon as a VM has put a change in
+// force. This is right after the table has committed the change and before a peer has
+// it. The change can be reported as accepted only once the table is available again.
+func (s *system) changesBeforeOutage(ctx context.Context, t *Trial) error {
 	inForce := newDistribution()
 	var armed atomic.Bool
 	s.Nodes[0].Store().Subscribe(func(*config.Snapshot) {
@@ -33,16 +33,17 @@
 		s.endOutage()
 		sleep.For(ctx, outageRecovery)
 	}
-	t.figure("table out right after the commit: in force, median", "ms", inForce.quantile(50))
-	t.limited("table out right after the commit: in force, longest", "ms", inForce.highest(), atMost(wantedChangeMost))
+	t.figure("table out right after the commit: in force, median", "ms", inForce.percentile(50))
+	t.limited("table out right after the commit: in force, longest", "ms", inForce.maximum(), atMost(maxChangeMS))
 	return nil
 }
 
-func (s *scene) endOutage() { s.Platform.Faults.Set(platformsim.Order{}) }
+// endOutage makes the table available again.
+func (s *system) endOutage() { s.Platform.Faults.Set(platformsim.Order{}) }
 
-// changesPastSilence makes all connections of the last VM's peers to it silent
-// before each change.
-func (s *scene) changesPastSilence(ctx context.Context, t *Trial, m *muffler) error {
+// changesWithSilentPeers makes all connections from the peers to the last VM silent before
+// each change.
+func (s *system) changesWithSilentPeers(ctx context.Context, t *Trial, m *connSilencer) error {
 	inForce, accepted := newDistribution(), newDistribution()
 	for number := range faultChanges {
 		m.silence()
@@ -53,8 +54,8 @@
 		accepted.add(took)
 		sleep.For(ctx, outageRecovery)
 	}
-	t.figure("one VM's peers silent: in force, median", "ms", inForce.quantile(50))
-	t.limited("one VM's peers silent: in force, longest", "ms", inForce.highest(), atMost(wantedChangeMost))
-	t.figure("one VM's peers silent: told accepted, longest", "ms", accepted.highest())
+	t.figure("one VM's peers silent: in force, median", "ms", inForce.percentile(50))
+	t.limited("one VM's peers silent: in force, longest", "ms", inForce.maximum(), atMost(maxChangeMS))
+	t.figure("one VM's peers silent: told accepted, longest", "ms", accepted.maximum())
 	return nil
 }
--- a/internal/harness/experiment/muffler.go
+++ b/internal/harness/experiment/conn_silencer.go
@@ -12,22 +12,25 @@
 	"geraniumcroft/internal/transport"
 )
 
-// muffler makes the open connections to one VM silent; new ones work.
-type muffler struct {
-	vm int
+// connSilencer makes the open connections to one VM silent: they stay open but transmit
+// nothing. New connections work.
+type connSilencer struct {
+	vm int // number of VMs that have been created
 
 	mu        sync.Mutex // guards the field below
 	listeners []*faultnet.Listener
 }
 
-// adjust wires the last VM of a fleet of today's size.
-func (m *muffler) adjust(o *node.Options) {
-	if m.vm++; m.vm == fleetToday {
+// adjust is called with the options of each VM. It sets the wiring of the last VM of a
+// fleet of deploymentVMs.
+func (m *connSilencer) adjust(o *node.Options) {
+	if m.vm++; m.vm == deploymentVMs {
 		o.Wiring = m.wiring(o)
 	}
 }
 
-func (m *muffler) wiring(o *node.Options) *node.Wiring {
+// wiring returns a wiring whose listeners are kept in m.
+func (m *connSilencer) wiring(o *node.Options) *node.Wiring {
 	pool := transport.NewPool(transport.Settings{}, nil)
 	store := httpplatform.New(httpplatform.Settings{BaseURL: o.Settings.Platform.Table, AttemptTimeout: o.Settings.Platform.Timeout})
 	return &node.Wiring{
@@ -37,7 +40,7 @@
 	}
 }
 
-func (m *muffler) listen(address string) (net.Listener, error) {
+func (m *connSilencer) listen(address string) (net.Listener, error) {
 	listener, err := faultnet.Listen(address)
 	if err != nil {
 		return nil, err
@@ -48,7 +51,8 @@
 	return listener, nil
 }
 
-func (m *muffler) silence() {
+// silence makes all open connections silent.
+func (m *connSilencer) silence() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, listener := range m.listeners {
--- a/internal/harness/experiment/cpu_profile.go
+++ b/internal/harness/experiment/cpu_profile.go
@@ -12,25 +12,25 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// partLabel marks goroutines, and those that they start, with the part of the
-// process that they work for.
+// partLabel is the pprof label for the part of the process that a goroutine works for.
+// Goroutines inherit it from the goroutine that starts them.
 const partLabel = "part"
 
-// The parts.
+// Values of partLabel.
 const (
 	partRouter  = "router"
 	partStandIn = "stand-in"
 	partCaller  = "caller"
 )
 
-// asPart runs f with a part's label.
-func asPart(ctx context.Context, part string, f func(context.Context) error) (err error) {
+// withPart runs f with the label of a part.
+func withPart(ctx context.Context, part string, f func(context.Context) error) (err error) {
 	pprof.Do(ctx, pprof.Labels(partLabel, part), func(ctx context.Context) { err = f(ctx) })
 	return err
 }
 
-// cpuByPart runs f under the CPU profiler and returns the processor time that each
-// part took; what carries no label, as the garbage collector does, has the key "".
+// cpuByPart runs f under the CPU profiler and returns the processor time of each part. The
+// key "" holds the time without a label, such as that of the garbage collector.
 func cpuByPart(f func()) (map[string]time.Duration, error) {
 	var out bytes.Buffer
 	if err := pprof.StartCPUProfile(&out); err != nil {
@@ -49,7 +49,7 @@
 	return sumByPart(profile), nil
 }
 
-// The fields of pprof's profile.proto that are read.
+// Field numbers of pprof's profile.proto.
 const (
 	fieldSample      = 2
 	fieldStrings     = 6
@@ -57,13 +57,14 @@
 	fieldSampleLabel = 3
 	fieldLabelKey    = 1
 	fieldLabelText   = 2
-	cpuValue         = 1 // the second value of a sample, in nanoseconds
+	cpuValue         = 1 // index of a sample's CPU time, in nanoseconds
 )
 
+// sumByPart returns the processor time of each part in an uncompressed profile.
 func sumByPart(profile []byte) map[string]time.Duration {
 	var samples []cpuSample
 	var texts []string
-	eachField(profile, func(number protowire.Number, _ uint64, bytes []byte) {
+	forEachField(profile, func(number protowire.Number, _ uint64, bytes []byte) {
 		switch number {
 		case fieldSample:
 			samples = append(samples, readSample(bytes))
@@ -78,12 +79,14 @@
 	return sums
 }
 
-// cpuSample is one line of a profile; labels are indexes of texts.
+// cpuSample is one sample of a profile. The keys and the values of labels are indexes in
+// the string table.
 type cpuSample struct {
 	took   time.Duration
 	labels map[uint64]uint64
 }
 
+// part returns the value of partLabel, or "" without this label.
 func (s cpuSample) part(texts []string) string {
 	for key, text := range s.labels {
 		if texts[key] == partLabel {
@@ -96,7 +99,7 @@
 func readSample(message []byte) cpuSample {
 	s := cpuSample{labels: map[uint64]uint64{}}
 	var values []uint64
-	eachField(message, func(number protowire.Number, varint uint64, bytes []byte) {
+	forEachField(message, func(number protowire.Number, varint uint64, bytes []byte) {
 		switch {
 		case number == fieldSampleLabel:
 			key, text := readLabel(bytes)
@@ -104,7 +107,7 @@
 		case number == fieldSampleValue && bytes == nil:
 			values = append(values, varint)
 		case number == fieldSampleValue:
-			values = append(values, unpack(bytes)...)
+			values = append(values, unpackVarints(bytes)...)
 		}
 	})
 	if len(values) > cpuValue {
@@ -114,7 +117,7 @@
 }
 
 func readLabel(message []byte) (key, text uint64) {
-	eachField(message, func(number protowire.Number, varint uint64, _ []byte) {
+	forEachField(message, func(number protowire.Number, varint uint64, _ []byte) {
 		switch number {
 		case fieldLabelKey:
 			key = varint
@@ -125,8 +128,9 @@
 	return key, text
 }
 
-// eachField calls take with each field of a message; bytes is nil for a number.
-func eachField(message []byte, take func(number protowire.Number, varint uint64, bytes []byte)) {
+// forEachField calls take with each field of a message. bytes is nil for a number. It stops
+// at the first malformed field.
+func forEachField(message []byte, take func(number protowire.Number, varint uint64, bytes []byte)) {
 	for len(message) > 0 {
 		number, kind, size := protowire.ConsumeTag(message)
 		if size < 0 {
@@ -151,7 +155,8 @@
 	}
 }
 
-func unpack(packed []byte) []uint64 {
+// unpackVarints returns the numbers of a packed field.
+func unpackVarints(packed []byte) []uint64 {
 	var values []uint64
 	for len(packed) > 0 {
 		value, size := protowire.ConsumeVarint(packed)
--- a/internal/harness/experiment/cpu_profile_test.go
+++ b/internal/harness/experiment/cpu_profile_test.go
@@ -7,9 +7,9 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// The reader of profiles gives each sample's processor time to the part that its
-// label names, whether or not its values are packed, and skips what it does not
-// know. A misread label would put a stand-in's work on the router's account.
+// sumByPart adds the processor time of each sample to the part in its label, whether or not
+// the values are packed, and skips unknown fields. With a misread label, the work of a
+// stand-in would count as work of the router.
 func TestProcessorTimeIsSummedByPart(t *testing.T) {
 	var profile []byte
 	for _, text := range []string{"", "other", partLabel, partRouter, partCaller} {
--- a/internal/harness/experiment/direct.go
+++ b/internal/harness/experiment/direct.go
@@ -13,13 +13,13 @@
 	"geraniumcroft/internal/engine"
 )
 
-// direct calls a stand-in as the router's target would be called without one.
+// direct sends requests to a stand-in without a router.
 type direct struct {
 	http *http.Client
 }
 
-// draft asks an engine for a generation in one stage and returns the time to the
-// first token.
+// draft runs a generation with one stage on an engine and returns the time to the first
+// token.
 func (d direct) draft(ctx context.Context, hop engine.Hop, id string, tokens int) (time.Duration, error) {
 	body, err := json.Marshal(engine.StageOpen{
 		RequestID: id, Model: modelName, Version: modelVersion, Hops: []engine.Hop{hop}, Prompt: []string{id}, MaxTokens: tokens,
@@ -36,8 +36,9 @@
 	return firstToken(response.Body, started)
 }
 
-// hold asks an engine for a generation without an end and reads it until ctx ends.
-func (d direct) hold(ctx context.Context, hop engine.Hop, id string, first func()) error {
+// holdStream runs a generation of endlessTokens tokens on an engine and reads it until ctx
+// ends. It calls first for each event that has a token.
+func (d direct) holdStream(ctx context.Context, hop engine.Hop, id string, first func()) error {
 	body, err := json.Marshal(engine.StageOpen{
 		RequestID: id, Model: modelName, Version: modelVersion, Hops: []engine.Hop{hop}, Prompt: []string{id}, MaxTokens: endlessTokens,
 	})
@@ -58,7 +59,8 @@
 	return lines.Err()
 }
 
-// firstToken reads the stream to its end.
+// firstToken reads the stream to its end and returns the time from started to the first
+// token. A stream without tokens is an error.
 func firstToken(body io.Reader, started time.Time) (first time.Duration, err error) {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
@@ -76,7 +78,7 @@
 	return first, lines.Err()
 }
 
-// call calls a plain service and returns the time to its whole answer.
+// call calls a plain service and returns the time to the end of the response.
 func (d direct) call(ctx context.Context, address, id string, body []byte) (time.Duration, error) {
 	started := time.Now()
 	response, err := d.post(ctx, "http://"+address+"/lockout", id, body)
@@ -88,7 +90,7 @@
 	return time.Since(started), err
 }
 
-// post sends a request as the router would.
+// post sends a request with the headers that the router sends.
 func (d direct) post(ctx context.Context, url, id string, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
--- a/internal/harness/experiment/distribution.go
+++ b/internal/harness/experiment/distribution.go
@@ -8,35 +8,37 @@
 )
 
 const (
-	shortest    = int64(time.Microsecond)
-	longest     = int64(10 * time.Minute)
-	significant = 3
+	minRecorded       = int64(time.Microsecond)
+	maxRecorded       = int64(10 * time.Minute)
+	significantDigits = 3
 )
 
-// distribution is a set of durations. It is safe for concurrent use.
+// distribution is a histogram of durations. It is safe for concurrent use.
 type distribution struct {
 	mu        sync.Mutex // guards the field below
 	histogram *hdrhistogram.Histogram
 }
 
 func newDistribution() *distribution {
-	return &distribution{histogram: hdrhistogram.New(shortest, longest, significant)}
+	return &distribution{histogram: hdrhistogram.New(minRecorded, maxRecorded, significantDigits)}
 }
 
+// add records a duration. Durations out of range are recorded as the nearest bound.
 func (d *distribution) add(took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_ = d.histogram.RecordValue(min(max(int64(took), shortest), longest)) // within its range
+	_ = d.histogram.RecordValue(min(max(int64(took), minRecorded), maxRecorded)) // in range, so there is no error
 }
 
-// quantile returns a percentile in milliseconds; 0 when there is nothing.
-func (d *distribution) quantile(percent float64) float64 {
+// percentile returns a percentile in milliseconds, or 0 without durations.
+func (d *distribution) percentile(percent float64) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return float64(d.histogram.ValueAtQuantile(percent)) / float64(time.Millisecond)
 }
 
-func (d *distribution) highest() float64 {
+// maximum returns the longest duration in milliseconds, or 0 without durations.
+func (d *distribution) maximum() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return float64(d.histogram.Max()) / float64(time.Millisecond)
--- a/internal/harness/experiment/experiment.go
+++ b/internal/harness/experiment/experiment.go
@@ -7,14 +7,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Experiment is one named measurement.
+// Experiment is a named measurement.
 type Experiment struct {
 	Name     string
 	Synopsis string
 	run      func(context.Context, *Trial) error
 }
 
-// All returns every experiment in the order of the measurements' page.
+// All returns all experiments, in the order of the documentation of the measurements.
 func All() []Experiment {
 	return []Experiment{
 		{"overhead", "the router's own cost against calling the stand-in directly", overhead},
@@ -24,13 +24,13 @@
 		{"recovery", "stages and instances that die or fall silent in the middle of work, and lost answers", recovery},
 		{"slow", "one engine and one instance ten times slower than the others", slow},
 		{"change", "changes and drains until they are in force on 6 VMs, past outages and silence", change},
-		{"baseline", "urgent and recovery in one report, each beside the baseline", besideBaseline},
+		{"baseline", "urgent and recovery in one report, each beside the baseline", compareWithBaseline},
 		{"takeover", "the duties of a VM that is killed, or stopped in order", takeover},
 		{"sizes", "the two users of today: 40 + 3 replicas, 6 VMs; deaths under load, and every slot wanted", sizes},
 	}
 }
 
-// Find returns the experiment of a name.
+// Find returns the experiment with the given name.
 func Find(name string) (Experiment, bool) {
 	for _, e := range All() {
 		if e.Name == name {
@@ -40,7 +40,8 @@
 	return Experiment{}, false
 }
 
-// Run repeats the experiment and returns its figures.
+// Run repeats the experiment and returns its figures. After an error it returns the figures
+// so far and the error.
 func (e Experiment) Run(ctx context.Context, o Options) (*Report, error) {
 	o = o.withDefaults()
 	report := newReport(e.Name, o)
--- a/internal/harness/experiment/figure.go
+++ b/internal/harness/experiment/figure.go
@@ -4,21 +4,22 @@
 	"slices"
 )
 
-// Figure is one quantity with a value for each repeat.
+// Figure is a quantity with a value for each repeat.
 type Figure struct {
 	Name string `json:"name"`
 	Unit string `json:"unit"`
-	// Median, Min and Max are over the repeats.
+	// Median, Min and Max are those of Values.
 	Median float64   `json:"median"`
 	Min    float64   `json:"min"`
 	Max    float64   `json:"max"`
 	Values []float64 `json:"values"`
-	// Wanted is the limit that the figure has to meet; nil where there is none.
+	// Wanted is the limit that the figure has to meet, nil if there is none.
 	Wanted *Limit `json:"wanted,omitempty"`
-	// Met says whether the median meets the limit.
+	// Met is whether the median meets the limit, nil if there is none.
 	Met *bool `json:"met,omitempty"`
 }
 
+// add adds the value of one repeat.
 func (f *Figure) add(value float64) {
 	f.Values = append(f.Values, value)
 	sorted := slices.Sorted(slices.Values(f.Values))
--- a/internal/harness/experiment/limit.go
+++ b/internal/harness/experiment/limit.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Limit is what a figure has to meet.
+// Limit is an upper or a lower limit of a figure.
 type Limit struct {
 	AtMost  *float64 `json:"atMost,omitempty"`
 	AtLeast *float64 `json:"atLeast,omitempty"`
@@ -15,7 +15,7 @@
 	return (l.AtMost == nil || value <= *l.AtMost) && (l.AtLeast == nil || value >= *l.AtLeast)
 }
 
-// String writes the limit as it stands in reports.
+// String returns the limit as reports print it, "" for nil.
 func (l *Limit) String() string {
 	switch {
 	case l == nil:
--- a/internal/harness/experiment/measure_both.go
+++ b/internal/harness/experiment/measure_with_baseline.go
@@ -6,12 +6,12 @@
 	"geraniumcroft/internal/harness/callclient"
 )
 
-// measureBoth runs an experiment's phases on one scene for the product and then
-// for the baseline, whose figures have a prefix.
-func measureBoth(
+// measureWithBaseline runs the phases of an experiment on one system, first with the product
+// and then with the baseline. The names of the baseline's figures have a prefix.
+func measureWithBaseline(
 	ctx context.Context, t *Trial,
-	build func(context.Context) (*scene, error),
-	phases func(s *scene, ctx context.Context, t *Trial, prefix string, callers []callclient.Client) error,
+	build func(context.Context) (*system, error),
+	phases func(s *system, ctx context.Context, t *Trial, prefix string, callers []callclient.Client) error,
 ) error {
 	s, err := build(ctx)
 	if err != nil {
@@ -29,6 +29,6 @@
 	if err := phases(s, ctx, t, "baseline: ", []callclient.Client{reference.caller}); err != nil {
 		return err
 	}
-	s.finish(t)
+	s.reportViolations(t)
 	return nil
 }
--- a/internal/harness/experiment/mixed_graph.go
+++ b/internal/harness/experiment/mixed_graph.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	mixedLayers     = 24
-	mixedActivation = 64 << 10
-	mixedLatency    = 2 * time.Millisecond
-	// The links within a data centre carry a hundred times what those between two do.
-	nearBytes   = 1e9
-	farBytes    = nearBytes / 100
-	nearLatency = 200 * time.Microsecond
-	farLatency  = 3 * time.Millisecond
+	mixedLayers          = 24
+	mixedActivationBytes = 64 << 10
+	mixedLatency         = 2 * time.Millisecond
+	// The links within a data centre have a hundred times the bandwidth of those between
+	// data centres.
+	localBytesPerSecond  = 1e9
+	remoteBytesPerSecond = localBytesPerSecond / 100
+	localLatency         = 200 * time.Microsecond
+	remoteLatency        = 3 * time.Millisecond
 )
 
-// accelerator is a kind with its rate and slots.
+// accelerator is a kind of accelerator. Its rate is in layers times tokens per second.
 type accelerator struct {
 	name  string
 	rate  float64
@@ -41,8 +42,8 @@
 	layers config.LayerRange
 }
 
-// mixedEngines do not line up: ranges overlap, and some layers are held by small
-// accelerators in part.
+// mixedEngines are the engines of the graph. Their layer ranges overlap and have different
+// bounds, and some layers are partly held by small accelerators.
 var mixedEngines = []mixedEngine{
 	{"m-00", large, "dc-0", config.LayerRange{From: 0, To: 12}},
 	{"m-01", large, "dc-0", config.LayerRange{From: 10, To: 24}},
@@ -62,33 +63,35 @@
 	{"m-15", small, "dc-2", config.LayerRange{From: 18, To: 24}},
 }
 
-// linkBetween is what a message between two engines of the graph meets.
+// linkBetween returns the latency and the bandwidth, in bytes per second, of the link
+// between two engines of the graph.
 func linkBetween(from, to string) (time.Duration, float64) {
 	centres := map[string]string{}
 	for _, e := range mixedEngines {
 		centres[e.name] = e.centre
 	}
 	if centres[from] == centres[to] {
-		return nearLatency, nearBytes
+		return localLatency, localBytesPerSecond
 	}
-	return farLatency, farBytes
+	return remoteLatency, remoteBytesPerSecond
 }
 
-// links are the same as a target's configuration tells them.
+// links returns the same links in the form of a target's configuration.
 func (e mixedEngine) links() []config.Link {
 	var links []config.Link
 	for _, centre := range []string{"dc-0", "dc-1", "dc-2"} {
-		link := config.Link{To: centre, Latency: config.Duration(farLatency), BytesPerSecond: farBytes}
+		link := config.Link{To: centre, Latency: config.Duration(remoteLatency), BytesPerSecond: remoteBytesPerSecond}
 		if centre == e.centre {
-			link.Latency, link.BytesPerSecond = config.Duration(nearLatency), nearBytes
+			link.Latency, link.BytesPerSecond = config.Duration(localLatency), localBytesPerSecond
 		}
 		links = append(links, link)
 	}
 	return links
 }
 
-func (s *scene) addMixedGraph(ctx context.Context) error {
-	model := &config.Model{Name: modelName, Layers: mixedLayers, Versions: []string{modelVersion}, ActivationBytes: mixedActivation}
+// addMixedGraph adds the model and the engines of the graph.
+func (s *system) addMixedGraph(ctx context.Context) error {
+	model := &config.Model{Name: modelName, Layers: mixedLayers, Versions: []string{modelVersion}, ActivationBytes: mixedActivationBytes}
 	if err := s.applyModel(ctx, model); err != nil {
 		return err
 	}
@@ -105,8 +108,8 @@
 	return nil
 }
 
-// planned returns the plans that the first router's configuration gives.
-func (s *scene) planned() (*plan.Set, error) {
+// computePlans returns the plans for the configuration of the first router.
+func (s *system) computePlans() (*plan.Set, error) {
 	snapshot := s.Nodes[0].Store().Current()
 	in := plan.Input{Model: snapshot.Models[modelName], Version: modelVersion}
 	for _, target := range snapshot.Targets {
--- a/internal/harness/experiment/options.go
+++ b/internal/harness/experiment/options.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The defaults and bounds of Options.
+// Defaults and maximums of Options.
 const (
 	DefaultRepeat   = 3
 	MaxRepeat       = 100
@@ -15,16 +15,16 @@
 	DefaultSeed     = 1
 )
 
-// Options bound an experiment. A zero field takes its default.
+// Options configures an experiment. A field that is 0 has its default. Repeat and Duration
+// are reduced to MaxRepeat and MaxDuration.
 type Options struct {
-	// Repeat is the number of times that the whole experiment is done, each on a
-	// fleet of its own.
+	// Repeat is the number of times that the experiment is run, each with a new fleet.
 	Repeat int
-	// Duration is how long each measured phase of one repeat is under load.
+	// Duration is the time under load of each measured phase of a repeat.
 	Duration time.Duration
-	// Seed fixes arrivals and prompts.
+	// Seed is the seed of the first repeat's random numbers, such as arrival times.
 	Seed uint64
-	// Progress takes a line after each repeat; nil discards them.
+	// Progress receives a line after each repeat; nil discards them.
 	Progress io.Writer
 }
 
--- a/internal/harness/experiment/recovery.go
+++ b/internal/harness/experiment/recovery.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	wantedRecoveryMS = 1000.0
-	recoveryDrafts   = 24
-	recoveryTokens   = 80
-	roundTimeout     = 30 * time.Second
-	// strikeAfter lets every draft get tokens, and every call start, before the fault.
-	strikeAfter     = 400 * time.Millisecond
-	strikeCallAfter = 20 * time.Millisecond
+	maxRecoveryMS  = 1000.0
+	recoveryDrafts = 24
+	recoveryTokens = 80
+	roundTimeout   = 30 * time.Second
+	// draftFaultDelay is long enough for each draft to receive tokens before the fault,
+	// callFaultDelay for each call to start.
+	draftFaultDelay = 400 * time.Millisecond
+	callFaultDelay  = 20 * time.Millisecond
 	recoveryCalls   = 12
-	settleTime      = 1500 * time.Millisecond
+	recoveryPause   = 1500 * time.Millisecond
 )
 
 var recoveryPool = pool{
@@ -27,31 +28,32 @@
 	instances: 3, serviceSlots: 16, serviceTime: 100 * time.Millisecond,
 }
 
-// draftFault is what happens to an engine in the middle of drafts.
+// draftFault is a fault of an engine that has drafts in progress. limit is that of the time
+// to the next token, nil if there is none.
 type draftFault struct {
 	name   string
-	strike func(*enginesim.Engine)
-	mend   func(*enginesim.Engine)
-	wanted *Limit
+	inject func(*enginesim.Engine)
+	repair func(*enginesim.Engine)
+	limit  *Limit
 }
 
-// callFault is what happens to an instance of a service in the middle of calls.
+// callFault is a fault of an instance of a service that has calls in progress.
 type callFault struct {
 	name    string
 	profile string
-	strike  func(*servicesim.Service)
-	mend    func(*servicesim.Service)
+	inject  func(*servicesim.Service)
+	repair  func(*servicesim.Service)
 }
 
 func draftFaults() []draftFault {
-	restart := func(e *enginesim.Engine) { e.Die(); _ = e.Revive() } // frees what its silent connections hold
+	restart := func(e *enginesim.Engine) { e.Die(); _ = e.Revive() } // releases the slots held by silent connections
 	revive := func(e *enginesim.Engine) { _ = e.Revive() }           // a dead engine always revives
 	mute := func(on bool) func(*enginesim.Engine) {
 		return func(e *enginesim.Engine) { e.SetFaults(func(f *enginesim.Faults) { f.Mute = on }) }
 	}
 	return []draftFault{
-		{"stage killed", (*enginesim.Engine).Die, revive, atMost(wantedRecoveryMS)},
-		{"open connections silent", (*enginesim.Engine).GoSilent, restart, atMost(wantedRecoveryMS)},
+		{"stage killed", (*enginesim.Engine).Die, revive, atMost(maxRecoveryMS)},
+		{"open connections silent", (*enginesim.Engine).GoSilent, restart, atMost(maxRecoveryMS)},
 		{"engine mute on new connections too", mute(true), mute(false), nil},
 	}
 }
@@ -66,14 +68,14 @@
 	}
 }
 
-// recovery lets engines and instances fail in the middle of work, again and again,
-// and measures how long callers wait above what the work itself takes.
+// recovery repeatedly makes engines and instances fail while they have work. It measures the
+// additional time that callers wait, beyond the time of the work itself.
 func recovery(ctx context.Context, t *Trial) error {
-	return measureBoth(ctx, t, recoveryScene, (*scene).recoveryOf)
+	return measureWithBaseline(ctx, t, newRecoverySystem, (*system).recoveryPhases)
 }
 
-func recoveryScene(ctx context.Context) (*scene, error) {
-	s, err := newScene(ctx, 2, nil)
+func newRecoverySystem(ctx context.Context) (*system, error) {
+	s, err := newSystem(ctx, 2, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -87,7 +89,7 @@
 		callProfile("lockout", config.Urgent, false, 5*time.Second))
 }
 
-func (s *scene) recoveryOf(ctx context.Context, t *Trial, prefix string, callers []callclient.Client) error {
+func (s *system) recoveryPhases(ctx context.Context, t *Trial, prefix string, callers []callclient.Client) error {
 	for _, fault := range draftFaults() {
 		if err := s.draftRecovery(ctx, t, prefix, callers, fault); err != nil {
 			return err
--- a/internal/harness/experiment/recovery_calls.go
+++ b/internal/harness/experiment/recovery_calls.go
@@ -14,86 +14,87 @@
 )
 
 const (
-	lossCalls = 200
-	lossEvery = 10
+	lossCalls    = 200
+	lossInterval = 10
 )
 
-// callRecovery strikes one instance in each round while calls are on all of them.
-// As many of the slowest answers count as calls had reached the struck instance.
-func (s *scene) callRecovery(ctx context.Context, t *Trial, prefix string, callers []callclient.Client, fault callFault) error {
-	waits, struck, whole := newDistribution(), 0, 0
+// callRecovery injects a fault into one instance in each round, while all instances have
+// calls. If n calls had reached the faulty instance, the n slowest answers of the round
+// count.
+func (s *system) callRecovery(ctx context.Context, t *Trial, prefix string, callers []callclient.Client, fault callFault) error {
+	waits, affected, whole := newDistribution(), 0, 0
 	ends := time.Now().Add(t.Duration)
 	for round := 0; time.Now().Before(ends) && ctx.Err() == nil; round++ {
-		victim := s.Services[fmt.Sprintf("permits-%d", round%recoveryPool.instances)]
-		before, hit := victim.Received(), 0
+		target := s.Services[fmt.Sprintf("permits-%d", round%recoveryPool.instances)]
+		before, reached := target.Received(), 0
 		waited := callRound(ctx, callers, fault.profile, func() {
-			hit = int(victim.Received() - before)
-			fault.strike(victim)
+			reached = int(target.Received() - before)
+			fault.inject(target)
 		})
-		for _, took := range waited[len(waited)-hit:] {
-			struck++
-			if took < never {
+		for _, took := range waited[len(waited)-reached:] {
+			affected++
+			if took < noAnswer {
 				whole++
 				waits.add(max(0, took-recoveryPool.serviceTime))
 			}
 		}
-		fault.mend(victim)
-		sleep.For(ctx, settleTime)
+		fault.repair(target)
+		sleep.For(ctx, recoveryPause)
 	}
 	name := prefix + fault.name
-	t.figure(name+": calls struck", "", float64(struck))
-	t.figure(name+": of these complete", "share", float64(whole)/float64(max(1, struck)))
+	t.figure(name+": calls struck", "", float64(affected))
+	t.figure(name+": of these complete", "share", float64(whole)/float64(max(1, affected)))
 	if whole == 0 {
-		return errors.Wrap(s.drain(ctx), name)
+		return errors.Wrap(s.awaitIdle(ctx), name)
 	}
-	t.figure(name+": answer above service time p50", "ms", waits.quantile(50))
-	t.recoveryLimit(name+": answer above service time p99", waits.quantile(99), prefix, atMost(wantedRecoveryMS))
-	return errors.Wrap(s.drain(ctx), name)
+	t.figure(name+": answer above service time p50", "ms", waits.percentile(50))
+	t.limitedForProduct(name+": answer above service time p99", waits.percentile(99), prefix, atMost(maxRecoveryMS))
+	return errors.Wrap(s.awaitIdle(ctx), name)
 }
 
-// never is the wait of a call without a whole answer.
-const never = time.Hour
+// noAnswer stands for the time of a call without a complete answer.
+const noAnswer = time.Hour
 
-// callRound makes calls at one moment, strikes soon after, and returns how long
-// after the strike each had its answer, in order.
-func callRound(ctx context.Context, callers []callclient.Client, profile string, strike func()) []time.Duration {
+// callRound starts calls at the same time and injects the fault after callFaultDelay. It
+// returns the times from the fault to the answers, sorted.
+func callRound(ctx context.Context, callers []callclient.Client, profile string, inject func()) []time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
 	ended := make([]time.Time, recoveryCalls)
-	var wait sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range ended {
-		wait.Go(func() {
+		running.Go(func() {
 			answer, err := callers[i%len(callers)].Call(ctx, profile, "", []byte("{}"))
-			if orIncomplete(err, answer) == nil {
+			if requireComplete(err, answer) == nil {
 				ended[i] = time.Now()
 			}
 		})
 	}
-	sleep.For(ctx, strikeCallAfter)
+	sleep.For(ctx, callFaultDelay)
 	at := time.Now()
-	strike()
-	wait.Wait()
+	inject()
+	running.Wait()
 	waited := make([]time.Duration, len(ended))
-	for i, moment := range ended {
-		waited[i] = never
-		if !moment.IsZero() {
-			waited[i] = moment.Sub(at)
+	for i, end := range ended {
+		waited[i] = noAnswer
+		if !end.IsZero() {
+			waited[i] = end.Sub(at)
 		}
 	}
 	slices.Sort(waited)
 	return waited
 }
 
-// lostAnswers lets every tenth call that may not be repeated lose its answer after
-// it has run, and counts the calls that ran more than once, and those that ran
-// although their callers were told that they did not.
-func (s *scene) lostAnswers(ctx context.Context, t *Trial, prefix string, callers []callclient.Client) error {
-	ran := s.ranByBody()
+// lostAnswers makes calls that may not be repeated. Every tenth of them loses its answer
+// after it has run. It counts the calls that ran more than once, and those that ran
+// although their outcome was not-run.
+func (s *system) lostAnswers(ctx context.Context, t *Trial, prefix string, callers []callclient.Client) error {
+	ran := s.executionsByBody()
 	outcomes := map[string]string{}
 	for i := range lossCalls {
 		body := fmt.Sprintf(`{"loss":"%s%d-%d"}`, prefix, t.Seed, i)
-		if i%lossEvery == 0 {
-			s.loseOne(i)
+		if i%lossInterval == 0 {
+			s.loseNextAnswer(i)
 		}
 		answer, err := callers[i%len(callers)].Call(ctx, "lockout", "", []byte(body))
 		if err != nil {
@@ -102,5 +103,5 @@
 		outcomes[body] = answer.Outcome
 	}
 	s.reportLosses(t, prefix, ran, outcomes)
-	return s.drain(ctx)
+	return s.awaitIdle(ctx)
 }
--- a/internal/harness/experiment/recovery_drafts.go
+++ b/internal/harness/experiment/recovery_drafts.go
@@ -12,41 +12,41 @@
 	"geraniumcroft/internal/sleep"
 )
 
-// draftRecovery strikes one engine in each round, of one half of the layers and
-// the other by turns. The drafts that it worked on are those that count.
-func (s *scene) draftRecovery(ctx context.Context, t *Trial, prefix string, callers []callclient.Client, fault draftFault) error {
-	gaps, struck, whole := newDistribution(), 0, 0
+// draftRecovery injects a fault into one engine in each round, alternately one of the first
+// and one of the second half of the layers. Only drafts that ran on this engine count.
+func (s *system) draftRecovery(ctx context.Context, t *Trial, prefix string, callers []callclient.Client, fault draftFault) error {
+	gaps, affected, whole := newDistribution(), 0, 0
 	ends := time.Now().Add(t.Duration)
 	for round := 0; time.Now().Before(ends) && ctx.Err() == nil; round++ {
-		var victim *enginesim.Engine
+		var target *enginesim.Engine
 		drafts, at := s.draftRound(ctx, callers, round, func() {
-			victim = s.busiest(round % 2)
-			fault.strike(victim)
+			target = s.busiest(round % 2)
+			fault.inject(target)
 		})
-		for _, d := range workedOn(victim, drafts) {
-			struck++
+		for _, d := range executedBy(target, drafts) {
+			affected++
 			if d.complete() {
 				whole++
-				gaps.add(max(0, d.gapAfter(at)-s.replay(d.answer.RequestID)))
+				gaps.add(max(0, d.gapAfter(at)-s.replayTime(d.answer.RequestID)))
 			}
 		}
-		fault.mend(victim)
-		sleep.For(ctx, settleTime)
+		fault.repair(target)
+		sleep.For(ctx, recoveryPause)
 	}
 	name := prefix + fault.name
-	t.figure(name+": drafts struck", "", float64(struck))
-	t.figure(name+": of these complete", "share", float64(whole)/float64(max(1, struck)))
+	t.figure(name+": drafts struck", "", float64(affected))
+	t.figure(name+": of these complete", "share", float64(whole)/float64(max(1, affected)))
 	if whole == 0 {
-		return errors.Wrap(s.drain(ctx), name)
+		return errors.Wrap(s.awaitIdle(ctx), name)
 	}
-	t.figure(name+": next token above replay p50", "ms", gaps.quantile(50))
-	t.recoveryLimit(name+": next token above replay p99", gaps.quantile(99), prefix, fault.wanted)
-	return errors.Wrap(s.drain(ctx), name)
+	t.figure(name+": next token above replay p50", "ms", gaps.percentile(50))
+	t.limitedForProduct(name+": next token above replay p99", gaps.percentile(99), prefix, fault.limit)
+	return errors.Wrap(s.awaitIdle(ctx), name)
 }
 
-// busiest returns the engine of a half that has the most in hand: one that was
-// struck in an earlier round may not have been taken back in full.
-func (s *scene) busiest(half int) *enginesim.Engine {
+// busiest returns the engine of a half with the most requests in progress. An engine that
+// was faulty in an earlier round may not yet have its full share of the requests.
+func (s *system) busiest(half int) *enginesim.Engine {
 	var found *enginesim.Engine
 	for number := range recoveryPool.copies {
 		e := s.Engines[engineName(half, number)]
@@ -57,50 +57,52 @@
 	return found
 }
 
-// recoveryLimit adds a figure whose limit binds the product alone.
-func (t *Trial) recoveryLimit(name string, value float64, prefix string, wanted *Limit) {
+// limitedForProduct adds a figure whose limit applies to the product and not to the
+// baseline, whose figures have a prefix.
+func (t *Trial) limitedForProduct(name string, value float64, prefix string, limit *Limit) {
 	if prefix != "" {
-		wanted = nil
+		limit = nil
 	}
-	t.limited(name, "ms", value, wanted)
+	t.limited(name, "ms", value, limit)
 }
 
-// draftRound runs drafts side by side and strikes while all are under way.
-func (s *scene) draftRound(ctx context.Context, callers []callclient.Client, round int, strike func()) ([]*timedDraft, time.Time) {
+// draftRound runs drafts concurrently and injects the fault while all are in progress. It
+// returns the drafts and the time of the fault.
+func (s *system) draftRound(ctx context.Context, callers []callclient.Client, round int, inject func()) ([]*timedDraft, time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
 	drafts := make([]*timedDraft, recoveryDrafts)
-	var wait sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range drafts {
-		wait.Go(func() {
-			drafts[i] = draftTimed(ctx, callers[i%len(callers)], "summary", round*recoveryDrafts+i, recoveryTokens)
+		running.Go(func() {
+			drafts[i] = timeDraft(ctx, callers[i%len(callers)], "summary", round*recoveryDrafts+i, recoveryTokens)
 		})
 	}
-	sleep.For(ctx, strikeAfter)
+	sleep.For(ctx, draftFaultDelay)
 	at := time.Now()
-	strike()
-	wait.Wait()
+	inject()
+	running.Wait()
 	return drafts, at
 }
 
-// workedOn returns the drafts that an engine had worked on.
-func workedOn(victim *enginesim.Engine, drafts []*timedDraft) []*timedDraft {
-	known := map[string]bool{}
-	for _, x := range victim.Executed() {
-		known[x.RequestID] = true
+// executedBy returns the drafts that ran on an engine.
+func executedBy(target *enginesim.Engine, drafts []*timedDraft) []*timedDraft {
+	executed := map[string]bool{}
+	for _, x := range target.Executed() {
+		executed[x.RequestID] = true
 	}
 	var found []*timedDraft
 	for _, d := range drafts {
-		if known[d.answer.RequestID] {
+		if executed[d.answer.RequestID] {
 			found = append(found, d)
 		}
 	}
 	return found
 }
 
-// replay is the time that the engines spent on computing anew what the failed one
-// had in its cache.
-func (s *scene) replay(requestID string) time.Duration {
+// replayTime returns the time that engines spent on recomputing the cache entries that the
+// failed engine had.
+func (s *system) replayTime(requestID string) time.Duration {
 	positions := 0
 	for _, e := range s.Engines {
 		for _, x := range e.Executed() {
--- a/internal/harness/experiment/recovery_losses.go
+++ b/internal/harness/experiment/recovery_losses.go
@@ -6,14 +6,14 @@
 	"geraniumcroft/internal/harness/standin/servicesim"
 )
 
-// loseOne makes one instance lose its next answer.
-func (s *scene) loseOne(number int) {
-	name := fmt.Sprintf("permits-%d", number/lossEvery%recoveryPool.instances)
+// loseNextAnswer makes one instance lose its next answer.
+func (s *system) loseNextAnswer(number int) {
+	name := fmt.Sprintf("permits-%d", number/lossInterval%recoveryPool.instances)
 	s.Services[name].SetFaults(func(f *servicesim.Faults) { f.LoseResponses = 1 })
 }
 
-// ranByBody counts the executions of each call.
-func (s *scene) ranByBody() map[string]int {
+// executionsByBody returns the number of executions of each call, by its body.
+func (s *system) executionsByBody() map[string]int {
 	ran := map[string]int{}
 	for _, service := range s.Services {
 		for _, x := range service.Executions() {
@@ -23,26 +23,28 @@
 	return ran
 }
 
-func (s *scene) reportLosses(t *Trial, prefix string, before map[string]int, outcomes map[string]string) {
-	doubled, untrue, unknown := 0, 0, 0
-	after := s.ranByBody()
-	for body, told := range outcomes {
+// reportLosses adds the figures. before is what executionsByBody returned before the calls;
+// outcomes has the outcome of each call by its body.
+func (s *system) reportLosses(t *Trial, prefix string, before map[string]int, outcomes map[string]string) {
+	ranTwice, wronglyNotRun, unknown := 0, 0, 0
+	after := s.executionsByBody()
+	for body, outcome := range outcomes {
 		ran := after[body] - before[body]
 		if ran > 1 {
-			doubled++
+			ranTwice++
 		}
-		if told == outcomeNotRun && ran > 0 {
-			untrue++
+		if outcome == outcomeNotRun && ran > 0 {
+			wronglyNotRun++
 		}
-		if told != outcomeNotRun && told != outcomeComplete {
+		if outcome != outcomeNotRun && outcome != outcomeComplete {
 			unknown++
 		}
 	}
-	wanted := atMost(0)
+	limit := atMost(0)
 	if prefix != "" {
-		wanted = nil
+		limit = nil
 	}
-	t.limited(prefix+"lost answers: calls that ran twice", fmt.Sprintf("of %d", lossCalls/lossEvery), float64(doubled), wanted)
-	t.limited(prefix+"lost answers: ran though told not-run", "", float64(untrue), wanted)
+	t.limited(prefix+"lost answers: calls that ran twice", fmt.Sprintf("of %d", lossCalls/lossInterval), float64(ranTwice), limit)
+	t.limited(prefix+"lost answers: ran though told not-run", "", float64(wronglyNotRun), limit)
 	t.figure(prefix+"lost answers: told unknown", "", float64(unknown))
 }
--- a/internal/harness/experiment/relay.go
+++ b/internal/harness/experiment/relay.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	relayStreams     = 300
-	relayLatency     = 20 * time.Millisecond
-	relayLead        = time.Second
-	relaySlots       = 4096
-	relayLayers      = 8
-	relayRate        = 4e6
-	wantedRelayed    = 20_000.0
-	endlessTokens    = 1 << 12
-	heldLatency      = time.Second
-	heldStreams      = 1500
-	heldOpeners      = 64
-	wantedStreamKiB  = 64.0
-	bytesInKiB       = 1024.0
-	collectionsToRun = 2
+	relayStreams      = 300
+	relayLatency      = 20 * time.Millisecond
+	relayWarmUp       = time.Second
+	relaySlots        = 4096
+	relayLayers       = 8
+	relayLayerRate    = 4e6
+	minRelayedPerCore = 20_000.0
+	endlessTokens     = 1 << 12
+	streamLatency     = time.Second
+	openStreams       = 1500
+	maxOpening        = 64
+	maxStreamKiB      = 64.0
+	bytesInKiB        = 1024.0
+	gcRuns            = 2
 )
 
-// relay measures what a stream costs the router: processor time a token, and
-// memory while it is in hand.
+// relay measures the cost of a stream for the router: processor time per token, and memory
+// while it is open.
 func relay(ctx context.Context, t *Trial) error {
-	if err := relayedTokens(ctx, t); err != nil {
+	if err := measureRelayedTokens(ctx, t); err != nil {
 		return err
 	}
-	return heldMemory(ctx, t)
+	return measureStreamMemory(ctx, t)
 }
 
-// relayScene is one router before one engine that does nothing but wait. Each
-// part's goroutines carry its label.
-func relayScene(ctx context.Context, latency time.Duration) (s *scene, err error) {
-	err = asPart(ctx, partRouter, func(ctx context.Context) error {
-		s, err = newScene(ctx, 1, nil)
+// newRelaySystem returns a system of one router and one engine, which takes latency for each
+// token and hardly any processor time. The goroutines of each part have its label.
+func newRelaySystem(ctx context.Context, latency time.Duration) (s *system, err error) {
+	err = withPart(ctx, partRouter, func(ctx context.Context) error {
+		s, err = newSystem(ctx, 1, nil)
 		return err
 	})
 	if err != nil {
@@ -52,10 +52,10 @@
 	if err := s.applyModel(ctx, model); err != nil {
 		return s, err
 	}
-	err = asPart(ctx, partStandIn, func(ctx context.Context) error {
+	err = withPart(ctx, partStandIn, func(ctx context.Context) error {
 		_, err := s.AddEngine(ctx, enginesim.Options{
 			Name: "engine", Model: model, Version: modelVersion, Layers: config.LayerRange{From: 0, To: relayLayers},
-			Slots: relaySlots, LayerTokensPerSecond: relayRate, TokenLatency: latency,
+			Slots: relaySlots, LayerTokensPerSecond: relayLayerRate, TokenLatency: latency,
 		}, "dc-0", "a100")
 		return err
 	})
@@ -65,8 +65,9 @@
 	return s, s.applyProfiles(ctx, generationProfile("draft", config.Normal, 10*time.Minute))
 }
 
-func relayedTokens(ctx context.Context, t *Trial) error {
-	s, err := relayScene(ctx, relayLatency)
+// measureRelayedTokens measures the processor time of the router per token.
+func measureRelayedTokens(ctx context.Context, t *Trial) error {
+	s, err := newRelaySystem(ctx, relayLatency)
 	if err != nil {
 		return err
 	}
@@ -74,16 +75,16 @@
 	streams, stop := context.WithCancel(ctx)
 	defer stop()
 	var got counter
-	var wait sync.WaitGroup
-	_ = asPart(streams, partCaller, func(ctx context.Context) error {
+	var running sync.WaitGroup
+	_ = withPart(streams, partCaller, func(ctx context.Context) error {
 		for i := range relayStreams {
-			wait.Go(func() {
+			running.Go(func() {
 				_, _ = s.client(0).Generate(ctx, "draft", promptOf("draft", i), endlessTokens, func(int) { got.Add(1) }) // ends by stop
 			})
 		}
 		return nil
 	})
-	sleep.For(ctx, relayLead)
+	sleep.For(ctx, relayWarmUp)
 	before := got.Load()
 	started := time.Now()
 	parts, err := cpuByPart(func() { sleep.For(ctx, t.Duration) })
@@ -93,12 +94,13 @@
 	}
 	t.reportRelay(parts, relayed, time.Since(started))
 	stop()
-	wait.Wait()
+	running.Wait()
 	return err
 }
 
-// reportRelay gives the router its part of what has no label, which is mostly the
-// garbage collector, in proportion to its labelled part.
+// reportRelay adds the figures. Time without a label is mostly that of the garbage
+// collector. The router is charged with it in proportion to its share of the labelled
+// time.
 func (t *Trial) reportRelay(parts map[string]time.Duration, relayed float64, took time.Duration) {
 	labelled := parts[partRouter] + parts[partStandIn] + parts[partCaller]
 	router := parts[partRouter].Seconds()
@@ -108,6 +110,6 @@
 	t.figure("processor time of the router", "us/token", router/relayed*1e6)
 	t.figure("router's part of labelled processor time", "share", share)
 	t.figure("processor time without a label", "share", parts[""].Seconds()/(labelled+parts[""]).Seconds())
-	t.limited("tokens relayed a core of the router", "tokens/s", relayed/router, atLeast(wantedRelayed))
+	t.limited("tokens relayed a core of the router", "tokens/s", relayed/router, atLeast(minRelayedPerCore))
 	t.note("relay: %d streams in one process with callers and the engine; a CPU profile with labels tells the router's goroutines apart; time without a label is divided in proportion", relayStreams)
 }
--- a/internal/harness/experiment/report.go
+++ b/internal/harness/experiment/report.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Report is what an experiment found.
+// Report holds the figures of an experiment.
 type Report struct {
 	Experiment      string    `json:"experiment"`
 	Started         time.Time `json:"started"`
@@ -30,24 +30,26 @@
 	}
 }
 
-func (r *Report) figure(name, unit string, wanted *Limit) *Figure {
+// figure returns the figure with the given name, and adds it if it does not exist.
+func (r *Report) figure(name, unit string, limit *Limit) *Figure {
 	for _, f := range r.Figures {
 		if f.Name == name {
 			return f
 		}
 	}
-	f := &Figure{Name: name, Unit: unit, Wanted: wanted}
+	f := &Figure{Name: name, Unit: unit, Wanted: limit}
 	r.Figures = append(r.Figures, f)
 	return f
 }
 
+// note adds a note, once.
 func (r *Report) note(text string) {
 	if !slices.Contains(r.Notes, text) {
 		r.Notes = append(r.Notes, text)
 	}
 }
 
-// Unmet returns the names of the figures that do not meet their limits.
+// Unmet returns the names of the figures whose median does not meet the limit.
 func (r *Report) Unmet() []string {
 	var names []string
 	for _, f := range r.Figures {
@@ -58,7 +60,7 @@
 	return names
 }
 
-// WriteText writes a table with a line for each figure.
+// WriteText writes the report as a table with a line for each figure.
 func (r *Report) WriteText(w io.Writer) error {
 	_, _ = fmt.Fprintf(w, "%s: %d repeats, %.0f s of load in each phase, %d cores, %.0f s in all\n",
 		r.Experiment, r.Repeats, r.DurationSeconds, r.Cores, r.TookSeconds)
--- a/internal/harness/experiment/report_test.go
+++ b/internal/harness/experiment/report_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// A reader of the report takes a figure for its middle, sees its spread, and sees
-// plainly when it misses its limit.
-func TestReportShowsTheSpreadAndWhatIsNotMet(t *testing.T) {
+// A report has the median and the spread of each figure, and marks those that miss their
+// limit.
+func TestReportShowsSpreadAndUnmetLimits(t *testing.T) {
 	r := newReport("sample", Options{}.withDefaults())
 	trial := &Trial{report: r}
 	for _, value := range []float64{5, 1, 3} {
@@ -30,8 +30,8 @@
 	}
 }
 
-// The wait for the token that a failure held up is found, also when tokens that
-// were under way came after the failure, and a gap before it does not count.
+// gapAfter returns the gap that a failure caused, also if tokens that were in transit arrive
+// after the failure. An earlier gap does not count.
 func TestGapAfterAFailure(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -45,8 +45,8 @@
 	}
 }
 
-// A whole experiment runs on real connections: every request of it is complete and
-// no invariant is violated. Nothing is asserted about its times.
+// Runs an experiment over real connections. All requests are complete and no invariant is
+// violated. Times are not checked.
 func TestAnExperimentRuns(t *testing.T) {
 	e, ok := Find("overhead")
 	if !ok {
--- a/internal/harness/experiment/saturation.go
+++ b/internal/harness/experiment/saturation.go
@@ -13,18 +13,18 @@
 
 const (
 	saturationDrafts = 260
-	saturationLead   = 4 * time.Second
+	saturationWarmUp = 4 * time.Second
 	shortDraft       = 40
 	longDraft        = 400
 	longShare        = 0.1
-	wantedOfBound    = 0.85
-	sampleEvery      = 50 * time.Millisecond
+	minShareOfBound  = 0.85
+	sampleInterval   = 50 * time.Millisecond
 )
 
-// saturation keeps more drafts waiting than a mixed graph of engines has slots, and
-// compares the tokens that come with what the graph can carry at most.
+// saturation keeps more drafts in progress than a mixed graph of engines has slots for, and
+// compares the token rate with the upper bound of the graph.
 func saturation(ctx context.Context, t *Trial) error {
-	s, err := newScene(ctx, 2, nil)
+	s, err := newSystem(ctx, 2, nil)
 	if err != nil {
 		return err
 	}
@@ -35,14 +35,14 @@
 	if err := s.applyProfiles(ctx, generationProfile("summary", config.Bulk, 10*time.Minute)); err != nil {
 		return err
 	}
-	set, err := s.planned()
+	set, err := s.computePlans()
 	if err != nil {
 		return err
 	}
 	got := s.saturate(ctx, t)
 	t.figure("bound", "tokens/s", set.Bound)
 	t.figure("plans' throughput of the bound", "ratio", set.Throughput()/set.Bound)
-	t.limited("tokens/s of the bound", "ratio", got.tokensPerSecond/set.Bound, atLeast(wantedOfBound))
+	t.limited("tokens/s of the bound", "ratio", got.tokensPerSecond/set.Bound, atLeast(minShareOfBound))
 	t.figure("engines' time on prompts", "share", got.onPrompts)
 	t.figure("tokens/s of the bound without the time on prompts", "ratio", got.tokensPerSecond/set.Bound/(1-got.onPrompts))
 	t.figure("slots in use", "share", got.slotsInUse)
@@ -50,12 +50,13 @@
 		t.figure("busy: "+kind.name, "share", got.busy[kind.name])
 	}
 	t.figure("drafts that failed", "", float64(got.failed))
-	s.finish(t)
+	s.reportViolations(t)
 	return nil
 }
 
-// saturated is what a saturated graph gave.
-type saturated struct {
+// saturationResult holds the measurements of a saturated graph. onPrompts, slotsInUse and
+// busy, by kind of accelerator, are shares.
+type saturationResult struct {
 	tokensPerSecond float64
 	onPrompts       float64
 	slotsInUse      float64
@@ -63,15 +64,16 @@
 	failed          int64
 }
 
-func (s *scene) saturate(ctx context.Context, t *Trial) saturated {
+// saturate runs the drafts and measures for t.Duration, after a warm-up.
+func (s *system) saturate(ctx context.Context, t *Trial) saturationResult {
 	load, stop := context.WithCancel(ctx)
 	defer stop()
 	var tokens, failed counter
-	var wait sync.WaitGroup
+	var running sync.WaitGroup
 	for worker := range saturationDrafts {
-		wait.Go(func() { s.draftOnAndOn(load, worker, t.Seed, &tokens, &failed) })
+		running.Go(func() { s.draftContinuously(load, worker, t.Seed, &tokens, &failed) })
 	}
-	sleep.For(ctx, saturationLead)
+	sleep.For(ctx, saturationWarmUp)
 	before, work := tokens.Load(), s.engineWork()
 	started := time.Now()
 	slots := s.sampleSlots(ctx, t.Duration)
@@ -80,14 +82,14 @@
 	got.tokensPerSecond = float64(tokens.Load()-before) / took
 	got.slotsInUse = slots
 	stop()
-	wait.Wait()
+	running.Wait()
 	got.failed = failed.Load()
 	return got
 }
 
-// draftOnAndOn sends the next draft when one has ended; a tenth of them are ten
-// times as long as the others.
-func (s *scene) draftOnAndOn(ctx context.Context, worker int, seed uint64, tokens, failed *counter) {
+// draftContinuously sends drafts one after the other. A tenth of them are ten times as long
+// as the others.
+func (s *system) draftContinuously(ctx context.Context, worker int, seed uint64, tokens, failed *counter) {
 	random := rand.New(rand.NewPCG(seed, uint64(worker)))
 	for number := 0; ctx.Err() == nil; number++ {
 		length := shortDraft
@@ -95,17 +97,17 @@
 			length = longDraft
 		}
 		answer, err := s.client(worker).Generate(ctx, "summary", promptOf("summary", worker*1_000_000+number), length, func(int) { tokens.Add(1) })
-		if ctx.Err() == nil && orIncomplete(err, answer) != nil {
+		if ctx.Err() == nil && requireComplete(err, answer) != nil {
 			failed.Add(1)
 		}
 	}
 }
 
-// sampleSlots returns the mean share of the engines' slots that is in use.
-func (s *scene) sampleSlots(ctx context.Context, duration time.Duration) float64 {
+// sampleSlots returns the mean share of the engines' slots in use during the given time.
+func (s *system) sampleSlots(ctx context.Context, duration time.Duration) float64 {
 	ends := time.Now().Add(duration)
 	used, all := 0, 0
-	for time.Now().Before(ends) && sleep.For(ctx, sampleEvery) {
+	for time.Now().Before(ends) && sleep.For(ctx, sampleInterval) {
 		for _, e := range s.Engines {
 			used += e.Active()
 			all += e.Target().Slots
@@ -114,10 +116,11 @@
 	return float64(used) / float64(max(1, all))
 }
 
-// work is what one engine has done, in layers times tokens.
+// work is the work that an engine has done, in layers times tokens.
 type work struct{ prompts, tokens float64 }
 
-func (s *scene) engineWork() map[string]work {
+// engineWork returns the work of each engine so far.
+func (s *system) engineWork() map[string]work {
 	done := map[string]work{}
 	for name, e := range s.Engines {
 		sum := work{}
@@ -130,10 +133,10 @@
 	return done
 }
 
-// workSince returns how busy each kind of engine was, and which part of that went
-// into prompts.
-func (s *scene) workSince(before map[string]work, seconds float64) saturated {
-	got := saturated{busy: map[string]float64{}}
+// workSince returns how busy each kind of accelerator was since before, and the share of
+// the work that was spent on prompts.
+func (s *system) workSince(before map[string]work, seconds float64) saturationResult {
+	got := saturationResult{busy: map[string]float64{}}
 	rates := map[string]float64{}
 	for name, now := range s.engineWork() {
 		kind := kindOf(name)
@@ -147,8 +150,8 @@
 	return got
 }
 
-// promptShare returns which part of the engines' work since went into prompts.
-func (s *scene) promptShare(before map[string]work) float64 {
+// promptShare returns the share of the engines' work since before that was spent on prompts.
+func (s *system) promptShare(before map[string]work) float64 {
 	prompts, tokens := 0.0, 0.0
 	for name, now := range s.engineWork() {
 		prompts += now.prompts - before[name].prompts
--- a/internal/harness/experiment/sizes.go
+++ b/internal/harness/experiment/sizes.go
@@ -13,55 +13,57 @@
 )
 
 const (
-	todayLayers     = 16
-	todayWhole      = 10
-	todayHalves     = 15
-	todaySlots      = 8
-	todayRate       = 800.0
-	todayLatency    = 5 * time.Millisecond
-	todayInstances  = 3
-	todayCallTime   = 20 * time.Millisecond
-	todayCallSlots  = 16
-	todayWorkspaces = 10
-	largeWorkspaces = 2
+	deploymentLayers     = 16
+	wholeReplicas        = 10
+	replicasPerHalf      = 15
+	deploymentSlots      = 8
+	deploymentLayerRate  = 800.0
+	deploymentLatency    = 5 * time.Millisecond
+	deploymentInstances  = 3
+	deploymentCallTime   = 20 * time.Millisecond
+	deploymentCallSlots  = 16
+	deploymentWorkspaces = 10
+	largeWorkspaces      = 2
 )
 
-// sizes runs both users' sizes of today: 40 replicas of a model and 3 of a plain
-// service in 3 data centres behind 6 VMs, for 10 workspaces of which 2 are large.
-// The first part weighs recovery and lets replicas die under load; the second
-// weighs throughput and keeps every slot wanted.
+// sizes measures a system of the present size of both users: 40 replicas of a model and 3 of
+// a plain service in 3 data centres, with 6 VMs and 10 workspaces, 2 of them large.
+// The first part measures recovery, with replicas that crash under load. The second part
+// measures throughput, with demand for every slot.
 func sizes(ctx context.Context, t *Trial) error {
 	recovered := newDistribution()
-	s, err := todayScene(ctx, recovered)
+	s, err := newDeploymentSystem(ctx, recovered)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	if err := s.underDeaths(ctx, t, recovered); err != nil {
+	if err := s.measureRecovery(ctx, t, recovered); err != nil {
 		return err
 	}
-	if err := s.fullHouse(ctx, t); err != nil {
+	if err := s.measureThroughput(ctx, t); err != nil {
 		return err
 	}
-	s.finish(t)
+	s.reportViolations(t)
 	return nil
 }
 
-func todayScene(ctx context.Context, recovered *distribution) (*scene, error) {
-	s, err := newScene(ctx, fleetToday, func(o *node.Options) { o.Generation.OnRecovered = recovered.add })
+// newDeploymentSystem returns a system of this size. recovered receives the times from a
+// failure to the next token.
+func newDeploymentSystem(ctx context.Context, recovered *distribution) (*system, error) {
+	s, err := newSystem(ctx, deploymentVMs, func(o *node.Options) { o.Generation.OnRecovered = recovered.add })
 	if err != nil {
 		return nil, err
 	}
-	model := &config.Model{Name: modelName, Layers: todayLayers, Versions: []string{modelVersion}, ActivationBytes: 16 << 10}
+	model := &config.Model{Name: modelName, Layers: deploymentLayers, Versions: []string{modelVersion}, ActivationBytes: 16 << 10}
 	if err := s.applyModel(ctx, model); err != nil {
 		return s, err
 	}
-	if err := s.addTodaysEngines(ctx, model); err != nil {
+	if err := s.addDeploymentEngines(ctx, model); err != nil {
 		return s, err
 	}
-	for number := range todayInstances {
+	for number := range deploymentInstances {
 		_, err := s.AddService(ctx, servicesim.Options{
-			Name: fmt.Sprintf("permits-%d", number), Service: serviceName, Slots: todayCallSlots, ServiceTime: todayCallTime,
+			Name: fmt.Sprintf("permits-%d", number), Service: serviceName, Slots: deploymentCallSlots, ServiceTime: deploymentCallTime,
 		}, dataCentre(number))
 		if err != nil {
 			return s, err
@@ -70,20 +72,20 @@
 	return s, s.addWorkspaces(ctx)
 }
 
-// addTodaysEngines adds 10 whole replicas and 15 of each half.
-func (s *scene) addTodaysEngines(ctx context.Context, model *config.Model) error {
-	whole := config.LayerRange{From: 0, To: todayLayers}
-	first := config.LayerRange{From: 0, To: todayLayers / 2}
-	second := config.LayerRange{From: todayLayers / 2, To: todayLayers}
-	for i, held := range []config.LayerRange{whole, first, second} {
-		count := todayHalves
-		if held == whole {
-			count = todayWhole
+// addDeploymentEngines adds 10 engines with all layers and 15 with each half of the layers.
+func (s *system) addDeploymentEngines(ctx context.Context, model *config.Model) error {
+	whole := config.LayerRange{From: 0, To: deploymentLayers}
+	first := config.LayerRange{From: 0, To: deploymentLayers / 2}
+	second := config.LayerRange{From: deploymentLayers / 2, To: deploymentLayers}
+	for i, layerRange := range []config.LayerRange{whole, first, second} {
+		count := replicasPerHalf
+		if layerRange == whole {
+			count = wholeReplicas
 		}
 		for number := range count {
 			_, err := s.AddEngine(ctx, enginesim.Options{
-				Name: engineName(i, number), Model: model, Version: modelVersion, Layers: held, Slots: todaySlots,
-				LayerTokensPerSecond: todayRate, TokenLatency: todayLatency,
+				Name: engineName(i, number), Model: model, Version: modelVersion, Layers: layerRange, Slots: deploymentSlots,
+				LayerTokensPerSecond: deploymentLayerRate, TokenLatency: deploymentLatency,
 			}, dataCentre(number), "a100")
 			if err != nil {
 				return err
@@ -93,8 +95,9 @@
 	return nil
 }
 
-func (s *scene) addWorkspaces(ctx context.Context) error {
-	for number := range todayWorkspaces {
+// addWorkspaces adds the workspaces, each with its own profiles.
+func (s *system) addWorkspaces(ctx context.Context) error {
+	for number := range deploymentWorkspaces {
 		name := workspaceName(number)
 		if err := s.Apply(ctx, config.EntityWorkspace, name, &config.Workspace{Name: name, Weight: 1}); err != nil {
 			return err
@@ -116,7 +119,8 @@
 
 func workspaceName(number int) string { return fmt.Sprintf("w%d", number) }
 
-func (s *scene) allCallers() []callclient.Client {
+// allCallers returns a client of each VM.
+func (s *system) allCallers() []callclient.Client {
 	callers := make([]callclient.Client, len(s.Nodes))
 	for i := range callers {
 		callers[i] = s.client(i)
--- a/internal/harness/experiment/sizes_full.go
+++ b/internal/harness/experiment/sizes_throughput.go
@@ -2,51 +2,52 @@
 
 import (
 	"context"
-	"geraniumcroft/internal/sleep"
 	"sync"
 	"time"
+
+	"geraniumcroft/internal/sleep"
 )
 
 const (
-	fullDraft   = 40
-	largeDrafts = 110
-	smallDrafts = 4
-	fullLead    = 4 * time.Second
+	throughputTokens = 40
+	draftsPerLarge   = 110
+	draftsPerSmall   = 4
+	throughputWarmUp = 4 * time.Second
 )
 
-// fullHouse keeps more drafts waiting than the engines have slots, most of them of
-// two large workspaces, and sends urgent work beside them.
-func (s *scene) fullHouse(ctx context.Context, t *Trial) error {
-	set, err := s.planned()
+// measureThroughput keeps more drafts in progress than the engines have slots, most of them
+// of the two large workspaces, and sends urgent requests at the same time.
+func (s *system) measureThroughput(ctx context.Context, t *Trial) error {
+	set, err := s.computePlans()
 	if err != nil {
 		return err
 	}
 	load, stop := context.WithCancel(ctx)
 	defer stop()
 	var tokens, failed counter
-	from := time.Now().Add(fullLead)
+	from := time.Now().Add(throughputWarmUp)
 	large, small := newDistribution(), newDistribution()
-	var wait sync.WaitGroup
-	for number := range todayWorkspaces {
-		drafts, firsts := smallDrafts, small
+	var running sync.WaitGroup
+	for number := range deploymentWorkspaces {
+		drafts, firsts := draftsPerSmall, small
 		if number < largeWorkspaces {
-			drafts, firsts = largeDrafts, large
+			drafts, firsts = draftsPerLarge, large
 		}
 		for worker := range drafts {
-			wait.Go(func() { s.draftFor(load, from, number, worker, firsts, &tokens, &failed) })
+			running.Go(func() { s.draftForWorkspace(load, from, number, worker, firsts, &tokens, &failed) })
 		}
 	}
 	sleep.For(ctx, time.Until(from))
 	before, work, started := tokens.Load(), s.engineWork(), time.Now()
 	slots := make(chan float64, 1)
 	go func() { slots <- s.sampleSlots(ctx, t.Duration) }()
-	urgent := together(ctx, t.Duration, s.urgentBeside(t))
+	urgent := runConcurrently(ctx, t.Duration, s.urgentLoad(t))
 	onPrompts := s.promptShare(work)
 	rate := float64(tokens.Load()-before) / time.Since(started).Seconds()
 	stop()
-	wait.Wait()
+	running.Wait()
 	t.figure("throughput: bound", "tokens/s", set.Bound)
-	t.limited("throughput: tokens/s of the bound", "ratio", rate/set.Bound, atLeast(wantedOfBound))
+	t.limited("throughput: tokens/s of the bound", "ratio", rate/set.Bound, atLeast(minShareOfBound))
 	t.figure("throughput: engines' time on prompts", "share", onPrompts)
 	t.figure("throughput: tokens/s of the bound without the time on prompts", "ratio", rate/set.Bound/(1-onPrompts))
 	t.figure("throughput: slots in use", "share", <-slots)
@@ -57,10 +58,11 @@
 		t.latencies("throughput: "+kind, urgent[kind].whole)
 		t.figure("throughput: "+kind+" complete", "share", urgent[kind].share())
 	}
-	return s.drain(ctx)
+	return s.awaitIdle(ctx)
 }
 
-func (s *scene) urgentBeside(t *Trial) map[string]traffic {
+// urgentLoad returns the urgent requests of the throughput part.
+func (s *system) urgentLoad(t *Trial) map[string]traffic {
 	callers := s.allCallers()
 	return map[string]traffic{
 		"permit-check": {callers: callers, profile: "permit-check-w1", perSecond: checksPerSecond, tokens: checkTokens, seed: t.Seed + 1},
@@ -68,16 +70,16 @@
 	}
 }
 
-// draftFor sends one workspace's next draft when one has ended. First tokens count
-// of what is sent once the house is full.
-func (s *scene) draftFor(ctx context.Context, from time.Time, number, worker int, firsts *distribution, tokens, failed *counter) {
+// draftForWorkspace sends drafts of one workspace one after the other. The time to the first
+// token counts for drafts that are sent after from, when all slots are in use.
+func (s *system) draftForWorkspace(ctx context.Context, from time.Time, number, worker int, firsts *distribution, tokens, failed *counter) {
 	profile := "summary-" + workspaceName(number)
 	for count := 0; ctx.Err() == nil; count++ {
 		sent := time.Now()
-		answer, err := s.client(worker).Generate(ctx, profile, promptOf(profile, worker*1_000_000+count), fullDraft, func(int) { tokens.Add(1) })
+		answer, err := s.client(worker).Generate(ctx, profile, promptOf(profile, worker*1_000_000+count), throughputTokens, func(int) { tokens.Add(1) })
 		switch {
 		case ctx.Err() != nil:
-		case orIncomplete(err, answer) != nil:
+		case requireComplete(err, answer) != nil:
 			failed.Add(1)
 		case sent.After(from):
 			firsts.add(answer.FirstToken)
--- a/internal/harness/experiment/scene.go
+++ b/internal/harness/experiment/system.go
@@ -14,25 +14,27 @@
 )
 
 const (
-	setUpTimeout = time.Minute
+	setupTimeout = time.Minute
 	workspace    = "substations"
 	modelName    = "grid"
 	modelVersion = "1"
 	serviceName  = "permits"
-	keptConns    = 1024
+	maxIdleConns = 1024
 )
 
-// scene is a fleet with the callers' side of it.
-type scene struct {
+// system is the system under test: a fleet and the HTTP client of its callers.
+type system struct {
 	*rig.Fleet
 	http       *http.Client
 	violations atomic.Int64
 }
 
-func newScene(ctx context.Context, routers int, adjust func(*node.Options)) (*scene, error) {
-	ctx, cancel := context.WithTimeout(ctx, setUpTimeout)
+// newSystem starts a fleet with one workspace. adjust, if not nil, may change the options of
+// each router.
+func newSystem(ctx context.Context, routers int, adjust func(*node.Options)) (*system, error) {
+	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
-	s := &scene{http: newCaller()}
+	s := &system{http: newHTTPClient()}
 	fleet, err := rig.Start(ctx, rig.Options{
 		Routers: routers, Adjust: adjust,
 		OnViolation: func(invariant.Violation) { s.violations.Add(1) },
@@ -44,30 +46,31 @@
 	return s, s.Apply(ctx, config.EntityWorkspace, workspace, &config.Workspace{Name: workspace, Weight: 1})
 }
 
-// newCaller returns a caller's HTTP client, which keeps its connections.
-func newCaller() *http.Client {
-	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: keptConns, DisableCompression: true}}
+// newHTTPClient returns an HTTP client for callers, with persistent connections.
+func newHTTPClient() *http.Client {
+	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true}}
 }
 
-func (s *scene) close() {
+func (s *system) close() {
 	s.http.CloseIdleConnections()
 	s.Stop()
 }
 
-// finish adds the violated invariants to the report.
-func (s *scene) finish(t *Trial) {
+// reportViolations adds the number of violated invariants to the report.
+func (s *system) reportViolations(t *Trial) {
 	t.limited("violated invariants", "", float64(s.violations.Load()), atMost(0))
 }
 
-func (s *scene) client(number int) callclient.Client {
+// client returns a client of one VM; numbers above the last VM start again at the first.
+func (s *system) client(number int) callclient.Client {
 	return callclient.Client{Address: s.Nodes[number%len(s.Nodes)].CallersAddress(), HTTP: s.http}
 }
 
-func (s *scene) applyModel(ctx context.Context, m *config.Model) error {
+func (s *system) applyModel(ctx context.Context, m *config.Model) error {
 	return s.Apply(ctx, config.EntityModel, m.Name, m)
 }
 
-// generationProfile returns a profile of the one model of a scene.
+// generationProfile returns a profile for the only model of a system.
 func generationProfile(name string, u config.Urgency, deadline time.Duration) *config.Profile {
 	return &config.Profile{
 		Name: name, Class: config.ClassGeneration, Urgency: u, Idempotent: true,
@@ -75,7 +78,7 @@
 	}
 }
 
-// callProfile returns a profile of the one plain service of a scene.
+// callProfile returns a profile for the only plain service of a system.
 func callProfile(name string, u config.Urgency, idempotent bool, deadline time.Duration) *config.Profile {
 	return &config.Profile{
 		Name: name, Class: config.ClassCall, Urgency: u, Idempotent: idempotent,
@@ -83,7 +86,7 @@
 	}
 }
 
-func (s *scene) applyProfiles(ctx context.Context, profiles ...*config.Profile) error {
+func (s *system) applyProfiles(ctx context.Context, profiles ...*config.Profile) error {
 	for _, p := range profiles {
 		p.Workspace = workspace
 		if err := s.Apply(ctx, config.EntityProfile, p.Name, p); err != nil {
--- a/internal/harness/experiment/timed_draft.go
+++ b/internal/harness/experiment/timed_draft.go
@@ -7,14 +7,15 @@
 	"geraniumcroft/internal/harness/callclient"
 )
 
-// timedDraft is a draft with the moment at which each token came.
+// timedDraft is a draft with the time at which each token arrived.
 type timedDraft struct {
 	answer callclient.Answer
 	err    error
 	tokens []time.Time
 }
 
-func draftTimed(ctx context.Context, caller callclient.Client, profile string, number, tokens int) *timedDraft {
+// timeDraft runs a draft and records the time of each token.
+func timeDraft(ctx context.Context, caller callclient.Client, profile string, number, tokens int) *timedDraft {
 	d := &timedDraft{}
 	d.answer, d.err = caller.Generate(ctx, profile, promptOf(profile, number), tokens, func(int) {
 		d.tokens = append(d.tokens, time.Now())
@@ -24,13 +25,13 @@
 
 func (d *timedDraft) complete() bool { return d.err == nil && d.answer.Outcome == outcomeComplete }
 
-// gapAfter returns the longest wait for a token that ended after the moment. A
-// draft without a token by then waits since the moment.
-func (d *timedDraft) gapAfter(moment time.Time) time.Duration {
+// gapAfter returns the longest gap before a token that arrived after faultTime. For a draft
+// without earlier tokens, the first gap starts at faultTime.
+func (d *timedDraft) gapAfter(faultTime time.Time) time.Duration {
 	longest := time.Duration(0)
-	before := moment
+	before := faultTime
 	for _, at := range d.tokens {
-		if at.After(moment) {
+		if at.After(faultTime) {
 			longest = max(longest, at.Sub(before))
 		}
 		before = at
--- a/internal/harness/experiment/traffic.go
+++ b/internal/harness/experiment/traffic.go
@@ -12,29 +12,29 @@
 
 const promptWords = 24
 
-// traffic is a stream of requests of one kind.
+// traffic describes a stream of requests of one kind.
 type traffic struct {
-	// callers are taken by turns.
+	// callers are used in turn.
 	callers   []callclient.Client
 	profile   string
 	perSecond float64
-	// tokens is the length of a generation; 0 makes calls.
+	// tokens is the length of each generation; with 0 the requests are calls.
 	tokens int
 	seed   uint64
 }
 
-// run sends for the duration and returns once every request has ended.
-func (f traffic) run(ctx context.Context, duration time.Duration) *tally {
-	y := newTally()
+// run sends requests for the duration and returns when all have ended.
+func (f traffic) run(ctx context.Context, duration time.Duration) *trafficStats {
+	st := newTrafficStats()
 	started := time.Now()
 	arrivals{perSecond: f.perSecond, duration: duration, seed: f.seed}.run(ctx, func(number int, intended time.Time) {
 		caller := f.callers[number%len(f.callers)]
 		sent := time.Now()
 		answer, err := f.send(ctx, caller, number)
-		y.add(intended, sent, answer, err)
+		st.add(intended, sent, answer, err)
 	})
-	y.took = time.Since(started)
-	return y
+	st.took = time.Since(started)
+	return st
 }
 
 func (f traffic) send(ctx context.Context, caller callclient.Client, number int) (callclient.Answer, error) {
@@ -44,24 +44,25 @@
 	return caller.Generate(ctx, f.profile, promptOf(f.profile, number), f.tokens, nil)
 }
 
-// promptOf returns a prompt that shares no prefix with another request's.
+// promptOf returns a prompt that shares no prefix with those of other requests.
 func promptOf(profile string, number int) string {
 	return fmt.Sprintf("%s %d", profile, number) + strings.Repeat(" breaker", promptWords)
 }
 
-// together runs streams of requests side by side, by name.
-func together(ctx context.Context, duration time.Duration, streams map[string]traffic) map[string]*tally {
-	tallies := map[string]*tally{}
-	var mu sync.Mutex // guards tallies
-	var wait sync.WaitGroup
+// runConcurrently runs streams of requests concurrently and returns the statistics of each
+// by its name.
+func runConcurrently(ctx context.Context, duration time.Duration, streams map[string]traffic) map[string]*trafficStats {
+	results := map[string]*trafficStats{}
+	var mu sync.Mutex // guards results
+	var running sync.WaitGroup
 	for name, stream := range streams {
-		wait.Go(func() {
-			y := stream.run(ctx, duration)
+		running.Go(func() {
+			st := stream.run(ctx, duration)
 			mu.Lock()
 			defer mu.Unlock()
-			tallies[name] = y
+			results[name] = st
 		})
 	}
-	wait.Wait()
-	return tallies
+	running.Wait()
+	return results
 }
--- a/internal/harness/experiment/urgent.go
+++ b/internal/harness/experiment/urgent.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	overload         = 2.0
-	urgentPerSecond  = 12.0
-	urgentCalls      = 40.0
-	urgentTokens     = 10
-	bulkTokens       = 60
-	bulkLead         = 2 * time.Second
-	drainWait        = 30 * time.Second
-	wantedUrgentness = 1.2
+	overloadFactor        = 2.0
+	urgentDraftsPerSecond = 12.0
+	urgentCallsPerSecond  = 40.0
+	urgentTokens          = 10
+	bulkTokens            = 60
+	bulkWarmUp            = 2 * time.Second
+	idleTimeout           = 30 * time.Second
+	maxUrgentRatio        = 1.2
 )
 
-// urgentPool leaves the engines' own queues short when every slot is in use, so
-// that what urgent work waits for is the router's to decide.
+// urgentPool is sized so that the engines' own queues stay short when all slots are in use.
+// The waiting time of urgent requests then depends on the router.
 var urgentPool = pool{
 	layers: 16, copies: 4, slots: 8, layerRate: 4800, tokenLatency: 10 * time.Millisecond,
 	instances: 2, serviceSlots: 8, serviceTime: 40 * time.Millisecond,
 }
 
-// urgent compares urgent requests beside bulk of twice the capacity with the same
-// ones on an idle system, for the product and for the baseline.
+// urgent compares urgent requests during a bulk load of twice the capacity with the same
+// requests on an idle system, for the product and for the baseline.
 func urgent(ctx context.Context, t *Trial) error {
-	return measureBoth(ctx, t, urgentScene, (*scene).urgentPhases)
+	return measureWithBaseline(ctx, t, newUrgentSystem, (*system).urgentPhases)
 }
 
-func urgentScene(ctx context.Context) (*scene, error) {
-	s, err := newScene(ctx, 2, nil)
+func newUrgentSystem(ctx context.Context) (*system, error) {
+	s, err := newSystem(ctx, 2, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -48,41 +48,43 @@
 		callProfile("lockout", config.Urgent, false, 5*time.Second), callProfile("report", config.Bulk, true, 5*time.Second))
 }
 
-func (s *scene) urgentPhases(ctx context.Context, t *Trial, prefix string, callers []callclient.Client) error {
-	idle := together(ctx, t.Duration, urgentTraffic(t, callers))
-	loaded, bulk := underBulk(ctx, t, callers)
-	t.report.urgencyFigures(t, prefix, idle, loaded)
+func (s *system) urgentPhases(ctx context.Context, t *Trial, prefix string, callers []callclient.Client) error {
+	idle := runConcurrently(ctx, t.Duration, urgentTraffic(t, callers))
+	loaded, bulk := runUnderBulk(ctx, t, callers)
+	t.report.addUrgentFigures(t, prefix, idle, loaded)
 	t.figure(prefix+"bulk tokens/s of capacity", "ratio", bulk["summary"].tokensPerSecond()/urgentPool.tokensPerSecond())
 	for _, name := range []string{"summary", "report"} {
 		t.figure(prefix+"bulk "+name+" complete", "share", bulk[name].share())
-		t.figure(prefix+"bulk "+name+" neither complete nor not-run", "", float64(bulk[name].unknown+bulk[name].lost))
+		t.figure(prefix+"bulk "+name+" neither complete nor not-run", "", float64(bulk[name].unknown+bulk[name].noOutcome))
 	}
-	return s.drain(ctx)
+	return s.awaitIdle(ctx)
 }
 
 func urgentTraffic(t *Trial, callers []callclient.Client) map[string]traffic {
 	return map[string]traffic{
-		"generation": {callers: callers, profile: "permit-check", perSecond: urgentPerSecond, tokens: urgentTokens, seed: t.Seed},
-		"call":       {callers: callers, profile: "lockout", perSecond: urgentCalls, seed: t.Seed + 1},
+		"generation": {callers: callers, profile: "permit-check", perSecond: urgentDraftsPerSecond, tokens: urgentTokens, seed: t.Seed},
+		"call":       {callers: callers, profile: "lockout", perSecond: urgentCallsPerSecond, seed: t.Seed + 1},
 	}
 }
 
-// underBulk starts the bulk requests first, so that all slots are in use when the
-// urgent ones begin.
-func underBulk(ctx context.Context, t *Trial, callers []callclient.Client) (urgent, bulk map[string]*tally) {
-	done := make(chan map[string]*tally, 1)
+// runUnderBulk starts the bulk requests first, so that all slots are in use when the urgent
+// requests start.
+func runUnderBulk(ctx context.Context, t *Trial, callers []callclient.Client) (urgent, bulk map[string]*trafficStats) {
+	done := make(chan map[string]*trafficStats, 1)
 	go func() {
-		done <- together(ctx, t.Duration+bulkLead, map[string]traffic{
-			"summary": {callers: callers, profile: "summary", perSecond: overload * urgentPool.tokensPerSecond() / bulkTokens, tokens: bulkTokens, seed: t.Seed + 2},
-			"report":  {callers: callers, profile: "report", perSecond: overload * urgentPool.callsPerSecond(), seed: t.Seed + 3},
+		done <- runConcurrently(ctx, t.Duration+bulkWarmUp, map[string]traffic{
+			"summary": {callers: callers, profile: "summary", perSecond: overloadFactor * urgentPool.tokensPerSecond() / bulkTokens, tokens: bulkTokens, seed: t.Seed + 2},
+			"report":  {callers: callers, profile: "report", perSecond: overloadFactor * urgentPool.callsPerSecond(), seed: t.Seed + 3},
 		})
 	}()
-	sleep.For(ctx, bulkLead)
-	urgent = together(ctx, t.Duration, urgentTraffic(t, callers))
+	sleep.For(ctx, bulkWarmUp)
+	urgent = runConcurrently(ctx, t.Duration, urgentTraffic(t, callers))
 	return urgent, <-done
 }
 
-func (r *Report) urgencyFigures(t *Trial, prefix string, idle, loaded map[string]*tally) {
+// addUrgentFigures adds the figures of the urgent requests on an idle and on a loaded
+// system.
+func (r *Report) addUrgentFigures(t *Trial, prefix string, idle, loaded map[string]*trafficStats) {
 	for _, kind := range []string{"generation", "call"} {
 		parts := map[string][2]*distribution{"whole": {idle[kind].whole, loaded[kind].whole}}
 		if kind == "generation" {
@@ -90,27 +92,30 @@
 		}
 		for _, part := range []string{"first token", "whole"} {
 			if pair, ok := parts[part]; ok {
-				t.urgency(prefix, kind+" "+part, pair[0], pair[1])
+				t.addUrgentFigure(prefix, kind+" "+part, pair[0], pair[1])
 			}
 		}
 		t.figure(prefix+"urgent "+kind+" complete under bulk", "share", loaded[kind].share())
 	}
 }
 
-func (t *Trial) urgency(prefix, name string, idle, loaded *distribution) {
+// addUrgentFigure adds the latencies on an idle and on a loaded system and the ratio of
+// their 99th percentiles. The ratio has a limit for the product, not for the baseline.
+func (t *Trial) addUrgentFigure(prefix, name string, idle, loaded *distribution) {
 	t.latencies(prefix+"urgent "+name+" idle", idle)
 	t.latencies(prefix+"urgent "+name+" under bulk", loaded)
-	ratio := loaded.quantile(99) / max(idle.quantile(99), 1e-6)
+	ratio := loaded.percentile(99) / max(idle.percentile(99), 1e-6)
 	if prefix != "" {
 		t.figure(prefix+"urgent "+name+" p99 ratio", "ratio", ratio)
 		return
 	}
-	t.limited("urgent "+name+" p99 ratio", "ratio", ratio, atMost(wantedUrgentness))
+	t.limited("urgent "+name+" p99 ratio", "ratio", ratio, atMost(maxUrgentRatio))
 }
 
-// drain waits until no engine has work, so that phases do not disturb each other.
-func (s *scene) drain(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, drainWait)
+// awaitIdle waits until all engines and instances are idle, so that phases do not influence
+// each other.
+func (s *system) awaitIdle(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, idleTimeout)
 	defer cancel()
 	for _, e := range s.Engines {
 		if err := e.AwaitActive(ctx, 0); err != nil {
