--- a/internal/harness/baseline/choose.go
+++ b/internal/harness/baseline/choose.go
@@ -21,9 +21,9 @@
 		if len(next) == 0 {
 			return nil
 		}
-		chosenTarget := next[turn%len(next)]
-		chosen = append(chosen, chosenTarget)
-		reached = chosenTarget.Layers.To
+		target := next[turn%len(next)]
+		chosen = append(chosen, target)
+		reached = target.Layers.To
 	}
 	return chosen
 }
--- a/internal/harness/baseline/response_stream.go
+++ b/internal/harness/baseline/response_stream.go
@@ -32,16 +32,16 @@
 	return a.control.Flush()
 }
 
-// finish ends the response. After a failure its outcome is unknown.
-func (a *responseStream) finish(lastErr error) {
+// finish ends the response. If err is not nil, the outcome is unknown.
+func (a *responseStream) finish(err error) {
 	outcome := outcomeComplete
-	if lastErr != nil {
+	if err != nil {
 		outcome = outcomeUnknown
 	}
 	if a.tokens == 0 {
 		a.w.Header().Set(headerOutcome, outcome)
 		a.w.Header().Set(headerRequestID, a.id)
-		http.Error(a.w, fmt.Sprint(lastErr), http.StatusBadGateway)
+		http.Error(a.w, fmt.Sprint(err), http.StatusBadGateway)
 		return
 	}
 	_, _ = fmt.Fprintf(a.w, "event: outcome\ndata: {\"outcome\":%q,\"tokens\":%d}\n\n", outcome, a.tokens) // the caller notices a failed write
--- a/internal/harness/baseline/router_test.go
+++ b/internal/harness/baseline/router_test.go
@@ -18,9 +18,9 @@
 	"geraniumcroft/internal/transport"
 )
 
-const testBound = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// fixedSource is a configuration that does not change.
+// fixedSource is a config.Source whose configuration does not change.
 type fixedSource struct{ *config.Snapshot }
 
 func (f fixedSource) Current() *config.Snapshot { return f.Snapshot }
@@ -35,7 +35,7 @@
 
 func newTestRouter(t *testing.T) (*testRouter, context.Context) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testBound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	fx := &testRouter{}
 	snapshot := config.NewSnapshot()
@@ -59,8 +59,8 @@
 		fx.services = append(fx.services, s)
 		snapshot.Targets[s.Target().Name] = s.Target()
 	}
-	snapshot.Profiles["summary"] = &config.Profile{Name: "summary", Models: []config.ModelRef{{Model: "grid", Version: "1"}}, Deadline: config.Duration(testBound)}
-	snapshot.Profiles["lockout"] = &config.Profile{Name: "lockout", Service: "permits", Path: "/lockout", Deadline: config.Duration(testBound)}
+	snapshot.Profiles["summary"] = &config.Profile{Name: "summary", Models: []config.ModelRef{{Model: "grid", Version: "1"}}, Deadline: config.Duration(testTimeout)}
+	snapshot.Profiles["lockout"] = &config.Profile{Name: "lockout", Service: "permits", Path: "/lockout", Deadline: config.Duration(testTimeout)}
 	pool := transport.NewPool(transport.Settings{}, nil)
 	t.Cleanup(pool.Close)
 	server := httptest.NewServer(New(Options{
--- a/internal/harness/experiment/sizes_throughput.go
+++ b/internal/harness/experiment/sizes_throughput.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	throughputTokens = 40
-	draftsPerLarge   = 110
-	draftsPerSmall   = 4
-	throughputWarmUp = 4 * time.Second
+	throughputDraftTokens = 40
+	draftsPerLarge        = 110
+	draftsPerSmall        = 4
+	throughputWarmUp      = 4 * time.Second
 )
 
 // measureThroughput keeps more drafts in progress than the engines have slots, most of them
@@ -76,7 +76,7 @@
 	profile := "summary-" + workspaceName(number)
 	for count := 0; ctx.Err() == nil; count++ {
 		sent := time.Now()
-		answer, err := s.client(worker).Generate(ctx, profile, promptOf(profile, worker*1_000_000+count), throughputTokens, func(int) { tokens.Add(1) })
+		answer, err := s.client(worker).Generate(ctx, profile, promptOf(profile, worker*1_000_000+count), throughputDraftTokens, func(int) { tokens.Add(1) })
 		switch {
 		case ctx.Err() != nil:
 		case requireComplete(err, answer) != nil:
--- a/internal/harness/loadgen/stream.go
+++ b/internal/harness/loadgen/stream.go
@@ -61,6 +61,7 @@
 	}
 }
 
+// processLine handles one line of the stream, without its line end.
 func (s *stream) processLine(line []byte) {
 	switch {
 	case len(line) == 0:
@@ -72,6 +73,7 @@
 	}
 }
 
+// processData handles the data of one event.
 func (s *stream) processData(data []byte) {
 	if bytes.Equal(data, doneData) {
 		s.done = true
@@ -107,6 +109,7 @@
 	}
 }
 
+// addToken records a token and the time since the previous one.
 func (s *stream) addToken(text string) {
 	now := time.Now()
 	if s.r.ending != EndNoAnswer {
@@ -124,6 +127,7 @@
 	s.r.tokens++
 }
 
+// processOutcome records the outcome event.
 func (s *stream) processOutcome(e *streamEvent) {
 	s.r.setOutcome(e.Outcome)
 	s.r.reason = e.Reason
