--- a/internal/harness/standin/vmsim/vm.go
+++ b/internal/harness/standin/vmsim/vm.go
@@ -1,9 +1,9 @@
-// Package vmsim is a stand-in for one of the system's VMs, in virtual time: it can be
-// paused with its monotonic clock standing still, and its writes to the platform's
-// table can be made to hang.
+// Package vmsim simulates one of the system's VMs in virtual time. A VM can be paused,
+// which also stops its monotonic clock, and its writes to the platform's table can be
+// made to hang.
 //
-// While a VM is paused, each call through it stops at its start or at its end and
-// goes on once the VM wakes, as the code of a paused process would.
+// While a VM is paused, each call through it blocks at its start or at its end until
+// the VM is resumed, like the code of a paused process.
 package vmsim
 
 import (
@@ -14,18 +14,19 @@
 	"geraniumcroft/internal/platform"
 )
 
-// VM implements platform.Table, over another table, and lease.Clock.
+// VM implements lease.Clock and wraps a platform.Table. It is safe for concurrent use.
 type VM struct {
 	Name  string
 	table platform.Table
 	start time.Time
 
 	mu sync.Mutex // guards the fields below
-	// resume is open while the VM is paused, since when the pause began.
+	// resume is non-nil and open while the VM is paused; since is when the pause began.
 	resume chan struct{}
 	since  time.Time
-	// lost is the time that the monotonic clock missed.
-	lost        time.Duration
+	// missed is the total time for which the monotonic clock was stopped in earlier
+	// pauses.
+	missed      time.Duration
 	hangCommits bool
 }
 
@@ -34,19 +35,19 @@
 	return &VM{Name: name, table: table, start: time.Now()}
 }
 
-// Now implements lease.Clock.
+// Now implements lease.Clock. The wall clock also runs during pauses.
 func (v *VM) Now() (wall time.Time, mono time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Now()
-	mono = now.Sub(v.start) - v.lost
+	mono = now.Sub(v.start) - v.missed
 	if v.resume != nil {
 		mono -= now.Sub(v.since)
 	}
 	return now.Round(0), mono
 }
 
-// Pause stops the VM until Wake. A paused VM stays as it is.
+// Pause pauses the VM until Resume. It has no effect on a paused VM.
 func (v *VM) Pause() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -56,8 +57,8 @@
 	}
 }
 
-// Wake ends a pause.
-func (v *VM) Wake() {
+// Resume ends a pause.
+func (v *VM) Resume() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.resume == nil {
@@ -65,11 +66,11 @@
 	}
 	close(v.resume)
 	v.resume = nil
-	v.lost += time.Since(v.since)
+	v.missed += time.Since(v.since)
 }
 
-// Running returns once the VM is not paused.
-func (v *VM) Running() {
+// AwaitRunning blocks while the VM is paused.
+func (v *VM) AwaitRunning() {
 	v.mu.Lock()
 	resume := v.resume
 	v.mu.Unlock()
@@ -78,7 +79,8 @@
 	}
 }
 
-// HangCommits makes commits end with their context, without an effect or answer.
+// HangCommits sets whether commits block until their context ends, without an effect
+// or a response.
 func (v *VM) HangCommits(hang bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -87,8 +89,8 @@
 
 // Commit implements platform.Table.
 func (v *VM) Commit(ctx context.Context, txn platform.Txn) error {
-	v.Running()
-	defer v.Running()
+	v.AwaitRunning()
+	defer v.AwaitRunning()
 	if v.hangs() {
 		<-ctx.Done()
 		return &platform.AmbiguousError{TxnID: txn.ID, Cause: ctx.Err()}
@@ -98,15 +100,15 @@
 
 // Get implements platform.Table.
 func (v *VM) Get(ctx context.Context, keys ...string) ([]platform.Row, error) {
-	v.Running()
-	defer v.Running()
+	v.AwaitRunning()
+	defer v.AwaitRunning()
 	return v.table.Get(ctx, keys...)
 }
 
 // Scan implements platform.Table.
 func (v *VM) Scan(ctx context.Context, from, to string, limit int) ([]platform.Row, error) {
-	v.Running()
-	defer v.Running()
+	v.AwaitRunning()
+	defer v.AwaitRunning()
 	return v.table.Scan(ctx, from, to, limit)
 }
 
--- a/internal/lease/failure_test.go
+++ b/internal/lease/failure_test.go
@@ -34,7 +34,7 @@
 		must(t, l.Check() == nil, "the holder may act before its pause")
 		paused.Pause()
 		time.Sleep(2 * DefaultTTL)
-		paused.Wake()
+		paused.Resume()
 		must(t, l.Check() != nil, "the holder may act after a pause past its lease")
 		must(t, len(f.holders(testDuty)) == 1, "%d holders", len(f.holders(testDuty)))
 	})
--- a/internal/lease/history_test.go
+++ b/internal/lease/history_test.go
@@ -67,7 +67,7 @@
 func act(h *history, client int, v *vm, end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(actEvery)
-		v.Running()
+		v.AwaitRunning()
 		l, ok := v.manager.Held(testDuty)
 		if ok && l.Check() == nil {
 			h.add(client, l.Fencing, time.Now())
@@ -95,7 +95,7 @@
 		case 0, 1, 4:
 			v.Pause()
 			time.Sleep(long)
-			v.Wake()
+			v.Resume()
 		case 2:
 			v.HangCommits(true)
 			time.Sleep(2 * long)
--- a/internal/lease/vm_test.go
+++ b/internal/lease/vm_test.go
@@ -58,7 +58,7 @@
 
 func (f *fleet) stop() {
 	for _, v := range f.vms {
-		v.Wake()
+		v.Resume()
 		f.kill(v)
 	}
 	f.done.Wait()
--- a/internal/orders/drainer_test.go
+++ b/internal/orders/drainer_test.go
@@ -39,8 +39,8 @@
 }
 
 func (d fakeDrainer) Drain(_ context.Context, target string) error {
-	d.vm.Running()
-	defer d.vm.Running()
+	d.vm.AwaitRunning()
+	defer d.vm.AwaitRunning()
 	d.drains.mu.Lock()
 	defer d.drains.mu.Unlock()
 	if _, ok := d.drains.asked[target]; !ok {
@@ -50,14 +50,14 @@
 }
 
 func (d fakeDrainer) Drained(_ context.Context, target string) (bool, error) {
-	d.vm.Running()
-	defer d.vm.Running()
+	d.vm.AwaitRunning()
+	defer d.vm.AwaitRunning()
 	return d.drains.confirmed(target), nil
 }
 
 func (d fakeDrainer) Resume(_ context.Context, target string) error {
-	d.vm.Running()
-	defer d.vm.Running()
+	d.vm.AwaitRunning()
+	defer d.vm.AwaitRunning()
 	d.drains.mu.Lock()
 	defer d.drains.mu.Unlock()
 	delete(d.drains.asked, target)
@@ -65,7 +65,7 @@
 }
 
 func (d fakeDrainer) Draining(context.Context) ([]string, error) {
-	d.vm.Running()
-	defer d.vm.Running()
+	d.vm.AwaitRunning()
+	defer d.vm.AwaitRunning()
 	return d.drains.list(), nil
 }
--- a/internal/orders/fleet_test.go
+++ b/internal/orders/fleet_test.go
@@ -139,7 +139,7 @@
 func (f *fleet) stop() {
 	for _, m := range f.members {
 		m.stop()
-		m.vm.Wake()
+		m.vm.Resume()
 	}
 	f.done.Wait()
 }
--- a/internal/orders/history_test.go
+++ b/internal/orders/history_test.go
@@ -183,7 +183,7 @@
 		if m := f.holder(); m != nil {
 			m.vm.Pause()
 			time.Sleep(long)
-			m.vm.Wake()
+			m.vm.Resume()
 		}
 	}
 }
--- a/internal/orders/link_test.go
+++ b/internal/orders/link_test.go
@@ -58,8 +58,8 @@
 }
 
 func (l *link) State(_ context.Context, address string) (engine.State, error) {
-	l.vm.Running()
-	defer l.vm.Running()
+	l.vm.AwaitRunning()
+	defer l.vm.AwaitRunning()
 	state := l.engines[address].read()
 	time.Sleep(l.slowState)
 	return state, nil
@@ -72,19 +72,19 @@
 	if f.pause > 0 {
 		l.vm.Pause()
 		time.Sleep(f.pause)
-		l.vm.Wake()
+		l.vm.Resume()
 	}
 	if f.loseOrder || f.loseAnswer {
 		if !f.loseOrder {
 			time.AfterFunc(f.delay, func() { _ = l.engines[address].apply(order) })
 		}
 		<-ctx.Done()
-		l.vm.Running()
+		l.vm.AwaitRunning()
 		return &engine.OrderError{Address: address, Ambiguous: true, Cause: ctx.Err()}
 	}
 	time.Sleep(f.delay)
 	err := l.engines[address].apply(order)
-	l.vm.Running()
+	l.vm.AwaitRunning()
 	if errors.Is(err, errOldFencing) {
 		return &engine.OrderError{Address: address, OldFencing: true, Cause: err}
 	}
