--- a/internal/harness/standin/faultnet/conn.go
+++ b/internal/harness/standin/faultnet/conn.go
@@ -16,8 +16,8 @@
 	closed   chan struct{}
 }
 
-// Read implements net.Conn. On a silent connection it waits until the connection
-// is closed at this end: neither bytes nor the peer's close arrive.
+// Read implements net.Conn. On a silent connection it blocks until the connection is
+// closed at this end: neither bytes nor the peer's close arrive.
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if !c.silent.Load() || isTimeout(err) {
@@ -35,7 +35,7 @@
 	return c.Conn.Write(p)
 }
 
-// GoSilent makes the connection silent for good.
+// GoSilent permanently silences the connection.
 func (c *Conn) GoSilent() { c.silent.Store(true) }
 
 // Reset closes the connection so that the peer sees ECONNRESET.
@@ -46,12 +46,12 @@
 	_ = c.Close()
 }
 
-// Close implements net.Conn. A silent connection stays open towards the peer
-// until the process ends or the peer closes: a FIN would be a sign of life.
+// Close implements net.Conn. A silent connection stays open towards the peer until
+// the process ends or the peer closes, since a FIN would break the silence.
 func (c *Conn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
-		c.listener.forget(c)
+		c.listener.remove(c)
 	})
 	if c.silent.Load() {
 		go drain(c.Conn)
--- a/internal/harness/standin/faultnet/listener.go
+++ b/internal/harness/standin/faultnet/listener.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// Listener wraps a TCP listener and knows its open connections.
+// Listener wraps a TCP listener and tracks its open connections. It is safe for
+// concurrent use.
 type Listener struct {
 	net.Listener
 
@@ -13,7 +14,7 @@
 	open map[*Conn]struct{}
 }
 
-// Listen listens on address, IP:port.
+// Listen listens on a TCP address, as IP:port.
 func Listen(address string) (*Listener, error) {
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
@@ -42,8 +43,9 @@
 	}
 }
 
-// SilenceAll makes the connections that are open now silent for good, but for one
-// that may be nil: the connection on which the order came. New ones work.
+// SilenceAll permanently silences the connections that are open now, except for one:
+// the connection on which the request to do so arrived. It may be nil. New connections
+// work.
 func (l *Listener) SilenceAll(except *Conn) {
 	for _, c := range l.connections() {
 		if c != except {
@@ -69,7 +71,7 @@
 	return list
 }
 
-func (l *Listener) forget(c *Conn) {
+func (l *Listener) remove(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.open, c)
