--- a/internal/harness/standin/pipenet/cuttable_conn.go
+++ b/internal/harness/standin/pipenet/cuttable_conn.go
@@ -2,16 +2,16 @@
 
 import "net"
 
-// cuttable is the dialling end; what passes it in either direction while it is
-// cut is lost without an error.
-type cuttable struct {
+// cuttableConn is the dialling end of a connection. Data that passes it in either
+// direction while its link is cut is lost without an error.
+type cuttableConn struct {
 	net.Conn
 	network  *Network
 	from, to string
 	silent   bool // guarded by network.mu
 }
 
-func (c *cuttable) Read(p []byte) (int, error) {
+func (c *cuttableConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
 		if err != nil || !c.network.isCut(c) {
@@ -21,7 +21,7 @@
 	}
 }
 
-func (c *cuttable) Write(p []byte) (int, error) {
+func (c *cuttableConn) Write(p []byte) (int, error) {
 	if c.network.isCut(c) {
 		c.silence()
 		return len(p), nil
@@ -29,14 +29,15 @@
 	return c.Conn.Write(p)
 }
 
-// silence keeps a connection that has lost bytes silent, as its stream is broken.
-func (c *cuttable) silence() {
+// silence permanently silences a connection that has lost bytes, since its byte
+// stream is corrupt.
+func (c *cuttableConn) silence() {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
 	c.silent = true
 }
 
-func (c *cuttable) Close() error {
+func (c *cuttableConn) Close() error {
 	c.network.mu.Lock()
 	delete(c.network.conns, c)
 	c.network.mu.Unlock()
--- a/internal/harness/standin/pipenet/listener.go
+++ b/internal/harness/standin/pipenet/listener.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// pipeListener takes what is dialled in memory; it implements net.Listener.
+// pipeListener accepts connections dialled in memory. It implements net.Listener.
 type pipeListener struct {
 	address string
 	conns   chan net.Conn
--- a/internal/harness/standin/pipenet/network.go
+++ b/internal/harness/standin/pipenet/network.go
@@ -8,17 +8,18 @@
 	"sync"
 )
 
-// ErrRefused is what dialling an address without a listener gives.
+// ErrRefused is returned when dialling an address without a listener.
 var ErrRefused = errors.New("connection refused")
 
-// Network connects processes in memory. They are named by the host part of their
-// addresses. Its links can be cut, which makes open connections go silent, and
-// broken, which does that and lets new ones pass.
+// Network connects processes in memory. A process is identified by the host part of
+// its addresses. The link between two hosts can be cut: then open connections go
+// silent and new ones are not established. Open connections can also be silenced
+// while new ones work. A Network is safe for concurrent use.
 type Network struct {
 	mu        sync.Mutex // guards the fields below
 	listeners map[string]*pipeListener
 	cut       func(from, to string) bool
-	conns     map[*cuttable]bool
+	conns     map[*cuttableConn]bool
 }
 
 // NewNetwork returns a network without listeners or cuts.
@@ -26,11 +27,11 @@
 	return &Network{
 		listeners: map[string]*pipeListener{},
 		cut:       func(string, string) bool { return false },
-		conns:     map[*cuttable]bool{},
+		conns:     map[*cuttableConn]bool{},
 	}
 }
 
-// Listen opens a listener; the address may have had another one before.
+// Listen opens a listener. It replaces an earlier listener of the address.
 func (w *Network) Listen(address string) net.Listener {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -39,14 +40,17 @@
 	return l
 }
 
-// SetCut decides which links are cut from now on, in both directions.
+// SetCut sets the function that reports which links are cut. A link is cut in both
+// directions if it is reported for either. A connection that loses data while its link
+// is cut stays silent after the cut ends.
 func (w *Network) SetCut(cut func(from, to string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cut = cut
 }
 
-// Silence makes the connections that are open now silent for good.
+// Silence permanently silences the open connections for which the function returns
+// true, given the dialling and the accepting host. New ones work.
 func (w *Network) Silence(on func(from, to string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,13 +59,14 @@
 	}
 }
 
-func (w *Network) isCut(c *cuttable) bool {
+func (w *Network) isCut(c *cuttableConn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return c.silent || w.cut(c.from, c.to) || w.cut(c.to, c.from)
 }
 
-// DialFrom returns a function that opens connections from a host.
+// DialFrom returns a function that opens connections from the given host. While the
+// link is cut, dialling blocks until the context ends.
 func (w *Network) DialFrom(from string) func(ctx context.Context, address string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		return w.dial(ctx, from, address)
@@ -81,15 +86,15 @@
 	if l == nil {
 		return nil, ErrRefused
 	}
-	ours, theirs := New()
+	local, remote := New()
 	select {
-	case l.conns <- theirs:
+	case l.conns <- remote:
 	case <-l.closed:
 		return nil, ErrRefused
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	c := &cuttable{Conn: ours, network: w, from: from, to: to}
+	c := &cuttableConn{Conn: local, network: w, from: from, to: to}
 	w.mu.Lock()
 	w.conns[c] = true
 	w.mu.Unlock()
--- a/internal/harness/standin/pipenet/pipe.go
+++ b/internal/harness/standin/pipenet/pipe.go
@@ -1,4 +1,4 @@
-// Package pipenet makes connections in memory for tests in virtual time.
+// Package pipenet provides connections in memory for tests in virtual time.
 package pipenet
 
 import (
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// New returns the two ends of a connection with buffers in both directions.
-// net.Pipe has none, and two ends that write at once would wait for each other.
+// New returns the two ends of a connection with an unbounded buffer in each direction.
+// net.Pipe has no buffers, so that two ends that write at the same time would
+// deadlock.
 func New() (net.Conn, net.Conn) {
 	a, b := newStream(), newStream()
 	return &pipeConn{in: a, out: b}, &pipeConn{in: b, out: a}
 }
 
-// stream is one direction. It waits on a condition variable, which virtual time
-// sees as idle.
+// stream is one direction of a connection. Readers wait on a condition variable, which
+// testing/synctest treats as durably blocked.
 type stream struct {
 	mu     sync.Mutex
 	ready  *sync.Cond
@@ -37,7 +38,7 @@
 	s.ready.Broadcast()
 }
 
-// pipeConn is one end of a connection; it implements net.Conn without deadlines.
+// pipeConn is one end of a connection. It implements net.Conn; deadlines are ignored.
 type pipeConn struct {
 	in, out *stream
 }
@@ -79,7 +80,7 @@
 func (c *pipeConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *pipeConn) SetWriteDeadline(time.Time) error { return nil }
 
-// Addr is an address of a connection in memory.
+// Addr is the address of a connection or listener in memory.
 type Addr string
 
 // Network implements net.Addr.
