--- a/internal/harness/standin/platformsim/action.go
+++ b/internal/harness/standin/platformsim/action.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Action is what happens to one operation.
+// Action is the fault that applies to one operation.
 type Action struct {
 	Kind ActionKind
 	Wait time.Duration
--- a/internal/harness/standin/platformsim/action_kind.go
+++ b/internal/harness/standin/platformsim/action_kind.go
@@ -1,20 +1,22 @@
 package platformsim
 
-// ActionKind is what happens to one operation.
+// ActionKind is the kind of fault that applies to one operation.
 type ActionKind uint8
 
 // The kinds of action.
 const (
-	// ActNone carries the operation out and answers.
+	// ActNone carries out the operation and responds.
 	ActNone ActionKind = iota
-	// ActUnavailable answers that nothing took effect.
+	// ActUnavailable responds that the operation had no effect.
 	ActUnavailable
-	// ActHang never answers, without effect.
+	// ActHang never responds. The operation has no effect.
 	ActHang
-	// ActLoseAnswer carries a commit out and loses the answer.
+	// ActLoseAnswer carries out a commit and loses the response. For a read it is the
+	// same as ActUnavailable.
 	ActLoseAnswer
-	// ActDelay carries a commit out after Wait; its sender hears nothing before.
+	// ActDelay carries out a commit after Wait and never responds. For a read it is the
+	// same as ActHang.
 	ActDelay
-	// ActSlow carries the operation out and answers after Wait.
+	// ActSlow carries out the operation and responds after Wait.
 	ActSlow
 )
--- a/internal/harness/standin/platformsim/chooser.go
+++ b/internal/harness/standin/platformsim/chooser.go
@@ -1,4 +1,4 @@
 package platformsim
 
-// Chooser decides about each operation, in place of an Order.
+// Chooser selects the action for each operation, as an alternative to an Order.
 type Chooser func(Operation) Action
--- a/internal/harness/standin/platformsim/doc.go
+++ b/internal/harness/standin/platformsim/doc.go
@@ -1,10 +1,10 @@
-// Package platformsim is a small stand-in for the platform: the transactional
-// table, the object store and the VM list, in memory.
+// Package platformsim simulates the platform in memory: the transactional table, the
+// object store and the VM list.
 //
-// It keeps the services' exact semantics (atomic transactions, conditions on
-// revisions that never repeat) and brings about their failures on order: outages,
-// answers that are lost after the write took effect, writes that are applied long
-// after their sender has given up, slow answers, a list of VMs that lags, and open
-// connections that fall silent while new ones work. Store serves it in the process,
-// for runs in virtual time; Server serves it over HTTP.
+// It has the exact semantics of these services (atomic transactions, conditions on
+// revisions that never repeat) and injects their failures: outages, responses lost
+// after a write took effect, writes applied long after their sender has given up, slow
+// responses, a VM list that lags, and open connections that go silent while new ones
+// work. Store is used within the process, for tests in virtual time; Server serves a
+// Store over HTTP.
 package platformsim
--- a/internal/harness/standin/platformsim/faults.go
+++ b/internal/harness/standin/platformsim/faults.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Faults holds the faults in force. It is safe for concurrent use.
+// Faults holds the current faults. It is safe for concurrent use.
 type Faults struct {
 	mu      sync.Mutex // guards the fields below
 	order   Order
 	chooser Chooser
 }
 
-// NewFaults returns faults that order none.
+// NewFaults returns Faults without any fault.
 func NewFaults() *Faults { return &Faults{} }
 
 // Set replaces the order.
@@ -22,15 +22,16 @@
 	f.order = order
 }
 
-// Current returns the order, with what is left of its counts.
+// Current returns the order, with the remaining values of its counters.
 func (f *Faults) Current() Order {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.order
 }
 
-// Choose lets the chooser decide about each operation that the order leaves alone;
-// nil ends it.
+// Choose sets the chooser that selects the action for each operation without a fault
+// in the order; nil removes it. The chooser is called with the lock of Faults held, so
+// it must not call methods of Faults.
 func (f *Faults) Choose(chooser Chooser) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,7 +47,7 @@
 func (f *Faults) next(op Operation) Action {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if action := f.ordered(op); action.Kind != ActNone {
+	if action := f.configured(op); action.Kind != ActNone {
 		return action
 	}
 	if f.chooser != nil {
@@ -55,7 +56,9 @@
 	return Action{}
 }
 
-func (f *Faults) ordered(op Operation) Action {
+// configured returns the action that the order has for an operation, and decrements
+// its counters. The caller must hold the lock.
+func (f *Faults) configured(op Operation) Action {
 	switch {
 	case f.order.Outage == OutageHang:
 		return Action{Kind: ActHang}
--- a/internal/harness/standin/platformsim/handlers.go
+++ b/internal/harness/standin/platformsim/handlers.go
@@ -40,7 +40,7 @@
 	case ActHang:
 		hang(r)
 	case ActLoseAnswer:
-		_ = s.apply(txn) // whatever it says, the answer is lost
+		_ = s.apply(txn) // the response is lost, whatever it is
 		panic(http.ErrAbortHandler)
 	case ActDelay:
 		time.AfterFunc(action.Wait, func() { _ = s.apply(txn) })
@@ -98,7 +98,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	_, _ = w.Write(body) // the client's loss shows on its side
+	_, _ = w.Write(body) // the client notices a failed write
 }
 
 func (s *Server) vmsHTTP(w http.ResponseWriter, r *http.Request) {
@@ -107,7 +107,8 @@
 	}
 }
 
-// admitRead brings about the fault ordered for a read; it reports whether to answer.
+// admitRead injects the current fault into an operation other than a commit. It
+// reports whether the caller is to carry out the operation and respond.
 func (s *Server) admitRead(w http.ResponseWriter, r *http.Request, op Operation) bool {
 	action := s.Faults.next(op)
 	switch action.Kind {
--- a/internal/harness/standin/platformsim/in_process.go
+++ b/internal/harness/standin/platformsim/in_process.go
@@ -31,7 +31,7 @@
 		<-ctx.Done()
 		return ambiguous(ctx, txn)
 	case ActLoseAnswer:
-		_ = s.apply(txn) // whatever it says, the answer is lost
+		_ = s.apply(txn) // the response is lost, whatever it is
 		return &platform.AmbiguousError{TxnID: txn.ID, Cause: errAnswerLost}
 	case ActDelay:
 		time.AfterFunc(action.Wait, func() { _ = s.apply(txn) })
@@ -91,6 +91,8 @@
 	return s.listVMs(), nil
 }
 
+// read injects the current fault into an operation other than a commit. It returns nil
+// if the caller is to carry out the operation.
 func (s *Store) read(ctx context.Context, op Operation) error {
 	action := s.Faults.next(op)
 	switch action.Kind {
--- a/internal/harness/standin/platformsim/operation.go
+++ b/internal/harness/standin/platformsim/operation.go
@@ -1,9 +1,9 @@
 package platformsim
 
-// Operation names what a chooser decides about.
+// Operation is the type of a platform operation.
 type Operation string
 
-// The operations.
+// The types of operations.
 const (
 	OpCommit Operation = "commit"
 	OpRead   Operation = "read"
--- a/internal/harness/standin/platformsim/outage.go
+++ b/internal/harness/standin/platformsim/outage.go
@@ -1,16 +1,16 @@
 package platformsim
 
-// Outage is a way in which the platform is down.
+// Outage is the kind of outage of the platform.
 type Outage string
 
 // The kinds of outage.
 const (
-	// OutageNone: the platform is up.
+	// OutageNone means that the platform is up.
 	OutageNone Outage = ""
-	// OutageRefuse: connections are refused.
+	// OutageRefuse refuses connections.
 	OutageRefuse Outage = "refuse"
-	// OutageUnavailable: each request is answered 503 without effect.
+	// OutageUnavailable answers each request with status 503. It has no effect.
 	OutageUnavailable Outage = "503"
-	// OutageHang: requests are taken and never answered, without effect.
+	// OutageHang accepts requests and never answers them. They have no effect.
 	OutageHang Outage = "hang"
 )
--- a/internal/harness/standin/platformsim/respond.go
+++ b/internal/harness/standin/platformsim/respond.go
@@ -43,5 +43,5 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
 	w.WriteHeader(status)
-	_, _ = w.Write(encoded) // the client's loss shows on its side
+	_, _ = w.Write(encoded) // the client notices a failed write
 }
--- a/internal/harness/standin/platformsim/server.go
+++ b/internal/harness/standin/platformsim/server.go
@@ -14,12 +14,12 @@
 
 const (
 	readHeaderTimeout = 5 * time.Second
-	// maxHang ends what an ordered hang holds, should the client never leave.
+	// maxHang ends a hanging request if its client never disconnects.
 	maxHang      = time.Minute
 	maxBodyBytes = 64 << 20
 )
 
-// connKey is where a request's context has its connection.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func withConn(ctx context.Context, conn net.Conn) context.Context {
@@ -36,7 +36,7 @@
 	listener *silenceableListener
 }
 
-// NewServer returns a server of the store that listens nowhere yet.
+// NewServer returns a server of the store. It does not listen until Listen.
 func NewServer(store *Store) *Server {
 	s := &Server{Store: store, mux: http.NewServeMux()}
 	s.mux.HandleFunc("POST "+httpplatform.PathCommit, s.commitHTTP)
@@ -49,7 +49,8 @@
 	return s
 }
 
-// Start returns a server of a new store on the address, 127.0.0.1:0 when empty.
+// Start returns a server of a new store that listens on the address, or on 127.0.0.1:0
+// if that is empty.
 func Start(address string) (*Server, error) {
 	s := NewServer(NewStore())
 	if err := s.Listen(address); err != nil {
@@ -64,7 +65,7 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// Listen starts serving on the address, 127.0.0.1:0 when empty.
+// Listen starts serving on the address, or on 127.0.0.1:0 if that is empty.
 func (s *Server) Listen(address string) error {
 	if address == "" {
 		address = "127.0.0.1:0"
@@ -87,50 +88,50 @@
 	return nil
 }
 
-// Address returns the IP:port.
+// Address returns the address that the server listens on, as IP:port.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// URL returns the base URL.
+// URL returns the base URL of the server.
 func (s *Server) URL() string { return "http://" + s.Address() }
 
-// Close stops the server and cuts its connections; the store stays.
+// Close stops the server and closes its connections. The store keeps its state.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.close(nil)
 }
 
-// close stops listening and cuts all connections but one, which may be nil.
-func (s *Server) close(but *silenceableConn) {
+// close stops listening and closes all connections except for one, which may be nil.
+// The caller must hold the lock.
+func (s *Server) close(except *silenceableConn) {
 	if s.listener == nil {
 		return
 	}
 	_ = s.listener.Close()
-	s.listener.cut(but)
+	s.listener.cut(except)
 	s.listener = nil
 }
 
-// Order puts the faults in force. An outage that refuses connections stops the
-// listener until an Order without it.
+// Order applies the faults. OutageRefuse stops the listener until an Order without it.
 func (s *Server) Order(order Order) error { return s.order(order, nil) }
 
-// order spares the connection that the order came on, if any, so that its sender
-// knows when the faults are in force.
-func (s *Server) order(order Order, but *silenceableConn) error {
+// order applies the faults. It spares the connection on which the request to do so
+// arrived, if any, so that the sender knows when the faults are in effect.
+func (s *Server) order(order Order, except *silenceableConn) error {
 	silence := order.SilenceOpen
 	order.SilenceOpen = false
 	s.Faults.Set(order)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if silence && s.listener != nil {
-		s.listener.silence(but)
+		s.listener.silence(except)
 	}
 	if order.Outage == OutageRefuse {
-		s.close(but)
+		s.close(except)
 		return nil
 	}
 	if s.listener == nil && s.address != "" {
--- a/internal/harness/standin/platformsim/silenceable_conn.go
+++ b/internal/harness/standin/platformsim/silenceable_conn.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// silenceableConn is a connection that can fall silent: it takes what the peer
-// sends and hands on nothing, and what is written to it vanishes.
+// silenceableConn is a connection that can be silenced: then it discards what the peer
+// sends and what is written to it.
 type silenceableConn struct {
 	net.Conn
 	silent    atomic.Bool
--- a/internal/harness/standin/platformsim/silenceable_listener.go
+++ b/internal/harness/standin/platformsim/silenceable_listener.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// silenceableListener tracks its connections so that the open ones can be made
-// silent: what they carry vanishes both ways, and neither end is told.
+// silenceableListener tracks its connections so that the open ones can be silenced:
+// they lose all data in both directions, and neither end gets an error.
 type silenceableListener struct {
 	net.Listener
 
@@ -24,28 +24,28 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := newSilenceableConn(inner, l.forget)
+	conn := newSilenceableConn(inner, l.remove)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open[conn] = true
 	return conn, nil
 }
 
-func (l *silenceableListener) silence(but *silenceableConn) {
+func (l *silenceableListener) silence(except *silenceableConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for conn := range l.open {
-		if conn != but {
+		if conn != except {
 			conn.silence()
 		}
 	}
 }
 
-func (l *silenceableListener) cut(but *silenceableConn) {
+func (l *silenceableListener) cut(except *silenceableConn) {
 	l.mu.Lock()
 	conns := make([]*silenceableConn, 0, len(l.open))
 	for conn := range l.open {
-		if conn != but {
+		if conn != except {
 			conns = append(conns, conn)
 		}
 	}
@@ -55,7 +55,7 @@
 	}
 }
 
-func (l *silenceableListener) forget(conn *silenceableConn) {
+func (l *silenceableListener) remove(conn *silenceableConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.open, conn)
--- a/internal/harness/standin/platformsim/store.go
+++ b/internal/harness/standin/platformsim/store.go
@@ -8,11 +8,11 @@
 	"geraniumcroft/internal/platform"
 )
 
-// Store is the platform's state. It is safe for concurrent use, and implements
-// platform.Table, platform.Objects and platform.VMList within the process, under
-// the same faults as the Server.
+// Store holds the state of the platform. It implements platform.Table,
+// platform.Objects and platform.VMList within the process, with the same faults as a
+// Server. It is safe for concurrent use.
 type Store struct {
-	// Faults orders failures.
+	// Faults holds the faults to inject.
 	Faults *Faults
 
 	mu       sync.Mutex // guards the fields below
@@ -23,8 +23,8 @@
 	vms      vmHistory
 	commits  uint64
 	reads    uint64
-	// clockZero is where the table's own clock counts from.
-	clockZero time.Time
+	// clockStart is the zero time of the table's own clock.
+	clockStart time.Time
 }
 
 // NewStore returns an empty platform without faults.
@@ -33,20 +33,21 @@
 		Faults:  NewFaults(),
 		rows:    map[string]platform.Row{},
 		objects: map[string][]byte{},
-		// No reader sees a clock at 0, which would say that there is none.
-		clockZero: time.Now().Add(-time.Hour),
+		// One hour ago, so that no reader sees a clock at 0, which means that there is
+		// no clock.
+		clockStart: time.Now().Add(-time.Hour),
 	}
 }
 
-// Counts returns how many transactions and reads the table has carried out; a
-// refused transaction counts.
+// Counts returns the numbers of transactions, including refused ones, and of reads that
+// the table has carried out.
 func (s *Store) Counts() (commits, reads uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.commits, s.reads
 }
 
-// SetVMs replaces the list of VMs; it shows after the ordered lag.
+// SetVMs replaces the VM list. Readers see the change after Order.VMLag.
 func (s *Store) SetVMs(vms ...platform.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +111,7 @@
 	rows := make([]platform.Row, 0, len(keys))
 	for _, key := range keys {
 		row := s.row(key)
-		row.ReadAt = time.Since(s.clockZero)
+		row.ReadAt = time.Since(s.clockStart)
 		rows = append(rows, row)
 	}
 	return rows
@@ -124,7 +125,7 @@
 	at, _ := slices.BinarySearch(s.keys, from)
 	for ; at < len(s.keys) && s.keys[at] < to && len(rows) < limit; at++ {
 		row := s.row(s.keys[at])
-		row.ReadAt = time.Since(s.clockZero)
+		row.ReadAt = time.Since(s.clockStart)
 		rows = append(rows, row)
 	}
 	return rows
--- a/internal/harness/standin/platformsim/store_test.go
+++ b/internal/harness/standin/platformsim/store_test.go
@@ -44,7 +44,7 @@
 	}
 	second, _ := store.Get(ctx, "a")
 	if second[0].Revision <= first[0].Revision {
-		t.Fatal("the revision of a deleted row came back")
+		t.Fatal("the revision of a deleted row was reused")
 	}
 }
 
@@ -65,7 +65,7 @@
 		}
 		time.Sleep(10 * time.Second)
 		if count() != 1 {
-			t.Fatal("the list never comes")
+			t.Fatal("the list does not appear after the lag")
 		}
 		store.Faults.Set(Order{FreezeVMs: true})
 		store.SetVMs()
--- a/internal/harness/standin/platformsim/vm_history.go
+++ b/internal/harness/standin/platformsim/vm_history.go
@@ -7,8 +7,8 @@
 	"geraniumcroft/internal/platform"
 )
 
-// vmHistory keeps the lists of VMs with the time from which each held, so that an
-// old one can be shown. The Store's mutex guards it.
+// vmHistory keeps all VM lists with the time from which each was current, so that an
+// old one can be shown. It is guarded by the Store's mutex.
 type vmHistory struct {
 	lists []vmList
 	shown []platform.VM
@@ -18,7 +18,8 @@
 	h.lists = append(h.lists, vmList{since: now, vms: slices.Clone(vms)})
 }
 
-// at returns the list that held at the moment; when frozen, the one shown before.
+// at returns the list that was current at the given moment or, if frozen, the list
+// that it returned last.
 func (h *vmHistory) at(moment time.Time, frozen bool) []platform.VM {
 	if frozen {
 		return slices.Clone(h.shown)
