--- a/internal/harness/standin/servicesim/call_plan.go
+++ b/internal/harness/standin/servicesim/call_plan.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// callPlan is what happens to one call.
+// callPlan holds the faults and the service time that apply to one call.
 type callPlan struct {
-	dieBefore, dieAfter, lose, truncate, notRun, fail, wrongID, silence bool
-	takes                                                               time.Duration
+	dieBefore, dieAfter, loseResponse, truncate, notRun, fail, wrongID, silence bool
+	duration                                                                    time.Duration
 }
--- a/internal/harness/standin/servicesim/execution.go
+++ b/internal/harness/standin/servicesim/execution.go
@@ -1,6 +1,6 @@
 package servicesim
 
-// Execution is one run of a call.
+// Execution records one execution of a call.
 type Execution struct {
 	RequestID      string `json:"requestId"`
 	IdempotencyKey string `json:"idempotencyKey,omitempty"`
--- a/internal/harness/standin/servicesim/fault_request.go
+++ b/internal/harness/standin/servicesim/fault_request.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// faultOrder is the body of POST /faults.
-type faultOrder struct {
+// faultRequest is the body of POST /faults.
+type faultRequest struct {
 	Die     bool            `json:"die"`
 	Silence bool            `json:"silence"`
 	Set     json.RawMessage `json:"set"`
--- a/internal/harness/standin/servicesim/handler.go
+++ b/internal/harness/standin/servicesim/handler.go
@@ -32,26 +32,27 @@
 	}
 }
 
-func (s *Service) plan() callPlan {
+// planCall counts a received call and consumes the faults that apply to it.
+func (s *Service) planCall() callPlan {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.received++
 	f := &s.faults
-	p := callPlan{takes: s.options.ServiceTime}
+	p := callPlan{duration: s.options.ServiceTime}
 	if f.Slowdown > 0 {
-		p.takes = time.Duration(float64(p.takes) * f.Slowdown)
+		p.duration = time.Duration(float64(p.duration) * f.Slowdown)
 	}
-	p.notRun = f.Leaving || spend(&f.DeclareNotRun)
+	p.notRun = f.Leaving || take(&f.DeclareNotRun)
 	if p.notRun {
 		return p
 	}
 	p.dieBefore, f.DieBefore = f.DieBefore, false
 	p.dieAfter, f.DieAfter = f.DieAfter, false
-	p.lose = spend(&f.LoseResponses)
-	p.truncate = spend(&f.TruncateResponses)
-	p.fail = spend(&f.Fail)
-	p.wrongID = spend(&f.WrongIDs)
-	p.silence = spend(&f.SilenceOnCall)
+	p.loseResponse = take(&f.LoseResponses)
+	p.truncate = take(&f.TruncateResponses)
+	p.fail = take(&f.Fail)
+	p.wrongID = take(&f.WrongIDs)
+	p.silence = take(&f.SilenceOnCall)
 	return p
 }
 
@@ -61,7 +62,7 @@
 		http.Error(w, "the body cannot be read", http.StatusBadRequest)
 		return
 	}
-	p := s.plan()
+	p := s.planCall()
 	id := r.Header.Get(headerRequestID)
 	w.Header().Set(headerRequestID, id)
 	if p.notRun {
@@ -74,16 +75,17 @@
 		return
 	}
 	execution := Execution{RequestID: id, IdempotencyKey: r.Header.Get(headerIdempotencyKey), Path: r.URL.Path, Body: string(body)}
-	if !s.execute(r.Context(), p.takes, execution) {
+	if !s.execute(r.Context(), p.duration, execution) {
 		return
 	}
 	s.respond(w, r, p, body)
 }
 
-// execute waits for a slot and the service time, and then records the execution.
-// A call whose connection ends before it started is not executed; one that has
-// started is executed whether or not its caller still waits.
-func (s *Service) execute(ctx context.Context, takes time.Duration, execution Execution) bool {
+// execute waits for a slot and then for the service time, and records the execution.
+// It reports whether the call was executed. A call whose connection is closed before
+// it has a slot is not executed; a call that has a slot is executed even if its
+// caller no longer waits, unless the service dies.
+func (s *Service) execute(ctx context.Context, duration time.Duration, execution Execution) bool {
 	s.count(0, 1)
 	select {
 	case s.slots <- struct{}{}:
@@ -96,26 +98,28 @@
 		<-s.slots
 		s.count(-1, 0)
 	}()
-	if takes > 0 {
-		timer := time.NewTimer(takes)
+	if duration > 0 {
+		timer := time.NewTimer(duration)
 		defer timer.Stop()
 		<-timer.C
 	}
 	return s.record(execution)
 }
 
+// count adds to the numbers of active and queued calls and wakes AwaitIdle.
 func (s *Service) count(active, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active += active
 	s.queued += queued
-	s.note()
+	s.recordLoad()
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
 	}
 }
 
+// record records an execution. It returns false if the service is dead.
 func (s *Service) record(execution Execution) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +140,7 @@
 	case p.dieAfter:
 		s.Die()
 		return
-	case p.lose:
+	case p.loseResponse:
 		conn.Reset()
 		return
 	case p.silence:
@@ -157,7 +161,7 @@
 	_, _ = w.Write(answer)
 }
 
-// truncate sends half of an answer and closes the connection.
+// truncate sends the first half of a response and closes the connection.
 func truncate(w http.ResponseWriter, conn *faultnet.Conn, answer []byte) {
 	w.Header().Set("Content-Length", "1000000")
 	_, _ = w.Write(answer[:len(answer)/2])
@@ -166,24 +170,24 @@
 }
 
 func (s *Service) serveFaults(w http.ResponseWriter, r *http.Request) {
-	var order faultOrder
+	var request faultRequest
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err == nil {
-		err = json.Unmarshal(body, &order)
+		err = json.Unmarshal(body, &request)
 	}
-	if err == nil && len(order.Set) > 0 {
-		s.SetFaults(func(f *Faults) { err = json.Unmarshal(order.Set, f) })
+	if err == nil && len(request.Set) > 0 {
+		s.SetFaults(func(f *Faults) { err = json.Unmarshal(request.Set, f) })
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if order.Silence {
+	if request.Silence {
 		s.goSilent(faultnet.ConnOf(r.Context()))
 	}
 	w.WriteHeader(http.StatusNoContent)
 	_ = http.NewResponseController(w).Flush()
-	if order.Die {
-		s.Die() // takes the connection of the order with it
+	if request.Die {
+		s.Die() // also resets the connection of this request
 	}
 }
--- a/internal/harness/standin/servicesim/lifecycle.go
+++ b/internal/harness/standin/servicesim/lifecycle.go
@@ -10,21 +10,21 @@
 	"geraniumcroft/internal/harness/standin/faultnet"
 )
 
-// Start listens on address, IP:port, and serves; port 0 takes a free one.
+// Start listens on address, as IP:port, and serves. Port 0 takes a free port.
 func (s *Service) Start(address string) error {
 	listener, err := faultnet.Listen(address)
 	if err != nil {
 		return err
 	}
-	life, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	server := &http.Server{
 		Handler:     s,
 		ErrorLog:    log.New(io.Discard, "", 0),
-		BaseContext: func(net.Listener) context.Context { return life },
+		BaseContext: func(net.Listener) context.Context { return ctx },
 		ConnContext: faultnet.ConnContext,
 	}
 	s.mu.Lock()
-	s.listener, s.server, s.life = listener, server, end
+	s.listener, s.server, s.cancel = listener, server, cancel
 	s.address = listener.Addr().String()
 	s.dead = false
 	s.mu.Unlock()
@@ -32,11 +32,11 @@
 	return nil
 }
 
-// Close ends the service.
+// Close stops the service, as Die does.
 func (s *Service) Close() { s.Die() }
 
-// Die makes the service fail as a process does: calls in hand are not executed
-// and connections are reset. What was executed stays recorded.
+// Die makes the service fail like a crashed process: calls in progress are not
+// executed and connections are reset. Executions stay recorded.
 func (s *Service) Die() {
 	s.mu.Lock()
 	if s.dead || s.listener == nil {
@@ -44,18 +44,18 @@
 		return
 	}
 	s.dead = true
-	listener, server, end := s.listener, s.server, s.life
+	listener, server, cancel := s.listener, s.server, s.cancel
 	s.mu.Unlock()
-	end()
+	cancel()
 	_ = listener.Close()
 	listener.ResetAll()
 	_ = server.Close()
 }
 
-// Revive starts a dead service again at its address.
+// Revive restarts a dead service at its previous address.
 func (s *Service) Revive() error { return s.Start(s.Addr()) }
 
-// GoSilent makes the connections that are open now silent for good; new ones work.
+// GoSilent permanently silences the connections that are open now; new ones work.
 func (s *Service) GoSilent() { s.goSilent(nil) }
 
 func (s *Service) goSilent(except *faultnet.Conn) {
--- a/internal/harness/standin/servicesim/load.go
+++ b/internal/harness/standin/servicesim/load.go
@@ -6,7 +6,7 @@
 	"geraniumcroft/internal/engine"
 )
 
-// Load returns the load report, late by the ordered lag.
+// Load returns the load report, delayed by Faults.LoadLag.
 func (s *Service) Load() engine.LoadReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,13 +23,14 @@
 	return engine.LoadReport{At: then, Slots: s.options.Slots}
 }
 
-// report is the present load; the caller holds the lock.
+// report returns the current load. The caller must hold the lock.
 func (s *Service) report() engine.LoadReport {
 	return engine.LoadReport{At: time.Now(), Active: s.active, Queued: s.queued, Slots: s.options.Slots, Leaving: s.faults.Leaving}
 }
 
-// note remembers the present load; the caller holds the lock.
-func (s *Service) note() {
+// recordLoad records the current load for delayed reports. The caller must hold the
+// lock.
+func (s *Service) recordLoad() {
 	if len(s.reports) == maxReports {
 		s.reports = s.reports[maxReports/2:]
 	}
--- a/internal/harness/standin/servicesim/options.go
+++ b/internal/harness/standin/servicesim/options.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// Options describe a Service. A zero field takes its default.
+// Options configure a Service. Slots has a default; the zero value of any other
+// field is used as it is.
 type Options struct {
-	// Name is the target's name, Service the plain service's.
+	// Name is the name of the target, Service that of the plain service.
 	Name    string
 	Service string
-	// Slots is how many calls run at once; more wait.
+	// Slots is the number of calls that run concurrently; further calls wait.
 	Slots int
-	// ServiceTime is what one call takes.
+	// ServiceTime is the time that one call takes.
 	ServiceTime time.Duration
 	// LoadLag delays load reports.
 	LoadLag time.Duration
--- a/internal/harness/standin/servicesim/service.go
+++ b/internal/harness/standin/servicesim/service.go
@@ -15,7 +15,7 @@
 	maxReports    = 4096
 )
 
-// Service is a stand-in plain service. It is safe for concurrent use.
+// Service is a simulated plain service. It is safe for concurrent use.
 type Service struct {
 	options Options
 	slots   chan struct{}
@@ -24,7 +24,7 @@
 	address    string
 	listener   *faultnet.Listener
 	server     *http.Server
-	life       context.CancelFunc
+	cancel     context.CancelFunc
 	dead       bool
 	faults     Faults
 	executions []Execution
@@ -32,11 +32,11 @@
 	received   uint64
 	active     int
 	queued     int
-	changed    chan struct{} // closed when active or queued changes; nil when nobody waits
+	changed    chan struct{} // closed when active or queued changes; nil without waiters
 	reports    []engine.LoadReport
 }
 
-// New returns a service that is not yet reachable.
+// New returns a service that is not reachable until Start.
 func New(o Options) *Service {
 	o = o.withDefaults()
 	return &Service{
@@ -46,15 +46,15 @@
 	}
 }
 
-// SetFaults changes the faults.
+// SetFaults calls change on the current faults, with the service's lock held.
 func (s *Service) SetFaults(change func(*Faults)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.faults)
-	s.note()
+	s.recordLoad()
 }
 
-// Addr returns the address that the service listens on, IP:port.
+// Addr returns the address that the service listens on, as IP:port.
 func (s *Service) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,28 +73,29 @@
 	}
 }
 
-// Executions returns the recorded executions, oldest first, within a bound.
+// Executions returns the recorded executions, oldest first. Only the last
+// maxExecutions are kept.
 func (s *Service) Executions() []Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Execution(nil), s.executions...)
 }
 
-// ExecutedTotal returns how many calls were executed.
+// ExecutedTotal returns the number of calls executed.
 func (s *Service) ExecutedTotal() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.total
 }
 
-// Received returns how many calls were read whole.
+// Received returns the number of calls whose body was read completely.
 func (s *Service) Received() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.received
 }
 
-// AwaitIdle waits until no call is in hand.
+// AwaitIdle waits until no call is active or queued.
 func (s *Service) AwaitIdle(ctx context.Context) error {
 	for {
 		s.mu.Lock()
--- a/internal/harness/standin/servicesim/service_test.go
+++ b/internal/harness/standin/servicesim/service_test.go
@@ -14,10 +14,11 @@
 	"geraniumcroft/internal/transport"
 )
 
-// patient is a bound on silence that only a hanging test comes near.
+// longSilence is a silence timeout that is reached only if a test hangs. shortSilence
+// is for tests that expect silence.
 const (
-	patient   = 30 * time.Second
-	impatient = 500 * time.Millisecond
+	longSilence  = 30 * time.Second
+	shortSilence = 500 * time.Millisecond
 )
 
 func start(t *testing.T, o Options, silence time.Duration) (*Service, *httpservice.Client) {
@@ -43,45 +44,45 @@
 	return conn.Do(context.Background(), service.Call{RequestID: id, IdempotencyKey: "k" + id, Path: "/hold", Body: []byte("body " + id)})
 }
 
-// What the caller may be told depends on whether the call ran, so each fault has
-// to run the call, or not, just as it says, and never twice.
-func TestEachFaultExecutesAsItSays(t *testing.T) {
+// The outcome that a caller may get depends on whether the call was executed. So each
+// fault must execute the call or not, as documented, and never twice.
+func TestFaultsExecuteCallsAsDocumented(t *testing.T) {
 	cases := []struct {
 		name     string
 		faults   Faults
 		executed int
-		// broken says that no whole response comes.
-		broken, silent bool
-		status         int
-		notRun         bool
-		id             string
+		// fails says that no complete response arrives.
+		fails, silent bool
+		status        int
+		notRun        bool
+		id            string
 	}{
 		{name: "none", executed: 1, status: http.StatusOK, id: "r"},
-		{name: "die before", faults: Faults{DieBefore: true}, broken: true},
-		{name: "die after", faults: Faults{DieAfter: true}, executed: 1, broken: true},
-		{name: "lose the response", faults: Faults{LoseResponses: 1}, executed: 1, broken: true},
-		{name: "cut the response", faults: Faults{TruncateResponses: 1}, executed: 1, broken: true},
-		{name: "go silent", faults: Faults{SilenceOnCall: 1}, executed: 1, broken: true, silent: true},
+		{name: "die before", faults: Faults{DieBefore: true}, fails: true},
+		{name: "die after", faults: Faults{DieAfter: true}, executed: 1, fails: true},
+		{name: "lose the response", faults: Faults{LoseResponses: 1}, executed: 1, fails: true},
+		{name: "cut the response", faults: Faults{TruncateResponses: 1}, executed: 1, fails: true},
+		{name: "go silent", faults: Faults{SilenceOnCall: 1}, executed: 1, fails: true, silent: true},
 		{name: "not run", faults: Faults{DeclareNotRun: 1}, status: http.StatusServiceUnavailable, notRun: true, id: "r"},
 		{name: "leaving", faults: Faults{Leaving: true}, status: http.StatusServiceUnavailable, notRun: true, id: "r"},
 		{name: "fail", faults: Faults{Fail: 1}, executed: 1, status: http.StatusInternalServerError, id: "r"},
 		{name: "wrong id", faults: Faults{WrongIDs: 1}, executed: 1, status: http.StatusOK, id: "another-request"},
-		{name: "slow", faults: Faults{Slowdown: 50}, executed: 1, broken: true, silent: true},
+		{name: "slow", faults: Faults{Slowdown: 50}, executed: 1, fails: true, silent: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			silence := patient
+			silence := longSilence
 			if c.silent {
-				silence = impatient
+				silence = shortSilence
 			}
 			s, client := start(t, Options{ServiceTime: 20 * time.Millisecond}, silence)
 			s.SetFaults(func(f *Faults) { *f = c.faults })
 			response, err := call(t, client, s, "r", true)
-			if (err != nil) != c.broken || response.Status != c.status || response.NotRun != c.notRun || response.RequestID != c.id {
+			if (err != nil) != c.fails || response.Status != c.status || response.NotRun != c.notRun || response.RequestID != c.id {
 				t.Fatalf("%+v, %v", response, err)
 			}
 			var failure *service.CallError
-			if c.broken && (!errors.As(err, &failure) || !failure.Sent || failure.Silent != c.silent) {
+			if c.fails && (!errors.As(err, &failure) || !failure.Sent || failure.Silent != c.silent) {
 				t.Fatalf("%v", err)
 			}
 			if err := s.AwaitIdle(t.Context()); err != nil {
@@ -98,11 +99,11 @@
 	}
 }
 
-// The caller's call after the fault works: the connections that were open stay
-// silent, and a new one does not. A kept connection is found silent once and the
-// others are not tried.
+// After GoSilent the connections that were open stay silent and new ones work. The
+// client detects the silence once, on a kept-alive connection, and does not try its
+// other open connections.
 func TestSilenceHitsOpenConnectionsOnly(t *testing.T) {
-	s, client := start(t, Options{}, impatient)
+	s, client := start(t, Options{}, shortSilence)
 	if _, err := call(t, client, s, "1", false); err != nil {
 		t.Fatal(err)
 	}
@@ -121,8 +122,8 @@
 	}
 }
 
-func TestADeadServiceIsRevivedAtItsAddress(t *testing.T) {
-	s, client := start(t, Options{}, patient)
+func TestReviveKeepsTheAddress(t *testing.T) {
+	s, client := start(t, Options{}, longSilence)
 	address := s.Addr()
 	s.Die()
 	var failure *service.CallError
@@ -137,8 +138,8 @@
 	}
 }
 
-func TestLoadReportsLagAndFaultsComeByHTTP(t *testing.T) {
-	s, client := start(t, Options{Slots: 3}, patient)
+func TestLoadLagAndFaultsOverHTTP(t *testing.T) {
+	s, client := start(t, Options{Slots: 3}, longSilence)
 	resp, err := http.Post("http://"+s.Addr()+"/faults", "application/json", strings.NewReader(`{"set":{"leaving":true}}`))
 	if err != nil {
 		t.Fatal(err)
