--- a/internal/harness/standin/enginesim/activation.go
+++ b/internal/harness/standin/enginesim/activation.go
@@ -6,8 +6,8 @@
 	"geraniumcroft/internal/engine"
 )
 
-// activation asks a stage to work on one position of a generation. The first one
-// of an epoch also stands for the prompt and the committed tokens before it.
+// activation asks a stage to process one position of a generation. The first one of
+// an epoch also covers the prompt and the committed tokens before it.
 type activation struct {
 	requestID string
 	epoch     uint32
@@ -15,11 +15,11 @@
 	position  int
 	trace     []engine.Execution
 	at        time.Time
-	finished  bool // the generation is over; the stage frees its slot
+	finished  bool // the generation has ended; the stage frees its slot
 
-	// The receiving engine's own.
+	// Set and used by the receiving engine alone.
 	priority int
 	seq      uint64
-	work     float64 // generated tokens' worth of work that is left
-	prepared bool
+	work     float64 // remaining work, in units of one generated token
+	prepared bool    // work is set
 }
--- a/internal/harness/standin/enginesim/append_event.go
+++ b/internal/harness/standin/enginesim/append_event.go
@@ -7,11 +7,12 @@
 	"geraniumcroft/internal/engine"
 )
 
-// appendEvent appends an event as a line of JSON. Tokens are written without
-// reflection, as a stand-in has to be much faster than what is measured with it.
+// appendEvent appends an event as a line of JSON. Token events are encoded without
+// reflection: the simulator must be much faster than the system that is measured
+// with it.
 func appendEvent(buf []byte, event *engine.Event) []byte {
 	if event.Kind != engine.EventToken {
-		data, _ := json.Marshal(event) // holds nothing that cannot be marshalled
+		data, _ := json.Marshal(event) // all fields of an event can be marshalled
 		return append(append(buf, data...), '\n')
 	}
 	buf = append(buf, `{"kind":"token","requestId":`...)
@@ -47,7 +48,7 @@
 func appendString(buf []byte, s string) []byte {
 	for i := range len(s) {
 		if s[i] < ' ' || s[i] > '~' || s[i] == '"' || s[i] == '\\' {
-			data, _ := json.Marshal(s) // a string always marshals
+			data, _ := json.Marshal(s) // cannot fail for a string
 			return append(buf, data...)
 		}
 	}
--- a/internal/harness/standin/enginesim/bench_test.go
+++ b/internal/harness/standin/enginesim/bench_test.go
@@ -8,8 +8,8 @@
 	"geraniumcroft/internal/config"
 )
 
-// BenchmarkTokens generates over two stages on 64 streams through httpengine; an
-// operation is one token, client and engines in one process.
+// BenchmarkTokens generates on 64 streams of two stages each through httpengine. One
+// operation is one token; client and engines run in one process.
 func BenchmarkTokens(b *testing.B) {
 	const pairs, streamsAPair = 4, 16
 	var readers sync.WaitGroup
--- a/internal/harness/standin/enginesim/control.go
+++ b/internal/harness/standin/enginesim/control.go
@@ -8,7 +8,7 @@
 	"geraniumcroft/internal/engine/httpengine"
 )
 
-// report is the present load; the caller holds the lock.
+// report returns the current load. The caller must hold the lock.
 func (e *Engine) report() engine.LoadReport {
 	now := time.Now()
 	return engine.LoadReport{
@@ -21,7 +21,7 @@
 	}
 }
 
-// Load returns the load report, late by the ordered lag.
+// Load returns the load report, delayed by Faults.LoadLag.
 func (e *Engine) Load() engine.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -37,14 +37,16 @@
 	return report
 }
 
-// CacheEvents returns the cache events above after, late by the lag of the options.
+// CacheEvents returns the cache events with sequence numbers above after, delayed by
+// Options.CacheEventLag.
 func (e *Engine) CacheEvents(after uint64) engine.CacheEvents {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cache.events(after, time.Now().Add(-e.options.CacheEventLag))
 }
 
-// State returns what the engine holds.
+// State returns the model, layers and adapters that the engine holds and its fencing
+// number. An engine that ignores fencing numbers reports none.
 func (e *Engine) State() engine.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -57,8 +59,9 @@
 	return state
 }
 
-// obey carries out an order or refuses it.
-func (e *Engine) obey(order engine.Order) *refusal {
+// applyOrder carries out an order or refuses it. An order with the ID of the last one
+// is a repeat and has no effect.
+func (e *Engine) applyOrder(order engine.Order) *refusal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if order.Fencing < e.fencing {
@@ -73,13 +76,14 @@
 	}
 	e.orderID = order.ID
 	e.counts.Orders++
-	e.change(order)
+	e.setHeld(order)
 	return nil
 }
 
-// change loads what the order says. Requests in hand are cut off, as a real engine
-// cannot go on without its weights.
-func (e *Engine) change(order engine.Order) {
+// setHeld loads the weights that the order names. Requests in progress are cut off,
+// since a real engine cannot continue without its weights. The caller must hold the
+// lock.
+func (e *Engine) setHeld(order engine.Order) {
 	wanted := engine.State{Model: order.Model, Version: order.Version, Adapters: order.Adapters, Layers: order.Layers, Role: order.Role}
 	reload := wanted.Model != e.held.Model || wanted.Version != e.held.Version || wanted.Layers != e.held.Layers
 	e.held = wanted
@@ -88,11 +92,11 @@
 	}
 	e.loadedAt = time.Now().Add(e.options.LoadTime)
 	for _, st := range e.stages {
-		if !st.over {
+		if !st.ended {
 			e.counts.CutOff++
 		}
 		st.fail(st.open.Index, messageReloading)
-		e.end(st)
+		e.removeStage(st)
 	}
 	e.kv.Purge()
 	e.cache = newPrefixCache(e.options.CacheBlocks)
--- a/internal/harness/standin/enginesim/delayed_queue.go
+++ b/internal/harness/standin/enginesim/delayed_queue.go
@@ -1,6 +1,6 @@
 package enginesim
 
-// delayedQueue orders activations by the time of their arrival.
+// delayedQueue is a heap of activations, ordered by arrival time.
 type delayedQueue []*activation
 
 func (q delayedQueue) Len() int           { return len(q) }
--- a/internal/harness/standin/enginesim/deliver.go
+++ b/internal/harness/standin/enginesim/deliver.go
@@ -1,14 +1,15 @@
 package enginesim
 
-// maxEarlyPerStage bounds the activations kept for a stage that is not open yet.
+// maxEarlyPerStage is the maximum number of activations kept for a stage that is not
+// yet open.
 const maxEarlyPerStage = 64
 
-// deliver sends an activation over the fabric, without this engine's lock.
+// deliver sends an activation over the fabric. The caller must not hold the lock.
 func (e *Engine) deliver(d delivery) {
 	to := e.fabric.Engine(d.hop.Address)
 	if to == nil {
 		if !d.act.finished {
-			d.from.fail(d.act.index, messageUnreach)
+			d.from.fail(d.act.index, messageUnreachable)
 		}
 		return
 	}
@@ -16,7 +17,7 @@
 	to.receive(d.act)
 }
 
-// receive takes an activation from another engine or from this one.
+// receive accepts an activation from another engine or from this one.
 func (e *Engine) receive(a *activation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -25,7 +26,7 @@
 	}
 	st := e.stages[a.requestID]
 	if st == nil || st.open.Epoch < a.epoch {
-		e.keepEarly(a)
+		e.bufferEarly(a)
 		return
 	}
 	if st.open.Epoch > a.epoch {
@@ -41,11 +42,11 @@
 	e.signal()
 }
 
-// keepEarly holds what arrives before its stage was opened: the router opens the
-// stages of a generation side by side.
-func (e *Engine) keepEarly(a *activation) {
-	floor, known := e.floors.Get(a.requestID)
-	if known && a.epoch < floor {
+// bufferEarly keeps an activation that arrives before its stage is open, since the
+// router opens the stages of a generation concurrently. The caller must hold the lock.
+func (e *Engine) bufferEarly(a *activation) {
+	minEpoch, known := e.minEpochs.Get(a.requestID)
+	if known && a.epoch < minEpoch {
 		e.counts.OldEpochs++
 		return
 	}
--- a/internal/harness/standin/enginesim/delivery.go
+++ b/internal/harness/standin/enginesim/delivery.go
@@ -2,7 +2,7 @@
 
 import "geraniumcroft/internal/engine"
 
-// delivery is an activation on its way to the engine of another stage.
+// delivery is an activation in transit to the engine of another stage.
 type delivery struct {
 	from *stage
 	hop  engine.Hop
--- a/internal/harness/standin/enginesim/direct_client.go
+++ b/internal/harness/standin/enginesim/direct_client.go
@@ -10,19 +10,19 @@
 	"geraniumcroft/internal/engine/httpengine"
 )
 
-// DefaultDirectIdle is the default of DirectClient.Idle.
+// DefaultDirectIdle is the default value of DirectClient.Idle.
 const DefaultDirectIdle = 750 * time.Millisecond
 
 var (
 	errUnreachable = errors.New("connection refused")
-	errNothingCame = errors.New("nothing arrived within the bound")
+	errIdle        = errors.New("nothing arrived within the bound")
 )
 
-// DirectClient is an engine.Client without a network: it calls the engines of a
-// fabric, so that tests can run a router's parts in virtual time.
+// DirectClient is an engine.Client that calls the engines of a fabric directly,
+// without a network, so that tests can run parts of a router in virtual time.
 type DirectClient struct {
 	fabric *Fabric
-	// Idle is the bound after which a stream counts as silent.
+	// Idle is the time without an event after which a stream counts as silent.
 	Idle time.Duration
 }
 
@@ -42,12 +42,12 @@
 	if err := ctx.Err(); err != nil {
 		return nil, &engine.OpenError{Address: address, Cause: err}
 	}
-	st, no := e.take(open)
-	if no != nil {
-		return nil, &engine.OpenError{Address: address, Sent: true, Status: no.status, Busy: no.Code == httpengine.CodeBusy, Cause: no.asError()}
+	st, refused := e.openStage(open)
+	if refused != nil {
+		return nil, &engine.OpenError{Address: address, Sent: true, Status: refused.status, Busy: refused.Code == httpengine.CodeBusy, Cause: refused.asError()}
 	}
 	s := &directStream{client: c, engine: e, stage: st, address: address, ctx: ctx, closed: make(chan struct{})}
-	s.follow(ctx)
+	s.bindContext(ctx)
 	return s, nil
 }
 
@@ -94,8 +94,8 @@
 	if e == nil {
 		return &engine.OrderError{Address: address, Cause: errUnreachable}
 	}
-	if no := e.obey(order); no != nil {
-		return &engine.OrderError{Address: address, OldFencing: no.Code == httpengine.CodeOldFencing, Cause: no.asError()}
+	if refused := e.applyOrder(order); refused != nil {
+		return &engine.OrderError{Address: address, OldFencing: refused.Code == httpengine.CodeOldFencing, Cause: refused.asError()}
 	}
 	return nil
 }
--- a/internal/harness/standin/enginesim/direct_stream.go
+++ b/internal/harness/standin/enginesim/direct_stream.go
@@ -9,7 +9,7 @@
 	"geraniumcroft/internal/engine"
 )
 
-// directStream is the router's end of a stage without a connection between.
+// directStream is the router's end of a stage's stream, without a connection.
 type directStream struct {
 	client  *DirectClient
 	engine  *Engine
@@ -29,7 +29,7 @@
 		if event, ok := s.pop(); ok {
 			return event, nil
 		}
-		events, ended := s.stage.out.take(nil)
+		events, ended := s.stage.out.drain(nil)
 		if len(events) > 0 && !s.silent() {
 			s.events = events
 			continue
@@ -52,12 +52,14 @@
 	return event, true
 }
 
-// wait waits for events, a heartbeat or an end.
+// wait waits until events arrive, a heartbeat is due, the stream is closed or, on a
+// silent stream, the idle timeout passes. If done is false, the caller must check for
+// events again; otherwise event and err are the result of Recv.
 func (s *directStream) wait() (event engine.Event, err error, done bool) {
 	bound, arrived := s.engine.options.Heartbeat, s.stage.out.ready
 	silent := s.silent()
 	if silent {
-		bound, arrived = s.client.Idle, nil // nothing arrives any more
+		bound, arrived = s.client.Idle, nil // no further event arrives
 	}
 	timer := time.NewTimer(bound)
 	defer timer.Stop()
@@ -68,7 +70,7 @@
 		return event, s.broken(context.Canceled, false), true
 	case <-timer.C:
 		if silent {
-			return event, s.broken(errNothingCame, true), true
+			return event, s.broken(errIdle, true), true
 		}
 		return s.stage.event(engine.EventHeartbeat), nil, !s.silent()
 	}
@@ -76,6 +78,7 @@
 
 func (s *directStream) silent() bool { return s.stage.silent.Load() || s.engine.muted() }
 
+// broken closes the stream and returns the error that Recv reports for it.
 func (s *directStream) broken(cause error, silent bool) error {
 	s.Close()
 	return &engine.StreamError{Address: s.address, Silent: silent, Cause: cause}
@@ -92,20 +95,21 @@
 	}
 	close(s.closed)
 	s.engine.mu.Unlock()
-	s.unfollow()
+	s.unbindContext()
 	if !s.stage.silent.Load() {
-		s.engine.leave(s.stage)
+		s.engine.closeStage(s.stage)
 	}
 }
 
-// follow closes the stream when ctx ends, which may be at once.
-func (s *directStream) follow(ctx context.Context) {
+// bindContext arranges that the stream is closed when ctx ends. It may have ended
+// already.
+func (s *directStream) bindContext(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.release = context.AfterFunc(ctx, s.Close)
 }
 
-func (s *directStream) unfollow() {
+func (s *directStream) unbindContext() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.release != nil {
--- a/internal/harness/standin/enginesim/direct_test.go
+++ b/internal/harness/standin/enginesim/direct_test.go
@@ -13,18 +13,18 @@
 	"geraniumcroft/internal/engine/httpengine"
 )
 
-// bench is a set of engines in virtual time.
-type bench struct {
+// simulation is a set of engines in virtual time, with a client for them.
+type simulation struct {
 	*testing.T
 	fabric  *Fabric
 	client  *DirectClient
 	engines []*Engine
 }
 
-// inVirtualTime runs a test with engines for the given layer ranges.
-func inVirtualTime(t *testing.T, o Options, link LinkFunc, ranges []config.LayerRange, test func(b *bench)) {
+// inVirtualTime runs a test in virtual time with one engine for each layer range.
+func inVirtualTime(t *testing.T, o Options, link LinkFunc, ranges []config.LayerRange, test func(b *simulation)) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &bench{T: t, fabric: NewFabric(link)}
+		b := &simulation{T: t, fabric: NewFabric(link)}
 		b.client = NewDirectClient(b.fabric)
 		for i, layers := range ranges {
 			own := o
@@ -44,18 +44,18 @@
 	twoWhole = []config.LayerRange{{From: 0, To: 8}, {From: 0, To: 8}}
 )
 
-func (b *bench) open(id string, epoch uint32, tokens int, engines ...*Engine) engine.StageOpen {
+func (b *simulation) open(id string, epoch uint32, tokens int, engines ...*Engine) engine.StageOpen {
 	return engine.StageOpen{RequestID: id, Epoch: epoch, Model: "m", Version: "1", Hops: hopsOf(engines), Prompt: []string{"a"}, MaxTokens: tokens}
 }
 
-// last opens all stages and returns the stream of the last one.
-func (b *bench) last(open engine.StageOpen) engine.Stream {
+// last opens all stages of a generation and returns the stream of the last one.
+func (b *simulation) last(open engine.StageOpen) engine.Stream {
 	b.Helper()
 	streams := openAll(b.T, b.client, open)
 	return streams[len(streams)-1]
 }
 
-// receive reads tokens until the stream ends or fails.
+// receive reads tokens until it has atMost or the stream ends or fails.
 func receive(stream engine.Stream, atMost int) (tokens []engine.Event, finish string, err error) {
 	for range 100 * (atMost + 1) {
 		event, err := stream.Recv()
@@ -88,8 +88,8 @@
 }
 
 func TestTheRateIsSharedByAllRequests(t *testing.T) {
-	// 400 layer-tokens a second over 4 layers are 100 tokens a second.
-	inVirtualTime(t, Options{LayerTokensPerSecond: 400}, nil, halves, func(b *bench) {
+	// 400 layer-tokens per second over 4 layers are 100 tokens per second.
+	inVirtualTime(t, Options{LayerTokensPerSecond: 400}, nil, halves, func(b *simulation) {
 		start := time.Now()
 		done := make(chan error)
 		for i := range 10 {
@@ -111,7 +111,7 @@
 }
 
 func TestUrgentRequestsGoFirst(t *testing.T) {
-	inVirtualTime(t, Options{LayerTokensPerSecond: 800}, nil, whole, func(b *bench) {
+	inVirtualTime(t, Options{LayerTokensPerSecond: 800}, nil, whole, func(b *simulation) {
 		for i := range 8 {
 			b.last(b.open(fmt.Sprint("bulk", i), 1, 1000, b.engines...))
 		}
@@ -122,7 +122,7 @@
 		if _, finish, err := receive(b.last(urgent), 100); err != nil || finish != "length" {
 			b.Fatalf("%s, %v", finish, err)
 		}
-		// 10 tokens of 10 ms each; the one in the accelerator is finished first.
+		// 10 tokens of 10 ms each; each may wait for the one that is being processed.
 		if took := time.Since(start); took > 210*time.Millisecond {
 			b.Fatalf("took %s beside bulk work", took)
 		}
@@ -131,13 +131,14 @@
 
 func TestLinksTakeTheirTime(t *testing.T) {
 	link := func(string, string) (time.Duration, float64) { return 5 * time.Millisecond, 102400 }
-	inVirtualTime(t, Options{LayerTokensPerSecond: 4e6}, link, halves, func(b *bench) {
+	inVirtualTime(t, Options{LayerTokensPerSecond: 4e6}, link, halves, func(b *simulation) {
 		stream := b.last(b.open("r", 1, 100, b.engines...))
 		start := time.Now()
 		if _, _, err := receive(stream, 10); err != nil {
 			b.Fatal(err)
 		}
-		// A token's 1,024 bytes take 10 ms forward, the next position 64 bytes back.
+		// A token takes 10 ms for its 1,024 bytes and 5 ms of latency to the second stage;
+		// the request for the next position takes 5 ms and the time for 64 bytes.
 		per := time.Since(start).Seconds() / 9.5
 		if per < 0.019 || per > 0.022 {
 			b.Fatalf("%.4f virtual seconds a token", per)
@@ -145,11 +146,11 @@
 	})
 }
 
-// The caller's stream resumes at its next token. The router cancels the stage and
-// opens the next epoch: on the same engine the KV cache was kept, on another one
-// it is imported, and without either the whole context is replayed.
+// A stream resumes at its next token: the router cancels the stage and opens the next
+// epoch. On the same engine the KV cache was kept, on another one it is imported;
+// without either, the whole context is replayed.
 func TestKVCacheIsKeptAndImported(t *testing.T) {
-	inVirtualTime(t, Options{LayerTokensPerSecond: 8000, KeepKVFor: time.Second}, nil, twoWhole, func(b *bench) {
+	inVirtualTime(t, Options{LayerTokensPerSecond: 8000, KeepKVFor: time.Second}, nil, twoWhole, func(b *simulation) {
 		first := b.open("r", 1, 100, b.engines[0])
 		first.KeepKV = true
 		stream := b.last(first)
@@ -190,21 +191,21 @@
 	})
 }
 
-// A stage that an older epoch opens late must not run beside the newer one, or the
-// token at a position would be made twice.
+// A stage that an older epoch opens late must not run next to the newer one, or a
+// position would be generated twice.
 func TestOldEpochsAreRefused(t *testing.T) {
-	inVirtualTime(t, Options{Slots: 1}, nil, whole, func(b *bench) {
+	inVirtualTime(t, Options{Slots: 1}, nil, whole, func(b *simulation) {
 		e := b.engines[0]
 		old := b.last(b.open("r", 1, 1000, e))
-		b.last(b.open("r", 2, 1000, e)) // takes the slot over
+		b.last(b.open("r", 2, 1000, e)) // takes over the slot
 		if _, _, err := receive(old, 1000); err == nil || e.Active() != 1 {
-			b.Fatalf("the old epoch goes on: %v, %d active", err, e.Active())
+			b.Fatalf("the old epoch still runs: %v, %d active", err, e.Active())
 		}
 		if err := b.client.Cancel(b.Context(), e.Addr(), "r", 1); err != nil || e.Active() != 1 {
-			b.Fatalf("a cancel of epoch 1 hit epoch 2: %v", err)
+			b.Fatalf("a cancel of epoch 1 ended epoch 2: %v", err)
 		}
 		if err := b.client.Cancel(b.Context(), e.Addr(), "r", 3); err != nil || e.Active() != 0 {
-			b.Fatalf("a cancel of epoch 3 left epoch 2: %v", err)
+			b.Fatalf("a cancel of epoch 3 did not end epoch 2: %v", err)
 		}
 		for epoch := uint32(1); epoch <= 3; epoch++ {
 			_, err := b.client.Open(b.Context(), e.Addr(), b.open("r", epoch, 1000, e))
@@ -217,7 +218,7 @@
 }
 
 func TestRefusals(t *testing.T) {
-	inVirtualTime(t, Options{Slots: 1}, nil, []config.LayerRange{{From: 0, To: 4}}, func(b *bench) {
+	inVirtualTime(t, Options{Slots: 1}, nil, []config.LayerRange{{From: 0, To: 4}}, func(b *simulation) {
 		e := b.engines[0]
 		b.last(b.open("held", 1, 1000, e))
 		wrongLayers := b.open("r", 1, 5, e)
--- a/internal/harness/standin/enginesim/end_messages.go
+++ b/internal/harness/standin/enginesim/end_messages.go
@@ -1,8 +1,8 @@
 package enginesim
 
-// What a stage's last event says of its end.
+// The messages of the error events that end a stage's stream.
 const (
-	messageUnreach    = "the next stage cannot be reached"
-	messageReloading  = "the engine loads something else"
-	messageSuperseded = "a newer epoch took over"
+	messageUnreachable = "the next stage cannot be reached"
+	messageReloading   = "the engine loads something else"
+	messageSuperseded  = "a newer epoch took over"
 )
--- a/internal/harness/standin/enginesim/engine.go
+++ b/internal/harness/standin/enginesim/engine.go
@@ -13,16 +13,16 @@
 	"geraniumcroft/internal/harness/standin/faultnet"
 )
 
-// The bounds of what an engine remembers of requests.
+// The maximum numbers of requests of which an engine keeps state.
 const (
-	// maxEarly is how many requests may have activations here before their stage is
-	// open.
+	// maxEarly is the number of requests that may have activations here before their
+	// stage is open.
 	maxEarly       = 4096
 	maxKeptKV      = 4096
 	maxKnownEpochs = 1 << 16
 )
 
-// Engine is a stand-in engine. It is safe for concurrent use.
+// Engine is a simulated engine. It is safe for concurrent use.
 type Engine struct {
 	options Options
 	fabric  *Fabric
@@ -41,21 +41,21 @@
 	fencing  uint64
 	stages   map[string]*stage
 	active   int
-	changed  chan struct{} // closed when active changes; nil when nobody waits
-	// floors holds the lowest epoch that is still accepted of each request.
-	floors *lru.Cache[string, uint32]
-	early  *lru.Cache[string, []*activation]
-	kv     *lru.Cache[string, keptKV]
-	cache  *prefixCache
-	loads  *loadLog
-	sched  scheduler
-	faults Faults
-	counts Counts
+	changed  chan struct{} // closed when active changes; nil without waiters
+	// minEpochs holds, by request, the lowest epoch that is still accepted.
+	minEpochs *lru.Cache[string, uint32]
+	early     *lru.Cache[string, []*activation]
+	kv        *lru.Cache[string, keptKV]
+	cache     *prefixCache
+	loads     *loadLog
+	sched     scheduler
+	faults    Faults
+	counts    Counts
 
 	executed []*Executed
 }
 
-// New returns an engine that is not yet reachable; Start or Attach makes it so.
+// New returns an engine that is not reachable until Start or Attach.
 func New(o Options) *Engine {
 	o = o.withDefaults()
 	e := &Engine{
@@ -73,17 +73,17 @@
 		faults: Faults{Slowdown: 1, LoadLag: config.Duration(o.LoadLag), IgnoresFencing: o.IgnoresFencing},
 		loads:  &loadLog{},
 	}
-	e.forgetAll()
+	e.resetState()
 	go e.run()
 	return e
 }
 
-// forgetAll drops all that a process keeps in memory; the caller holds the lock
-// or is New.
-func (e *Engine) forgetAll() {
+// resetState discards all state that a process keeps in memory. The caller must hold
+// the lock, unless it is New.
+func (e *Engine) resetState() {
 	e.stages = map[string]*stage{}
 	e.active = 0
-	e.floors, _ = lru.New[string, uint32](maxKnownEpochs)
+	e.minEpochs, _ = lru.New[string, uint32](maxKnownEpochs)
 	e.early, _ = lru.New[string, []*activation](maxEarly)
 	e.kv, _ = lru.New[string, keptKV](maxKeptKV)
 	e.cache = newPrefixCache(e.options.CacheBlocks)
@@ -93,7 +93,7 @@
 // Name returns the target's name.
 func (e *Engine) Name() string { return e.options.Name }
 
-// Addr returns the address that the engine listens on, IP:port.
+// Addr returns the address that the engine listens on, as IP:port.
 func (e *Engine) Addr() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -119,7 +119,8 @@
 	}
 }
 
-// Executed returns what the engine worked on, oldest first, within a bound.
+// Executed returns what the engine executed, oldest first. Only the last maxExecuted
+// records are kept.
 func (e *Engine) Executed() []Executed {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -144,7 +145,7 @@
 	return e.active
 }
 
-// AwaitActive waits until the number of slots in use is the given one.
+// AwaitActive waits until the number of slots in use equals active.
 func (e *Engine) AwaitActive(ctx context.Context, active int) error {
 	for {
 		e.mu.Lock()
@@ -165,7 +166,7 @@
 	}
 }
 
-// activeChanged wakes who waits for it; the caller holds the lock.
+// activeChanged wakes the callers of AwaitActive. The caller must hold the lock.
 func (e *Engine) activeChanged() {
 	if e.changed != nil {
 		close(e.changed)
@@ -173,6 +174,7 @@
 	}
 }
 
+// signal wakes the accelerator's goroutine. It does not block.
 func (e *Engine) signal() {
 	select {
 	case e.wake <- struct{}{}:
--- a/internal/harness/standin/enginesim/engine_test.go
+++ b/internal/harness/standin/enginesim/engine_test.go
@@ -12,7 +12,7 @@
 
 var testModel = &config.Model{Name: "m", Layers: 8, Versions: []string{"1"}, ActivationBytes: 1024}
 
-// startEngines starts engines that cover the layers in the given ranges.
+// startEngines starts one engine for each layer range.
 func startEngines(t testing.TB, o Options, ranges ...config.LayerRange) []*Engine {
 	t.Helper()
 	o.Model = testModel
--- a/internal/harness/standin/enginesim/executed.go
+++ b/internal/harness/standin/enginesim/executed.go
@@ -4,19 +4,20 @@
 
 const maxExecuted = 1 << 16
 
-// Executed is what an engine worked on for one request in one epoch.
+// Executed records the work of an engine for one request in one epoch.
 type Executed struct {
 	RequestID string            `json:"requestId"`
 	Target    string            `json:"target"`
 	Epoch     uint32            `json:"epoch"`
 	Layers    config.LayerRange `json:"layers"`
-	// First and Last are the generated positions worked on; Count how many.
+	// First and Last are the first and the last generated position processed, Count
+	// is the number of positions.
 	First int `json:"first"`
 	Last  int `json:"last"`
 	Count int `json:"count"`
-	// Replayed is the number of positions put into the KV cache before First.
+	// Replayed is the number of positions computed into the KV cache before First.
 	Replayed int `json:"replayed"`
-	// OutOfOrder counts positions that did not follow the one before.
+	// OutOfOrder counts positions that did not directly follow the previous one.
 	OutOfOrder int `json:"outOfOrder,omitempty"`
 }
 
--- a/internal/harness/standin/enginesim/fabric.go
+++ b/internal/harness/standin/enginesim/fabric.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Fabric carries messages between engines in this process. It is safe for
-// concurrent use.
+// Fabric delivers messages between engines in this process and models the delay of
+// the links between them. It is safe for concurrent use.
 type Fabric struct {
 	link LinkFunc
 
@@ -15,7 +15,7 @@
 	busy    map[linkKey]time.Time
 }
 
-// NewFabric returns a fabric; without a link function messages arrive at once.
+// NewFabric returns a fabric. If link is nil, messages arrive without delay.
 func NewFabric(link LinkFunc) *Fabric {
 	return &Fabric{link: link, engines: map[string]*Engine{}, busy: map[linkKey]time.Time{}}
 }
@@ -27,22 +27,22 @@
 	f.engines[address] = e
 }
 
-// Unregister makes the address unreachable.
+// Unregister makes an address unreachable.
 func (f *Fabric) Unregister(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.engines, address)
 }
 
-// Engine returns the engine at an address, nil when none is reachable.
+// Engine returns the engine at an address, or nil if none is reachable there.
 func (f *Fabric) Engine(address string) *Engine {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.engines[address]
 }
 
-// arrival returns when a message of a size that leaves now has arrived. Messages
-// on one link follow each other.
+// arrival returns the time at which a message has arrived that leaves at the given
+// time and has the given size. Messages on one link are sent one after the other.
 func (f *Fabric) arrival(from, to string, leaves time.Time, bytes int) time.Time {
 	if f.link == nil || from == to {
 		return leaves
--- a/internal/harness/standin/enginesim/fault_request.go
+++ b/internal/harness/standin/enginesim/fault_request.go
@@ -7,9 +7,9 @@
 	"geraniumcroft/internal/harness/standin/faultnet"
 )
 
-// faultOrder is the body of POST /faults: faults that happen once, and changes of
-// the standing ones.
-type faultOrder struct {
+// faultRequest is the body of POST /faults: faults that happen once, and in Set
+// changes of the persistent ones.
+type faultRequest struct {
 	Die             bool            `json:"die"`
 	Silence         bool            `json:"silence"`
 	DropCacheEvents int             `json:"dropCacheEvents"`
@@ -17,25 +17,25 @@
 }
 
 func (e *Engine) serveFaults(w http.ResponseWriter, r *http.Request) {
-	var order faultOrder
-	if !read(w, r, &order) {
+	var request faultRequest
+	if !read(w, r, &request) {
 		return
 	}
-	if len(order.Set) > 0 {
+	if len(request.Set) > 0 {
 		var failed error
-		e.SetFaults(func(f *Faults) { failed = json.Unmarshal(order.Set, f) })
+		e.SetFaults(func(f *Faults) { failed = json.Unmarshal(request.Set, f) })
 		if failed != nil {
 			answer(w, http.StatusBadRequest, &refusal{Code: "bad-request", Message: failed.Error()})
 			return
 		}
 	}
-	e.DropCacheEvents(order.DropCacheEvents)
-	if order.Silence {
+	e.DropCacheEvents(request.DropCacheEvents)
+	if request.Silence {
 		e.goSilent(faultnet.ConnOf(r.Context()))
 	}
 	w.WriteHeader(http.StatusNoContent)
 	_ = http.NewResponseController(w).Flush()
-	if order.Die {
-		e.Die() // takes the connection of the order with it
+	if request.Die {
+		e.Die() // also resets the connection of this request
 	}
 }
--- a/internal/harness/standin/enginesim/faults_test.go
+++ b/internal/harness/standin/enginesim/faults_test.go
@@ -12,12 +12,12 @@
 func TestDeathAtAToken(t *testing.T) {
 	for dying := range 2 {
 		t.Run(fmt.Sprint("stage ", dying), func(t *testing.T) {
-			inVirtualTime(t, Options{}, nil, halves, func(b *bench) {
+			inVirtualTime(t, Options{}, nil, halves, func(b *simulation) {
 				b.engines[dying].SetFaults(func(f *Faults) { f.DieAtToken = 7 })
 				streams := openAll(b.T, b.client, b.open("r", 1, 100, b.engines...))
 				if dying == 0 {
 					if _, _, err := receive(streams[0], 100); err == nil {
-						b.Fatal("the stream of the dead stage goes on")
+						b.Fatal("the stream of the dead stage did not fail")
 					}
 				}
 				tokens, _, err := receive(streams[1], 7+dying)
@@ -38,16 +38,16 @@
 	}
 }
 
-// The caller's stream may have to be told which stage failed by another one: the
-// last stage cannot reach the first with the next position.
-func TestAStageBlamesTheOneThatItCannotReach(t *testing.T) {
-	inVirtualTime(t, Options{}, nil, halves, func(b *bench) {
+// A stage reports the failure of another one: the last stage cannot send the next
+// position to the first, and its error event blames the first.
+func TestErrorEventBlamesTheUnreachableStage(t *testing.T) {
+	inVirtualTime(t, Options{}, nil, halves, func(b *simulation) {
 		b.engines[1].SetFaults(func(f *Faults) { f.Slowdown = 100 })
 		stream := b.last(b.open("r", 1, 100, b.engines...))
 		if _, _, err := receive(stream, 3); err != nil {
 			b.Fatal(err)
 		}
-		time.Sleep(50 * time.Millisecond) // half of the last stage's work on position 3
+		time.Sleep(50 * time.Millisecond) // half of the last stage's time for position 3
 		b.engines[0].Die()
 		for range 1000 {
 			event, err := stream.Recv()
@@ -66,7 +66,7 @@
 }
 
 func TestSilenceHitsOpenStreamsOnly(t *testing.T) {
-	inVirtualTime(t, Options{}, nil, whole, func(b *bench) {
+	inVirtualTime(t, Options{}, nil, whole, func(b *simulation) {
 		stream := b.last(b.open("r", 1, 1000, b.engines...))
 		if _, _, err := receive(stream, 3); err != nil {
 			b.Fatal(err)
@@ -77,7 +77,7 @@
 			b.Fatalf("%v, expected silence", err)
 		}
 		if b.engines[0].Active() != 1 {
-			b.Fatal("the engine learnt of a close on a silent connection")
+			b.Fatal("the engine noticed a close on a silent connection")
 		}
 		if _, finish, err := receive(b.last(b.open("s", 1, 5, b.engines...)), 1000); err != nil || finish != "length" {
 			b.Fatalf("a new stream: %s, %v", finish, err)
@@ -86,7 +86,7 @@
 }
 
 func TestSlowdownStopPositionAndStaleTokens(t *testing.T) {
-	inVirtualTime(t, Options{LayerTokensPerSecond: 800}, nil, whole, func(b *bench) {
+	inVirtualTime(t, Options{LayerTokensPerSecond: 800}, nil, whole, func(b *simulation) {
 		b.engines[0].SetFaults(func(f *Faults) { f.Slowdown, f.StaleTokens = 10, true })
 		open := b.open("r", 5, 100, b.engines...)
 		open.Prompt = []string{"stop:4"}
@@ -107,12 +107,13 @@
 	})
 }
 
-// The lease holder that was paused orders with an old number. An engine that
-// checks it refuses; one that does not obeys, and its request in hand is cut off.
+// A lease holder that was paused sends an order with an old fencing number. An engine
+// that checks the number refuses the order; one that does not carries it out and cuts
+// off its request in progress.
 func TestFencingCanBeSwitchedOff(t *testing.T) {
 	for _, ignores := range []bool{false, true} {
 		t.Run(fmt.Sprint("ignores ", ignores), func(t *testing.T) {
-			inVirtualTime(t, Options{IgnoresFencing: ignores, LoadTime: time.Second}, nil, whole, func(b *bench) {
+			inVirtualTime(t, Options{IgnoresFencing: ignores, LoadTime: time.Second}, nil, whole, func(b *simulation) {
 				e := b.engines[0]
 				order := engine.Order{ID: "1", Fencing: 9, Model: "m", Version: "1", Layers: whole[0]}
 				if err := b.client.Order(b.Context(), e.Addr(), order); err != nil {
@@ -141,9 +142,9 @@
 	}
 }
 
-func TestReportsAndCacheEventsComeLateAndWithGaps(t *testing.T) {
+func TestLoadReportsAndCacheEventsLagAndHaveGaps(t *testing.T) {
 	o := Options{LoadLag: time.Second, CacheEventLag: time.Second, CacheBlocks: 2, LayerTokensPerSecond: 8e3}
-	inVirtualTime(t, o, nil, whole, func(b *bench) {
+	inVirtualTime(t, o, nil, whole, func(b *simulation) {
 		e := b.engines[0]
 		open := b.open("r", 1, 1000000, e)
 		open.Prompt = make([]string, 3*engine.PrefixBlockTokens)
--- a/internal/harness/standin/enginesim/handler.go
+++ b/internal/harness/standin/enginesim/handler.go
@@ -44,16 +44,16 @@
 	if !read(w, r, &open) {
 		return
 	}
-	st, no := e.take(open)
-	if no != nil {
-		answer(w, no.status, no)
+	st, refused := e.openStage(open)
+	if refused != nil {
+		answer(w, refused.status, refused)
 		return
 	}
-	defer e.leave(st)
+	defer e.closeStage(st)
 	e.relay(w, r, st)
 }
 
-// relay writes the stage's events until it ends or the connection goes.
+// relay writes the events of a stage until the stage ends or the connection closes.
 func (e *Engine) relay(w http.ResponseWriter, r *http.Request, st *stage) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	flush := http.NewResponseController(w)
@@ -63,7 +63,7 @@
 	var buf []byte
 	for {
 		var ended bool
-		events, ended = st.out.take(events)
+		events, ended = st.out.drain(events)
 		buf = buf[:0]
 		for i := range events {
 			buf = appendEvent(buf, &events[i])
@@ -111,8 +111,8 @@
 	if !read(w, r, &order) {
 		return
 	}
-	if no := e.obey(order); no != nil {
-		answer(w, no.status, no)
+	if refused := e.applyOrder(order); refused != nil {
+		answer(w, refused.status, refused)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/harness/standin/enginesim/http_test.go
+++ b/internal/harness/standin/enginesim/http_test.go
@@ -14,7 +14,7 @@
 	"geraniumcroft/internal/transport"
 )
 
-const testBound = 30 * time.Second // only a hanging test comes near it
+const testBound = 30 * time.Second // reached only if a test hangs
 
 func idleClient(t testing.TB, idle time.Duration) *httpengine.Client {
 	pool := transport.NewPool(transport.Settings{}, nil)
@@ -22,7 +22,8 @@
 	return httpengine.New(pool, httpengine.Settings{Idle: idle})
 }
 
-func order(t *testing.T, e *Engine, body string) {
+// postFaults sends a fault request to the engine.
+func postFaults(t *testing.T, e *Engine, body string) {
 	t.Helper()
 	resp, err := http.Post("http://"+e.Addr()+"/faults", "application/json", strings.NewReader(body))
 	if err != nil {
@@ -38,9 +39,9 @@
 	return engine.StageOpen{RequestID: id, Epoch: 1, Model: "m", Version: "1", Hops: hopsOf(engines), Prompt: []string{"a"}, MaxTokens: 1 << 30}
 }
 
-// The caller goes away. The router's context ends, the connection closes, and the
-// engine frees the slot without a word more.
-func TestACallersCancelFreesTheSlot(t *testing.T) {
+// The caller disconnects: the router's context ends, the connection closes, and the
+// engine frees the slot without a cancel request.
+func TestClosedConnectionFreesTheSlot(t *testing.T) {
 	engines := startEngines(t, Options{Slots: 1}, config.LayerRange{To: 8})
 	bound, end := context.WithTimeout(context.Background(), testBound)
 	defer end()
@@ -58,9 +59,9 @@
 	}
 }
 
-// The caller's stream breaks at once when the engine's process dies: its
-// connections are reset and new ones refused. After a restart it knows nothing of
-// the request and takes new ones.
+// When an engine's process dies, streams break at once, since its connections are
+// reset, and new connections are refused. After a restart it has lost the request and
+// accepts new ones.
 func TestDeathResetsAndRefusesUntilRevival(t *testing.T) {
 	engines := startEngines(t, Options{}, config.LayerRange{To: 8})
 	client := newClient(t)
@@ -68,7 +69,7 @@
 	if _, _, err := receive(stream, 3); err != nil {
 		t.Fatal(err)
 	}
-	order(t, engines[0], `{"die":true}`)
+	postFaults(t, engines[0], `{"die":true}`)
 	var broken *engine.StreamError
 	if _, _, err := receive(stream, 1<<20); !errors.As(err, &broken) || broken.Silent {
 		t.Fatalf("%v, expected a break", err)
@@ -86,9 +87,9 @@
 	}
 }
 
-// The caller's stream stops although nothing is reset: what stands between has
-// lost the connection. The engine goes on and learns nothing of the router's
-// close; a new stream and a cancel on a new connection work.
+// A stream stops without a reset, since a device on the network path has lost the
+// connection. The engine continues and does not notice that the router closes the
+// stream. A new stream and a cancel on a new connection work.
 func TestSilenceHitsOpenConnectionsOnly(t *testing.T) {
 	engines := startEngines(t, Options{Slots: 2}, config.LayerRange{To: 8})
 	client := idleClient(t, 300*time.Millisecond)
@@ -96,7 +97,7 @@
 	if _, _, err := receive(stream, 3); err != nil {
 		t.Fatal(err)
 	}
-	order(t, engines[0], `{"silence":true}`)
+	postFaults(t, engines[0], `{"silence":true}`)
 	var broken *engine.StreamError
 	if _, _, err := receive(stream, 1<<20); !errors.As(err, &broken) || !broken.Silent {
 		t.Fatalf("%v, expected silence", err)
@@ -106,7 +107,7 @@
 		t.Fatal(err)
 	}
 	if engines[0].Active() != 2 {
-		t.Fatal("the engine learnt of the close")
+		t.Fatal("the engine noticed the close")
 	}
 	if err := client.Cancel(context.Background(), engines[0].Addr(), "r", 1); err != nil {
 		t.Fatal(err)
@@ -116,13 +117,13 @@
 	}
 }
 
-// A muted engine accepts stages and answers control calls, but its streams bring
-// nothing: what a router sees of a process that is stuck.
-func TestAMutedEngineBringsNoHeartbeats(t *testing.T) {
+// A muted engine accepts stages and answers control calls, but sends no events on its
+// streams, like a process that hangs.
+func TestMutedEngineSendsNoHeartbeats(t *testing.T) {
 	engines := startEngines(t, Options{}, config.LayerRange{To: 8})
 	client := idleClient(t, 300*time.Millisecond)
 	stream := openAll(t, client, endless(engines, "r"))[0]
-	order(t, engines[0], `{"set":{"mute":true}}`)
+	postFaults(t, engines[0], `{"set":{"mute":true}}`)
 	var broken *engine.StreamError
 	if _, _, err := receive(stream, 1<<20); !errors.As(err, &broken) || !broken.Silent {
 		t.Fatalf("%v, expected silence", err)
@@ -132,8 +133,8 @@
 	}
 }
 
-// A stage that yields no tokens lives by heartbeats alone.
-func TestHeartbeatsKeepAQuietStreamAlive(t *testing.T) {
+// The stream of a stage that sends no tokens is kept alive by heartbeats.
+func TestHeartbeatsKeepAnIdleStreamAlive(t *testing.T) {
 	engines := startEngines(t, Options{Heartbeat: 20 * time.Millisecond}, config.LayerRange{To: 4}, config.LayerRange{From: 4, To: 8})
 	streams := openAll(t, idleClient(t, 2*time.Second), endless(engines, "r"))
 	for i := range 5 {
@@ -160,7 +161,7 @@
 	if !errors.As(err, &refused) || !refused.OldFencing || refused.Ambiguous {
 		t.Fatalf("%v", err)
 	}
-	order(t, engines[0], `{"set":{"leaving":true}}`)
+	postFaults(t, engines[0], `{"set":{"leaving":true}}`)
 	load, err := client.Load(ctx, address)
 	if err != nil || !load.Leaving || load.Slots != DefaultSlots {
 		t.Fatalf("%+v, %v", load, err)
@@ -170,8 +171,8 @@
 	}
 }
 
-// What the engines record is the proof that each stage worked on each position
-// once, so it has to say what was done and nothing else.
+// Tests rely on the engines' records to verify that each stage processed each position
+// once, so the records must match the work done exactly.
 func TestExecutionsAreRecorded(t *testing.T) {
 	engines := startEngines(t, Options{LayerTokensPerSecond: 1e6}, config.LayerRange{To: 3}, config.LayerRange{From: 3, To: 8})
 	open := endless(engines, "r")
--- a/internal/harness/standin/enginesim/lifecycle.go
+++ b/internal/harness/standin/enginesim/lifecycle.go
@@ -13,7 +13,8 @@
 
 var errRunning = errors.New("the engine is running")
 
-// Start listens on address, IP:port, and serves; port 0 takes a free one.
+// Start listens on address, as IP:port, and serves. Port 0 takes a free port. It
+// fails if the engine is running.
 func (e *Engine) Start(address string) error {
 	listener, err := faultnet.Listen(address)
 	if err != nil {
@@ -36,8 +37,8 @@
 	return nil
 }
 
-// Attach makes the engine reachable in its fabric without a listener, for tests
-// that use a DirectClient.
+// Attach makes the engine reachable in its fabric without a listener, for tests with
+// a DirectClient.
 func (e *Engine) Attach(address string) {
 	e.mu.Lock()
 	e.address = address
@@ -46,14 +47,14 @@
 	e.fabric.Register(address, e)
 }
 
-// Close ends the engine.
+// Close stops the engine.
 func (e *Engine) Close() {
 	e.Die()
 	e.stopped.Do(func() { close(e.stop) })
 }
 
-// Die makes the engine fail as a process does: its listener closes, its
-// connections are reset, and all that it held in memory is gone.
+// Die makes the engine fail like a crashed process: its listener closes, its
+// connections are reset, and its state in memory is lost.
 func (e *Engine) Die() {
 	e.mu.Lock()
 	if e.dead {
@@ -64,9 +65,9 @@
 	listener, server, address := e.listener, e.server, e.address
 	stages := e.stages
 	for _, st := range stages {
-		st.over = true
+		st.ended = true
 	}
-	e.forgetAll()
+	e.resetState()
 	e.activeChanged()
 	e.mu.Unlock()
 	e.fabric.Unregister(address)
@@ -76,11 +77,11 @@
 		_ = server.Close()
 	}
 	for _, st := range stages {
-		st.out.close() // after the resets, so that no stream ends in an orderly way
+		st.out.close() // after the resets, so that no stream ends without an error
 	}
 }
 
-// Revive starts a dead engine again at its address.
+// Revive restarts a dead engine at its previous address.
 func (e *Engine) Revive() error {
 	e.mu.Lock()
 	address, listened := e.address, e.listener != nil
@@ -92,7 +93,7 @@
 	return e.Start(address)
 }
 
-// GoSilent makes the connections that are open now silent for good; new ones work.
+// GoSilent permanently silences the connections that are open now; new ones work.
 func (e *Engine) GoSilent() { e.goSilent(nil) }
 
 func (e *Engine) goSilent(except *faultnet.Conn) {
@@ -107,19 +108,20 @@
 	}
 }
 
-// SetFaults changes the standing faults.
+// SetFaults calls change on the persistent faults, with the engine's lock held.
 func (e *Engine) SetFaults(change func(*Faults)) {
 	e.mu.Lock()
 	change(&e.faults)
 	if e.faults.Slowdown <= 0 {
 		e.faults.Slowdown = 1
 	}
-	e.loads.note(time.Now(), e.report())
+	e.loads.record(time.Now(), e.report())
 	e.mu.Unlock()
 	e.signal()
 }
 
-// DropCacheEvents takes the newest events out of the log, so that readers see a gap.
+// DropCacheEvents removes the newest cache events from the log, so that readers see a
+// gap.
 func (e *Engine) DropCacheEvents(count int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/harness/standin/enginesim/link_key.go
+++ b/internal/harness/standin/enginesim/link_key.go
@@ -1,4 +1,4 @@
 package enginesim
 
-// linkKey names the link between two targets, in one direction.
+// linkKey identifies the link between two targets, in one direction.
 type linkKey struct{ from, to string }
--- a/internal/harness/standin/enginesim/load_log.go
+++ b/internal/harness/standin/enginesim/load_log.go
@@ -8,8 +8,8 @@
 
 const maxLoadLog = 4096
 
-// loadLog remembers load reports so that they can be given late. Its engine's
-// lock guards it.
+// loadLog keeps past load reports so that they can be served with a delay. It is
+// guarded by the engine's lock.
 type loadLog struct {
 	reports    []engine.LoadReport
 	rateTokens uint64
@@ -17,7 +17,7 @@
 	rate       float64
 }
 
-func (l *loadLog) note(now time.Time, report engine.LoadReport) {
+func (l *loadLog) record(now time.Time, report engine.LoadReport) {
 	report.At = now
 	if len(l.reports) == maxLoadLog {
 		l.reports = l.reports[maxLoadLog/2:]
@@ -25,7 +25,7 @@
 	l.reports = append(l.reports, report)
 }
 
-// before returns the newest report that is not younger than the time.
+// before returns the newest report made at the given time or earlier.
 func (l *loadLog) before(at time.Time) (engine.LoadReport, bool) {
 	for i := len(l.reports) - 1; i >= 0; i-- {
 		if !l.reports[i].At.After(at) {
@@ -35,7 +35,8 @@
 	return engine.LoadReport{}, false
 }
 
-// measure returns the rate since some 100 ms ago.
+// measure returns the token rate per second, measured over intervals of at least
+// 100 ms.
 func (l *loadLog) measure(now time.Time, tokens uint64) float64 {
 	passed := now.Sub(l.rateAt)
 	if passed > 100*time.Millisecond {
--- a/internal/harness/standin/enginesim/logged_event.go
+++ b/internal/harness/standin/enginesim/logged_event.go
@@ -6,7 +6,7 @@
 	"geraniumcroft/internal/engine"
 )
 
-// loggedEvent is a cache event and when it happened.
+// loggedEvent is a cache event with its time.
 type loggedEvent struct {
 	event engine.CacheEvent
 	at    time.Time
--- a/internal/harness/standin/enginesim/open.go
+++ b/internal/harness/standin/enginesim/open.go
@@ -9,28 +9,29 @@
 	"geraniumcroft/internal/engine/httpengine"
 )
 
-// take opens a stage or refuses it.
-func (e *Engine) take(open engine.StageOpen) (*stage, *refusal) {
+// openStage opens a stage or refuses it. A stage of the request with an older epoch
+// is ended.
+func (e *Engine) openStage(open engine.StageOpen) (*stage, *refusal) {
 	imported, arrives := e.importKV(open)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if no := e.refuse(open); no != nil {
+	if refused := e.checkOpen(open); refused != nil {
 		e.counts.Refused++
-		return nil, no
+		return nil, refused
 	}
 	if old := e.stages[open.RequestID]; old != nil {
 		old.fail(old.open.Index, messageSuperseded)
-		e.end(old)
+		e.removeStage(old)
 	}
 	st := newStage(open)
-	e.floors.Add(open.RequestID, open.Epoch)
+	e.minEpochs.Add(open.RequestID, open.Epoch)
 	e.stages[open.RequestID] = st
 	e.active++
 	e.activeChanged()
 	e.counts.Opens++
 	e.addRecord(st)
 	starts := e.reuse(st, imported, arrives)
-	e.loads.note(time.Now(), e.report())
+	e.loads.record(time.Now(), e.report())
 	ready := st.event(engine.EventReady)
 	ready.ReusedKV = st.kv
 	st.out.push(ready)
@@ -40,12 +41,14 @@
 		first.trace = make([]engine.Execution, 0, len(open.Hops))
 		e.sched.add(first)
 	}
-	e.takeEarly(st, starts)
+	e.scheduleEarly(st, starts)
 	e.signal()
 	return st, nil
 }
 
-func (e *Engine) refuse(open engine.StageOpen) *refusal {
+// checkOpen returns the refusal of a stage that cannot be opened, otherwise nil. The
+// caller must hold the lock.
+func (e *Engine) checkOpen(open engine.StageOpen) *refusal {
 	if open.Index < 0 || open.Index >= len(open.Hops) || open.MaxTokens <= len(open.Committed) {
 		return &refusal{http.StatusBadRequest, "bad-request", "no such stage or nothing to generate"}
 	}
@@ -55,15 +58,15 @@
 	if !e.holds(open) {
 		return &refusal{http.StatusNotFound, httpengine.CodeNotHeld, "the engine does not hold these layers"}
 	}
-	floor, known := e.floors.Get(open.RequestID)
-	if known && open.Epoch < floor {
+	minEpoch, known := e.minEpochs.Get(open.RequestID)
+	if known && open.Epoch < minEpoch {
 		return &refusal{http.StatusConflict, httpengine.CodeOldEpoch, "a newer epoch was opened or this one was cancelled"}
 	}
 	old := e.stages[open.RequestID]
 	if old != nil && old.open.Epoch == open.Epoch {
 		return &refusal{http.StatusConflict, httpengine.CodeOldEpoch, "this epoch is open already"}
 	}
-	if e.active >= e.options.Slots && (old == nil || old.over) {
+	if e.active >= e.options.Slots && (old == nil || old.ended) {
 		return &refusal{http.StatusConflict, httpengine.CodeBusy, "no slot is free"}
 	}
 	return nil
@@ -90,8 +93,9 @@
 	e.executed = append(e.executed, st.record)
 }
 
-// takeEarly moves activations that came before the stage was opened to its queue.
-func (e *Engine) takeEarly(st *stage, starts time.Time) {
+// scheduleEarly schedules the activations that arrived before the stage was opened.
+// Work starts no earlier than starts. The caller must hold the lock.
+func (e *Engine) scheduleEarly(st *stage, starts time.Time) {
 	list, ok := e.early.Peek(st.open.RequestID)
 	if !ok {
 		return
--- a/internal/harness/standin/enginesim/options.go
+++ b/internal/harness/standin/enginesim/options.go
@@ -7,9 +7,9 @@
 	"geraniumcroft/internal/config"
 )
 
-// Options describe an Engine. A zero field takes its default.
+// Options configure an Engine. A zero field takes its default, if it has one.
 type Options struct {
-	// Name is the target's name, as it stands in hops and traces.
+	// Name is the name of the target, as used in hops and traces.
 	Name     string
 	Model    *config.Model
 	Version  string
@@ -17,32 +17,36 @@
 	Layers   config.LayerRange
 	Role     string
 	Slots    int
-	// LayerTokensPerSecond is the accelerator's rate in layers times tokens.
+	// LayerTokensPerSecond is the rate of the accelerator: layers times tokens per
+	// second.
 	LayerTokensPerSecond float64
-	// PrefillFactor is how much faster a prompt's token passes than a generated one.
+	// PrefillFactor is the factor by which a token of a prompt is processed faster
+	// than a generated one.
 	PrefillFactor float64
-	// TokenLatency is what one token takes in a stage besides its share of the rate.
+	// TokenLatency is the time that a token takes in a stage in addition to its
+	// computation.
 	TokenLatency time.Duration
-	// Heartbeat is the longest quiet time of a stream.
+	// Heartbeat is the time without an event after which a stream sends a heartbeat.
 	Heartbeat time.Duration
-	// Fabric connects the stages; nil takes one that all such engines share.
+	// Fabric connects the stages. Engines without one share a default fabric.
 	Fabric *Fabric
 	// KeepKVFor is how long the KV cache of a cancelled request is kept.
 	KeepKVFor time.Duration
 	// KVBytesPerToken is the size of one token's KV cache in one layer.
 	KVBytesPerToken int
-	// CacheBlocks bounds the prefix cache.
+	// CacheBlocks is the maximum number of blocks in the prefix cache.
 	CacheBlocks int
-	// CacheEventLag and LoadLag delay what the engine publishes.
+	// CacheEventLag and LoadLag delay the published cache events and load reports.
 	CacheEventLag time.Duration
 	LoadLag       time.Duration
-	// LoadTime is how long an order takes to load.
+	// LoadTime is the time that it takes to load the weights that an order names.
 	LoadTime time.Duration
-	// IgnoresFencing makes the engine obey orders with an old fencing number.
+	// IgnoresFencing makes the engine carry out orders with an old fencing number.
 	IgnoresFencing bool
 }
 
-// The defaults of Options.
+// The default values of Options. DefaultLayerRate is that of LayerTokensPerSecond and
+// DefaultKVBytes, in bytes, that of KVBytesPerToken.
 const (
 	DefaultSlots         = 16
 	DefaultLayerRate     = 4000.0
--- a/internal/harness/standin/enginesim/outbox.go
+++ b/internal/harness/standin/enginesim/outbox.go
@@ -6,7 +6,8 @@
 	"geraniumcroft/internal/engine"
 )
 
-// outbox holds the events of one stream until its writer takes them.
+// outbox buffers the events of one stream for its writer. It is safe for concurrent
+// use.
 type outbox struct {
 	ready chan struct{}
 
@@ -24,7 +25,7 @@
 	o.signal()
 }
 
-// close ends the stream after the events that it holds.
+// close ends the stream after the buffered events.
 func (o *outbox) close() {
 	o.mu.Lock()
 	o.closed = true
@@ -32,8 +33,9 @@
 	o.signal()
 }
 
-// take returns the held events and whether no more will come. It swaps in spare.
-func (o *outbox) take(spare []engine.Event) ([]engine.Event, bool) {
+// drain returns the buffered events and whether the outbox is closed. The buffer spare
+// is reused for further events.
+func (o *outbox) drain(spare []engine.Event) ([]engine.Event, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	events := o.events
--- a/internal/harness/standin/enginesim/prefix_cache.go
+++ b/internal/harness/standin/enginesim/prefix_cache.go
@@ -10,8 +10,8 @@
 
 const maxCacheLog = 4096
 
-// prefixCache holds the hashes of cached prefixes and the log of its changes.
-// Its engine's lock guards it.
+// prefixCache holds the hashes of cached prefixes and a log of changes. It is guarded
+// by the engine's lock.
 type prefixCache struct {
 	blocks *simplelru.LRU[uint64, struct{}]
 	log    []loggedEvent
@@ -21,11 +21,12 @@
 
 func newPrefixCache(size int) *prefixCache {
 	c := &prefixCache{}
-	c.blocks, _ = simplelru.NewLRU(size, func(prefix uint64, _ struct{}) { c.note(prefix, true) })
+	c.blocks, _ = simplelru.NewLRU(size, func(prefix uint64, _ struct{}) { c.record(prefix, true) })
 	return c
 }
 
-// use returns how many of the leading blocks are cached, and marks them as used.
+// use returns the number of leading blocks that are cached, and marks them as
+// recently used.
 func (c *prefixCache) use(hashes []uint64) int {
 	for i, hash := range hashes {
 		if _, ok := c.blocks.Get(hash); !ok {
@@ -41,12 +42,12 @@
 		if _, ok := c.blocks.Get(hash); ok {
 			continue
 		}
-		c.note(hash, false)
+		c.record(hash, false)
 		c.blocks.Add(hash, struct{}{})
 	}
 }
 
-func (c *prefixCache) note(prefix uint64, evict bool) {
+func (c *prefixCache) record(prefix uint64, evict bool) {
 	c.seq++
 	if len(c.log) == maxCacheLog {
 		c.log = c.log[1:]
@@ -54,7 +55,8 @@
 	c.log = append(c.log, loggedEvent{engine.CacheEvent{Seq: c.seq, Prefix: prefix, Evict: evict}, c.now})
 }
 
-// events returns the events above after that are older than the lag.
+// events returns the events with sequence numbers above after that are not newer than
+// before. It reports a gap if one of them is missing from the log.
 func (c *prefixCache) events(after uint64, before time.Time) engine.CacheEvents {
 	found := engine.CacheEvents{Events: []engine.CacheEvent{}}
 	expected := after + 1
@@ -74,7 +76,7 @@
 	return found
 }
 
-// drop takes the newest events out of the log, so that their readers see a gap.
+// drop removes the newest events from the log, so that readers see a gap.
 func (c *prefixCache) drop(count int) {
 	c.log = c.log[:len(c.log)-min(count, len(c.log))]
 }
--- a/internal/harness/standin/enginesim/ready_queue.go
+++ b/internal/harness/standin/enginesim/ready_queue.go
@@ -1,6 +1,7 @@
 package enginesim
 
-// readyQueue orders activations by priority, then by arrival.
+// readyQueue is a heap of activations, ordered by priority (highest first) and then
+// by the order in which they were scheduled.
 type readyQueue []*activation
 
 func (q readyQueue) Len() int { return len(q) }
--- a/internal/harness/standin/enginesim/refusal.go
+++ b/internal/harness/standin/enginesim/refusal.go
@@ -2,7 +2,7 @@
 
 import "geraniumcroft/internal/engine/httpengine"
 
-// refusal is an answer other than success.
+// refusal is an error response.
 type refusal struct {
 	status  int
 	Code    string `json:"code"`
--- a/internal/harness/standin/enginesim/reuse.go
+++ b/internal/harness/standin/enginesim/reuse.go
@@ -7,7 +7,8 @@
 	"geraniumcroft/internal/engine"
 )
 
-// reuse finds how much of the context needs no replay, and when work can start.
+// reuse sets the number of positions of the context that need no replay, and returns
+// the time at which work can start. The caller must hold the lock.
 func (e *Engine) reuse(st *stage, imported int, arrives time.Time) time.Time {
 	now := time.Now()
 	whole := st.context(len(st.open.Committed))
@@ -26,9 +27,9 @@
 	return starts
 }
 
-// importKV asks another engine for the request's KV cache and returns how many
-// positions it holds and when they have arrived. The caller holds no lock, so two
-// engines may import from each other.
+// importKV imports the KV cache of a request from another engine. It returns the
+// number of positions and the time of their arrival. The caller must not hold the
+// lock: two engines that import from each other would deadlock.
 func (e *Engine) importKV(open engine.StageOpen) (int, time.Time) {
 	now := time.Now()
 	from := e.fabric.Engine(open.ImportKVFrom)
--- a/internal/harness/standin/enginesim/run.go
+++ b/internal/harness/standin/enginesim/run.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// longestWait is how long an engine without work sleeps, unless it is woken.
-const longestWait = time.Hour
+// maxIdleWait is the time that an engine without work sleeps, unless it is woken.
+const maxIdleWait = time.Hour
 
-// run is the virtual accelerator.
+// run is the goroutine of the virtual accelerator.
 func (e *Engine) run() {
-	timer := time.NewTimer(longestWait)
+	timer := time.NewTimer(maxIdleWait)
 	defer timer.Stop()
 	for {
 		wait, out, died := e.step(time.Now())
@@ -33,32 +33,34 @@
 	}
 }
 
-// step does what is due and returns how long there is nothing to do.
+// step does all work that is due at now. It returns the time until more work is due,
+// the activations to deliver, and whether the engine is to die.
 func (e *Engine) step(now time.Time) (wait time.Duration, out []delivery, died bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.dead {
-		return longestWait, nil, false
+		return maxIdleWait, nil, false
 	}
 	s := &e.sched
 	for !died {
-		s.arrive(now)
+		s.admitArrived(now)
 		if s.busy == nil && !e.beginNext(now) {
 			break
 		}
-		if s.until.After(now) {
+		if s.busyUntil.After(now) {
 			break
 		}
 		out, died = e.finishChunk(out)
 	}
 	at, ok := s.next()
 	if !ok {
-		return longestWait, out, died
+		return maxIdleWait, out, died
 	}
 	return at.Sub(now), out, died
 }
 
-// beginNext starts on the first activation whose stage is still wanted.
+// beginNext begins the first ready activation whose stage is still open. It reports
+// whether there is one.
 func (e *Engine) beginNext(now time.Time) bool {
 	s := &e.sched
 	for len(s.ready) > 0 {
@@ -76,10 +78,11 @@
 	return false
 }
 
-// stageFor returns the stage that an activation is for; nil drops it.
+// stageFor returns the stage that an activation is for. If it returns nil, the
+// activation must be dropped.
 func (e *Engine) stageFor(a *activation) *stage {
 	st := e.stages[a.requestID]
-	if st == nil || st.over || st.open.Index != a.index {
+	if st == nil || st.ended || st.open.Index != a.index {
 		return nil
 	}
 	if st.open.Epoch != a.epoch {
@@ -89,6 +92,8 @@
 	return st
 }
 
+// prepare computes the work of an activation, with the replay of positions that are
+// not in the KV cache.
 func (e *Engine) prepare(st *stage, a *activation) {
 	a.prepared = true
 	missing := max(1, st.context(a.position)-st.kv)
@@ -98,18 +103,20 @@
 	}
 }
 
+// perToken returns the time that one generated token takes in a stage.
 func (e *Engine) perToken(st *stage) time.Duration {
 	seconds := float64(st.hop.Layers.Len()) / e.options.LayerTokensPerSecond
 	return time.Duration(seconds * e.faults.Slowdown * float64(time.Second))
 }
 
-// finishChunk ends the present chunk; the rest of a long prompt queues again.
+// finishChunk finishes the current chunk. If work is left, the activation is queued
+// again. It reports whether the engine is to die.
 func (e *Engine) finishChunk(out []delivery) ([]delivery, bool) {
 	s := &e.sched
 	a := s.busy
 	s.busy = nil
 	a.work -= s.chunk
-	a.at = s.until
+	a.at = s.busyUntil
 	if a.work > 0 {
 		heap.Push(&s.ready, a)
 		return out, false
--- a/internal/harness/standin/enginesim/scheduler.go
+++ b/internal/harness/standin/enginesim/scheduler.go
@@ -6,23 +6,25 @@
 )
 
 const (
-	// prefillChunk is the work, in generated tokens' worth, after which a more
-	// urgent activation may go ahead of a long prompt.
+	// prefillChunk is the work, in units of one generated token, after which a more
+	// urgent activation may preempt a long prompt.
 	prefillChunk = 4.0
-	// maxBehind bounds how far the virtual accelerator's clock may be behind.
-	maxBehind = 20 * time.Millisecond
+	// maxClockLag is the maximum time by which the virtual accelerator's clock may be
+	// behind real time.
+	maxClockLag = 20 * time.Millisecond
 )
 
-// scheduler is the queue of a virtual accelerator that works on one activation at
-// a time. Times are those at which things would have happened on it, so that the
-// rate does not depend on how exact timers are.
+// scheduler is the queue of a virtual accelerator that processes one activation at a
+// time. Its times are those at which the accelerator would have started and finished
+// work, so that the rate does not depend on the precision of timers. It is guarded by
+// the engine's lock.
 type scheduler struct {
-	ready   readyQueue
-	delayed delayedQueue
-	busy    *activation
-	until   time.Time // when busy is done, or when the last one was
-	chunk   float64
-	seq     uint64
+	ready     readyQueue
+	delayed   delayedQueue
+	busy      *activation
+	busyUntil time.Time // when the work on busy is done, or was done on its predecessor
+	chunk     float64
+	seq       uint64
 }
 
 func (s *scheduler) add(a *activation) {
@@ -31,17 +33,17 @@
 	heap.Push(&s.delayed, a)
 }
 
-// arrive moves what has arrived by now to the ready queue.
-func (s *scheduler) arrive(now time.Time) {
+// admitArrived moves the activations that have arrived by now to the ready queue.
+func (s *scheduler) admitArrived(now time.Time) {
 	for len(s.delayed) > 0 && !s.delayed[0].at.After(now) {
 		heap.Push(&s.ready, heap.Pop(&s.delayed))
 	}
 }
 
-// next returns when there is something to do; ok is false when there is nothing.
+// next returns the time at which the next work is due. ok is false if there is none.
 func (s *scheduler) next() (at time.Time, ok bool) {
 	if s.busy != nil {
-		return s.until, true
+		return s.busyUntil, true
 	}
 	if len(s.delayed) > 0 {
 		return s.delayed[0].at, true
@@ -49,16 +51,16 @@
 	return time.Time{}, false
 }
 
-// begin starts on an activation and returns when a chunk of it is done.
+// begin starts a chunk of an activation and sets the time at which it is done.
 func (s *scheduler) begin(a *activation, now time.Time, perToken time.Duration) {
-	start := s.until
+	start := s.busyUntil
 	if a.at.After(start) {
 		start = a.at
 	}
-	if earliest := now.Add(-maxBehind); start.Before(earliest) {
+	if earliest := now.Add(-maxClockLag); start.Before(earliest) {
 		start = earliest
 	}
 	s.busy = a
 	s.chunk = min(a.work, prefillChunk)
-	s.until = start.Add(time.Duration(s.chunk * float64(perToken)))
+	s.busyUntil = start.Add(time.Duration(s.chunk * float64(perToken)))
 }
