--- a/internal/harness/standin/doc.go
+++ b/internal/harness/standin/doc.go
@@ -1,8 +1,9 @@
-// Package standin runs stand-ins for what stands around the system, as an INI
-// file names them, so that routers can be tried as processes of their own. The
-// stand-ins themselves are in the packages below this one.
+// Package standin runs stand-ins for the external dependencies of the system
+// (platform, engines and plain services), as an INI file describes them. Routers
+// can then run against them as separate processes. The stand-ins themselves are
+// in the packages below this one.
 //
-// The file is read strictly: all that is wrong with it is reported together, and
-// nothing is started. Where one of the stand-ins cannot start, those that did are
-// closed again.
+// The file is parsed strictly: if it has errors, all of them are reported together
+// and nothing is started. If a stand-in fails to start, those already started are
+// closed.
 package standin
--- a/internal/harness/standin/engine_instance.go
+++ b/internal/harness/standin/engine_instance.go
@@ -2,7 +2,9 @@
 
 import "geraniumcroft/internal/harness/standin/enginesim"
 
-type enginePlace struct {
+// engineInstance is an engine stand-in with the address that it listens on and the
+// placement that its target entity reports.
+type engineInstance struct {
 	address, dataCentre, accelerator string
 	engine                           *enginesim.Engine
 }
--- a/internal/harness/standin/entity.go
+++ b/internal/harness/standin/entity.go
@@ -2,7 +2,7 @@
 
 import "geraniumcroft/internal/config"
 
-// entity is one line of PrintEntities.
+// entity is one line of the output of PrintEntities.
 type entity struct {
 	Kind  config.EntityKind `json:"kind"`
 	Name  string            `json:"name"`
--- a/internal/harness/standin/file_error.go
+++ b/internal/harness/standin/file_error.go
@@ -6,13 +6,13 @@
 	"geraniumcroft/internal/config"
 )
 
-// FileError reports everything that is wrong with a file of stand-ins.
+// FileError reports every error in a stand-in file.
 type FileError struct {
 	File     string
 	Findings []config.Finding
 }
 
-// Error implements error, with a line for each finding.
+// Error implements error. It returns one line for each finding.
 func (e *FileError) Error() string {
 	lines := make([]string, 0, len(e.Findings))
 	for _, finding := range e.Findings {
--- a/internal/harness/standin/group.go
+++ b/internal/harness/standin/group.go
@@ -13,18 +13,18 @@
 	"geraniumcroft/internal/platform"
 )
 
-// Group is the stand-ins of one file.
+// Group holds the stand-ins that one file describes.
 type Group struct {
 	platformAddress string
 	models          map[string]*config.Model
 	vms             []platform.VM
-	engines         []enginePlace
-	services        []servicePlace
+	engines         []engineInstance
+	services        []serviceInstance
 
 	platform *platformsim.Server
 }
 
-// Start starts all of them; what was started is ended again on an error.
+// Start starts all stand-ins. If one fails to start, it closes the others.
 func (g *Group) Start() error {
 	sim, err := platformsim.Start(g.platformAddress)
 	if err != nil {
@@ -32,11 +32,11 @@
 	}
 	g.platform = sim
 	sim.SetVMs(g.vms...)
-	for _, place := range g.engines {
-		err = errors.CombineErrors(err, errors.Wrap(place.engine.Start(place.address), place.engine.Name()))
+	for _, instance := range g.engines {
+		err = errors.CombineErrors(err, errors.Wrap(instance.engine.Start(instance.address), instance.engine.Name()))
 	}
-	for _, place := range g.services {
-		err = errors.CombineErrors(err, errors.Wrap(place.service.Start(place.address), place.address))
+	for _, instance := range g.services {
+		err = errors.CombineErrors(err, errors.Wrap(instance.service.Start(instance.address), instance.address))
 	}
 	if err != nil {
 		g.Close()
@@ -44,19 +44,19 @@
 	return err
 }
 
-// Close ends all of them.
+// Close stops all stand-ins.
 func (g *Group) Close() {
-	for _, place := range g.engines {
-		place.engine.Close()
+	for _, instance := range g.engines {
+		instance.engine.Close()
 	}
-	for _, place := range g.services {
-		place.service.Close()
+	for _, instance := range g.services {
+		instance.service.Close()
 	}
 	g.platform.Close()
 }
 
-// PrintEntities writes the models and targets that describe the stand-ins, one
-// JSON object a line.
+// PrintEntities writes the configuration entities (models and targets) that
+// describe the stand-ins, one JSON object per line.
 func (g *Group) PrintEntities(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	for _, name := range slices.Sorted(maps.Keys(g.models)) {
@@ -74,14 +74,14 @@
 
 func (g *Group) targets() []*config.Target {
 	var targets []*config.Target
-	for _, place := range g.engines {
-		target := place.engine.Target()
-		target.DataCentre, target.Accelerator = place.dataCentre, place.accelerator
+	for _, instance := range g.engines {
+		target := instance.engine.Target()
+		target.DataCentre, target.Accelerator = instance.dataCentre, instance.accelerator
 		targets = append(targets, target)
 	}
-	for _, place := range g.services {
-		target := place.service.Target()
-		target.DataCentre = place.dataCentre
+	for _, instance := range g.services {
+		target := instance.service.Target()
+		target.DataCentre = instance.dataCentre
 		targets = append(targets, target)
 	}
 	return targets
--- a/internal/harness/standin/load.go
+++ b/internal/harness/standin/load.go
@@ -13,7 +13,8 @@
 	"geraniumcroft/internal/platform"
 )
 
-// The kinds of sections, in the order in which they are read: engines name models.
+// The kinds of sections, in the order in which they are read. Models come before
+// engines, which refer to them.
 const (
 	sectionPlatform = "platform"
 	sectionVM       = "vm"
@@ -24,9 +25,9 @@
 
 var sectionKinds = []string{sectionPlatform, sectionVM, sectionModel, sectionEngine, sectionService}
 
-// Load reads the file. Sections are "platform" and, each with a name behind it,
-// "vm", "model", "engine" and "service". The error is a *FileError unless the file
-// could not be read at all.
+// Load reads a stand-in file. Its sections are "platform" and, each followed by a
+// name, "vm", "model", "engine" and "service". The error is a *FileError unless the
+// file could not be read or parsed at all.
 func Load(file string) (*Group, error) {
 	parsed, err := ini.Load(file)
 	if err != nil {
@@ -55,8 +56,8 @@
 	return g, nil
 }
 
-// known reports whether a section can be read; keys above the first heading are in
-// a section of the library's own, which has to be empty.
+// known reports whether a section is of a known kind. The INI library puts keys
+// above the first heading into its default section, which must be empty.
 func known(s *section) bool {
 	if s.kind == ini.DefaultSection {
 		return len(s.ini.Keys()) == 0
@@ -94,7 +95,7 @@
 func (g *Group) addEngine(s *section) {
 	model := g.models[s.text("model", "")]
 	if model == nil {
-		s.find("model", fmt.Sprintf("there is no model %q", s.text("model", "")), "a model of the file")
+		s.addFinding("model", fmt.Sprintf("there is no model %q", s.text("model", "")), "a model of the file")
 		model = &config.Model{}
 	}
 	e := enginesim.New(enginesim.Options{
@@ -103,7 +104,7 @@
 		Slots:  s.count("slots", 0), LayerTokensPerSecond: s.rate("layer_tokens_per_second"),
 		TokenLatency: s.duration("token_latency"),
 	})
-	g.engines = append(g.engines, enginePlace{
+	g.engines = append(g.engines, engineInstance{
 		address: s.text("address", ""), dataCentre: s.text("data_centre", ""),
 		accelerator: s.text("accelerator", "any"), engine: e,
 	})
@@ -113,7 +114,7 @@
 	service := servicesim.New(servicesim.Options{
 		Name: s.name, Service: s.text("service", ""), Slots: s.count("slots", 0), ServiceTime: s.duration("time"),
 	})
-	g.services = append(g.services, servicePlace{
+	g.services = append(g.services, serviceInstance{
 		address: s.text("address", ""), dataCentre: s.text("data_centre", ""), service: service,
 	})
 }
--- a/internal/harness/standin/load_test.go
+++ b/internal/harness/standin/load_test.go
@@ -12,10 +12,10 @@
 	"geraniumcroft/internal/config"
 )
 
-// Somebody who tries the system writes a file with several faults. All are told at
-// once, each with its section and key, and nothing is started.
+// A file with several errors is refused. All errors are reported at once, each with
+// its section and key, and nothing is started.
 func TestLoadReportsAllFindings(t *testing.T) {
-	Convey("A file with faults is refused with all of them", t, func() {
+	Convey("A file with errors is refused and all errors are reported", t, func() {
 		file := filepath.Join(t.TempDir(), "standin.ini")
 		So(os.WriteFile(file, []byte(`stray = 1
 [platform]
@@ -43,15 +43,16 @@
 		})
 	})
 
-	Convey("A file that is not there is an error of its own", t, func() {
+	Convey("A missing file is reported as os.ErrNotExist", t, func() {
 		_, err := Load(filepath.Join(t.TempDir(), "none.ini"))
 		So(errors.Is(err, os.ErrNotExist), ShouldBeTrue)
 	})
 }
 
-// The example starts as the README's commands use it, and describes its targets.
+// The example file that the README's commands use can be loaded and describes its
+// targets.
 func TestExampleIsRead(t *testing.T) {
-	Convey("The example has no finding and describes what it starts", t, func() {
+	Convey("The example loads without findings and describes its targets", t, func() {
 		g, err := Load("../../../examples/local/standin.ini")
 		So(err, ShouldBeNil)
 		kinds := map[config.TargetKind]int{}
--- a/internal/harness/standin/section.go
+++ b/internal/harness/standin/section.go
@@ -12,35 +12,36 @@
 	"geraniumcroft/internal/config"
 )
 
-// section is a section that is being read, with what was found wrong with it.
+// section is a section of the file being read, with the errors found in it.
 type section struct {
 	ini *ini.Section
-	// kind and name are the parts of its heading, such as "engine gpu-1".
+	// kind and name are the two parts of the heading, such as "engine gpu-1".
 	kind, name string
-	// asked are the keys that were asked for; a file may hold no others.
-	asked    map[string]bool
+	// readKeys are the keys read so far; the section may hold no others.
+	readKeys map[string]bool
 	findings []config.Finding
 }
 
 func newSection(s *ini.Section) *section {
 	kind, name, _ := strings.Cut(s.Name(), " ")
-	return &section{ini: s, kind: kind, name: name, asked: map[string]bool{}}
+	return &section{ini: s, kind: kind, name: name, readKeys: map[string]bool{}}
 }
 
-func (s *section) find(key, problem, allowed string) {
+func (s *section) addFinding(key, problem, allowed string) {
 	s.findings = append(s.findings, config.Finding{Path: s.ini.Name() + "." + key, Problem: problem, Allowed: allowed})
 }
 
-// get reads a key; one that is missing or empty takes the fallback.
+// get parses the value of a key. It returns the fallback if the key is missing or
+// empty. If the value does not parse, it adds a finding and returns the fallback.
 func get[T any](s *section, key string, fallback T, allowed string, parse func(string) (T, error)) T {
-	s.asked[key] = true
+	s.readKeys[key] = true
 	text := s.ini.Key(key).String()
 	if text == "" {
 		return fallback
 	}
 	value, err := parse(text)
 	if err != nil {
-		s.find(key, strconv.Quote(text)+" is not read", allowed)
+		s.addFinding(key, strconv.Quote(text)+" is not read", allowed)
 		return fallback
 	}
 	return value
@@ -65,11 +66,11 @@
 	return get(s, key, 0, "a duration such as 20ms", time.ParseDuration)
 }
 
-// finish finds the keys that nobody asked for.
+// finish adds a finding for each unknown key and returns all findings.
 func (s *section) finish() []config.Finding {
 	for _, key := range s.ini.KeyStrings() {
-		if !s.asked[key] {
-			s.find(key, "unknown key", strings.Join(slices.Sorted(maps.Keys(s.asked)), ", "))
+		if !s.readKeys[key] {
+			s.addFinding(key, "unknown key", strings.Join(slices.Sorted(maps.Keys(s.readKeys)), ", "))
 		}
 	}
 	return s.findings
