--- a/internal/harness/rig/fleet.go
+++ b/internal/harness/rig/fleet.go
@@ -1,6 +1,6 @@
-// Package rig starts a whole fleet in one process on loopback addresses: routers,
-// and small stand-ins for the platform, engines and plain services. The demo, the
-// load measurements and the tests of whole routers run on it.
+// Package rig starts a complete fleet in one process on loopback addresses: routers,
+// and stand-ins for the platform, engines and plain services. The demo, the load
+// measurements and the integration tests of routers use it.
 package rig
 
 import (
@@ -28,22 +28,22 @@
 
 const loopback = "127.0.0.1:0"
 
-// AdminToken is the operators' token of every router of a rig.
+// AdminToken is the operator token that every router of a fleet accepts.
 const AdminToken = "rig-operator"
 
-// Options describe a fleet.
+// Options configure a Fleet.
 type Options struct {
-	// Routers is the number of entry VMs.
+	// Routers is the number of entry VMs that Start starts.
 	Routers int
-	// LogOut takes the routers' logs; nil discards them.
+	// LogOut receives the logs of the routers; nil discards them.
 	LogOut io.Writer
-	// OnViolation is called on each violated invariant.
+	// OnViolation is called for each violated invariant.
 	OnViolation func(invariant.Violation)
-	// Adjust changes a router's options before it is built; nil changes nothing.
+	// Adjust, if not nil, changes the options of each router before it is created.
 	Adjust func(*node.Options)
 }
 
-// Fleet is what was started.
+// Fleet is a running fleet. It is not safe for concurrent use.
 type Fleet struct {
 	Platform *platformsim.Server
 	Nodes    []*node.Node
@@ -51,11 +51,11 @@
 	Services map[string]*servicesim.Service
 
 	options Options
-	started int
-	vms     []platform.VM
+	started int           // number of routers started
+	vms     []platform.VM // the platform's VM list
 }
 
-// Start starts the platform and the routers and waits until these are ready.
+// Start starts the platform and the routers and waits until the routers are ready.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	sim, err := platformsim.Start(loopback)
 	if err != nil {
@@ -70,7 +70,8 @@
 	return f, f.AwaitReady(ctx)
 }
 
-// AddRouter starts one more router and lists it with the platform.
+// AddRouter starts another router and adds it to the platform's VM list. It does not
+// wait until the router is ready.
 func (f *Fleet) AddRouter() (*node.Node, error) {
 	f.started++
 	options := node.Options{
@@ -93,6 +94,7 @@
 	return n, n.Start()
 }
 
+// settings returns the settings of a router.
 func (f *Fleet) settings(name string) *settings.Settings {
 	text := fmt.Sprintf(`
 [vm]
@@ -129,7 +131,8 @@
 	return parsed
 }
 
-// seeds are the peers that a VM may ask while the platform's list cannot be read.
+// seeds returns the setting peers.seeds: the peers that a VM tries while the platform's
+// VM list cannot be read.
 func (f *Fleet) seeds() string {
 	var addresses []string
 	for _, n := range f.Nodes {
@@ -138,7 +141,7 @@
 	return strings.Join(addresses, ", ")
 }
 
-// AwaitReady waits until every router has read the configuration.
+// AwaitReady waits until every router has read the configuration in force.
 func (f *Fleet) AwaitReady(ctx context.Context) error {
 	for _, n := range f.Nodes {
 		select {
@@ -150,8 +153,9 @@
 	return nil
 }
 
-// Apply proposes an entity on the first router and waits until it is in force on
-// all of them.
+// Apply proposes an entity at the first router and waits until it is in force on all
+// routers. It returns an error if the change is committed but not in force on some of
+// them.
 func (f *Fleet) Apply(ctx context.Context, kind config.EntityKind, name string, entity any) error {
 	value, err := json.Marshal(entity)
 	if err != nil {
@@ -171,7 +175,7 @@
 	return nil
 }
 
-// AddEngine starts an engine and adds it as a target.
+// AddEngine starts an engine and adds it to the configuration as a target.
 func (f *Fleet) AddEngine(ctx context.Context, o enginesim.Options, dataCentre, accelerator string, links ...config.Link) (*enginesim.Engine, error) {
 	e := enginesim.New(o)
 	if err := e.Start(loopback); err != nil {
@@ -183,7 +187,8 @@
 	return e, f.Apply(ctx, config.EntityTarget, o.Name, target)
 }
 
-// AddService starts an instance of a plain service and adds it as a target.
+// AddService starts an instance of a plain service and adds it to the configuration as
+// a target.
 func (f *Fleet) AddService(ctx context.Context, o servicesim.Options, dataCentre string) (*servicesim.Service, error) {
 	s := servicesim.New(o)
 	if err := s.Start(loopback); err != nil {
@@ -195,7 +200,8 @@
 	return s, f.Apply(ctx, config.EntityTarget, o.Name, target)
 }
 
-// Stop stops the routers in order and then the stand-ins.
+// Stop stops the routers gracefully, one after the other and within 10 s in total, and
+// then the stand-ins.
 func (f *Fleet) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -211,7 +217,7 @@
 	f.Platform.Close()
 }
 
-// authenticator knows the rig's one token.
+// authenticator accepts AdminToken and no other token.
 type authenticator struct{}
 
 // Authenticate implements adminapi.Authenticator.
--- a/internal/harness/rig/fleet_test.go
+++ b/internal/harness/rig/fleet_test.go
@@ -18,10 +18,11 @@
 	"geraniumcroft/internal/platform"
 )
 
-// testBound ends a test that hangs; nothing is measured by it.
+// testBound ends a test that hangs. No expectation depends on it.
 const testBound = time.Minute
 
-// newFleet starts routers with one whole engine, one service and three profiles.
+// newFleet starts routers, one engine that holds all layers of a model, one service
+// instance and two profiles: "draft" for the engine and "hold" for the service.
 func newFleet(t *testing.T, routers int) (*Fleet, context.Context) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testBound)
@@ -64,28 +65,28 @@
 	return callclient.Client{Address: f.Nodes[router].CallersAddress(), HTTP: &http.Client{Transport: &http.Transport{}}}
 }
 
-// A VM is told to stop while a draft streams and a confirmation is under way on
-// it. Both callers get their whole answer, because the VM ends only when nothing
-// is in hand; its leases move, and the other VM goes on as if nothing happened.
-func TestStopCutsNothingOff(t *testing.T) {
+// A VM is stopped while it serves a generation stream and a call. Both callers get
+// their complete answers, because the VM exits only when no request is in progress.
+// Its leases move, and the other VM serves calls and changes as before.
+func TestStopCompletesRequestsInProgress(t *testing.T) {
 	f, ctx := newFleet(t, 2)
-	midDraft := make(chan struct{})
+	streaming := make(chan struct{})
 	var callers sync.WaitGroup
 	callers.Go(func() {
 		answer, err := f.client(0).Draft(ctx, "draft", "p", 300, func(position int) {
 			if position == 3 {
-				close(midDraft)
+				close(streaming)
 			}
 		})
 		if err != nil || answer.Outcome != "complete" || len(answer.Tokens) != 300 {
-			t.Errorf("draft over the stop: %v, outcome %q, %d tokens", err, answer.Outcome, len(answer.Tokens))
+			t.Errorf("draft during the stop: %v, outcome %q, %d tokens", err, answer.Outcome, len(answer.Tokens))
 		}
 	})
-	<-midDraft
+	<-streaming
 	callers.Go(func() {
 		answer, err := f.client(0).Call(ctx, "hold", "", []byte(`{}`))
 		if err != nil || answer.Outcome != "complete" {
-			t.Errorf("confirmation over the stop: %v, outcome %q: %s", err, answer.Outcome, answer.Body)
+			t.Errorf("call during the stop: %v, outcome %q: %s", err, answer.Outcome, answer.Body)
 		}
 	})
 	for f.Services["s"].Received() == 0 && ctx.Err() == nil {
@@ -94,8 +95,8 @@
 	stopping := f.Nodes[0]
 	stopping.Stop(ctx)
 	callers.Wait()
-	if held := stopping.Router().InHand(); held != 0 {
-		t.Errorf("%d requests were in hand after the stop", held)
+	if inHand := stopping.Router().InHand(); inHand != 0 {
+		t.Errorf("%d requests were in progress after the stop", inHand)
 	}
 	f.Nodes = f.Nodes[1:]
 	answer, err := f.client(0).Call(ctx, "hold", "", []byte(`{}`))
@@ -105,9 +106,9 @@
 	must(t, f.Apply(ctx, config.EntityWorkspace, "w2", &config.Workspace{Name: "w2"}))
 }
 
-// The table goes out right after it has taken an operator's change. The operator
-// is told that the change is in force everywhere, and it is: the VM that wrote it
-// pushed it to its peers, who could not have read it from the table any more.
+// The table becomes unavailable right after it has committed an operator's change. The
+// change is reported as in force everywhere, and it is: the VM that committed it
+// pushed it to its peers, which can no longer read it from the table.
 func TestChangeCommittedRightBeforeAnOutageIsInForceEverywhere(t *testing.T) {
 	f, ctx := newFleet(t, 3)
 	var once sync.Once
@@ -116,7 +117,7 @@
 			return platformsim.Action{}
 		}
 		once.Do(func() {
-			// The chooser is asked under the faults' lock.
+			// The chooser is called with the lock of Faults held.
 			go f.Platform.Faults.Set(platformsim.Order{Outage: platformsim.OutageUnavailable})
 		})
 		return platformsim.Action{}
@@ -129,9 +130,9 @@
 	}
 }
 
-// A VM starts while the store is out. Its callers get answers under the newest
-// configuration, which only its peers could give, and a change that operators try
-// meanwhile is refused without effect.
+// A VM starts during an outage of the store. It gets the newest configuration, which
+// only its peers can provide, and serves calls under it. A change that an operator
+// proposes during the outage is refused without effect.
 func TestVMJoinsDuringAnOutage(t *testing.T) {
 	f, ctx := newFleet(t, 2)
 	newest := f.Nodes[0].Store().Current().Version
@@ -140,23 +141,24 @@
 	must(t, err)
 	must(t, f.AwaitReady(ctx))
 	if got := joined.Store().Current().Version; got < newest {
-		t.Errorf("the VM is ready with version %d, in force is %d", got, newest)
+		t.Errorf("the VM is ready with version %d, but version %d is in force", got, newest)
 	}
 	answer, err := f.client(2).Call(ctx, "hold", "", []byte(`{}`))
 	if err != nil || answer.Outcome != "complete" {
-		t.Errorf("confirmation during the outage: %v, outcome %q: %s", err, answer.Outcome, answer.Body)
+		t.Errorf("call during the outage: %v, outcome %q: %s", err, answer.Outcome, answer.Body)
 	}
 	keyed, err := f.client(2).Call(ctx, "hold", "key-1", []byte(`{}`))
 	if err != nil || keyed.Outcome != "unknown" {
-		t.Errorf("keyed confirmation without a store: %v, outcome %q", err, keyed.Outcome)
+		t.Errorf("keyed call without the store: %v, outcome %q", err, keyed.Outcome)
 	}
 	if err := f.Apply(ctx, config.EntityWorkspace, "during", &config.Workspace{Name: "during"}); err == nil {
 		t.Error("a change was accepted without the store")
 	}
 }
 
-// A balancer sends the same keyed confirmation to two VMs at once. One runs it and
-// the other's caller is told what is true; the service ran it once.
+// A balancer sends the same call with an idempotency key to two VMs at the same time.
+// The service executes it once. One caller gets the answer; the other gets the same
+// answer or the outcome unknown.
 func TestKeyedCallAtTwoVMsRunsOnce(t *testing.T) {
 	f, ctx := newFleet(t, 2)
 	var callers sync.WaitGroup
@@ -176,17 +178,17 @@
 	}
 	again, err := f.client(1).Call(ctx, "hold", "key-2", []byte(`{"pair":7}`))
 	if err != nil || again.Outcome != "complete" || f.Services["s"].ExecutedTotal() != 1 {
-		t.Errorf("asked again: %v, outcome %q, ran %d times", err, again.Outcome, f.Services["s"].ExecutedTotal())
+		t.Errorf("repeated call: %v, outcome %q, ran %d times", err, again.Outcome, f.Services["s"].ExecutedTotal())
 	}
 	if got := fmt.Sprint(outcomes); got != "[complete unknown]" && got != "[unknown complete]" && got != "[complete complete]" {
-		t.Errorf("callers were told %s", got)
+		t.Errorf("callers got the outcomes %s", got)
 	}
 }
 
-// The platform's list shows a target's machine as leaving while an operator
-// undrains the target. The list wins while it stands, on every VM: no caller's
-// request reaches a machine that is about to go.
-func TestListedLeavingWinsOverUndrain(t *testing.T) {
+// The platform's VM list shows the machine of a target as leaving while an operator
+// undrains the target. The list takes precedence, on every VM: no request is sent to a
+// machine that is about to be removed.
+func TestListedLeavingOverridesUndrain(t *testing.T) {
 	f, ctx := newFleet(t, 2)
 	_, err := f.AddService(ctx, servicesim.Options{Name: "s2", Service: "holds"}, "dc-1")
 	must(t, err)
@@ -213,8 +215,8 @@
 	}
 }
 
-// Every slot is taken, the queue is full and the store hangs. Whoever is on call
-// still gets the dump, and sees in it what is stuck and where.
+// Every slot is in use, requests are queued and the store hangs. The dump still
+// responds and shows the stage at which each request waits.
 func TestDumpAnswersWhileStuck(t *testing.T) {
 	f, ctx := newFleet(t, 1)
 	must(t, f.Platform.Order(platformsim.Order{Outage: platformsim.OutageHang}))
--- a/internal/harness/rig/subset_test.go
+++ b/internal/harness/rig/peer_count_test.go
@@ -6,10 +6,11 @@
 	"testing"
 )
 
-// Two VMs share a service's slots. Each has to know that there are two: VMs that
-// each count as the only one fill the service beyond its slots, and urgent calls
-// then wait in the service's own queue. It was so at first: urgent calls beside
-// bulk took twice their time, as nothing told the balancer of the other VM.
+// Two VMs share the slots of a service, and the balancer of each must count both VMs.
+// If each VM assumes that it is the only one, together they send more calls than the
+// service has slots, and urgent calls wait in the service's own queue. This happened
+// when the balancer was not informed of the other VM: with concurrent bulk calls,
+// urgent calls took twice as long.
 func TestEachVMKnowsHowManyShareTheTargets(t *testing.T) {
 	f, ctx := newFleet(t, 2)
 	for _, n := range f.Nodes {
--- a/internal/harness/rig/prefix_test.go
+++ b/internal/harness/rig/prefix_test.go
@@ -11,11 +11,11 @@
 	"geraniumcroft/internal/harness/standin/enginesim"
 )
 
-// Several engines hold the same layers. An engine has a long prompt cached and has
-// said so; the next drafts with that prompt go to it, and the caller waits less for
-// the first token. Without the wiring from cache events to the choice of a plan
-// they would be spread over all engines.
-func TestDraftsGoWhereTheirPromptIsCached(t *testing.T) {
+// Several engines hold the same layers. One of them has a long prompt in its prefix
+// cache and has published that. The next requests with that prompt are sent to it,
+// which shortens the time to the first token. If cache events did not reach the choice
+// of a plan, the requests would be spread over all engines.
+func TestRequestsPreferEnginesWithTheirPromptCached(t *testing.T) {
 	f, ctx := newFleet(t, 1)
 	model := f.Nodes[0].Store().Current().Models["m"]
 	for i := range 3 {
@@ -51,7 +51,7 @@
 	}
 	for name, count := range served() {
 		if before[name] == 0 && count > 0 {
-			t.Errorf("%s, which had nothing cached, worked on %d stages", name, count)
+			t.Errorf("%s, which had nothing cached, executed %d stages", name, count)
 		}
 	}
 }
--- a/internal/harness/rig/silence_test.go
+++ b/internal/harness/rig/silence_test.go
@@ -7,14 +7,14 @@
 	"geraniumcroft/internal/harness/standin/platformsim"
 )
 
-// A caller whose stream fell silent waits for the silence to be noticed before
-// anything is done about it. The settings' default was a second where the engines'
-// client has three quarters, so that no such stream could go on within the second
-// that is promised.
+// A stream that goes silent can resume elsewhere only after the silence is detected.
+// The default of the silence timeout in the settings was once a second, while the
+// engine client's default is 750 ms, so that no silent stream could resume within the
+// promised second.
 func TestSilenceIsNoticedWithinTheEnginesDefault(t *testing.T) {
 	f := &Fleet{Platform: startedPlatform(t)}
 	if got := f.settings("entry-1").Targets.SilenceTimeout; got > httpengine.DefaultIdle {
-		t.Errorf("silence is noticed after %s, the client's default is %s", got, httpengine.DefaultIdle)
+		t.Errorf("silence is detected after %s, the client's default is %s", got, httpengine.DefaultIdle)
 	}
 }
 
--- a/internal/harness/rig/tls_test.go
+++ b/internal/harness/rig/tls_test.go
@@ -11,13 +11,13 @@
 	"geraniumcroft/internal/security/certtest"
 )
 
-// Peers speak mutual TLS. A change that an operator makes at one VM is in force at
-// the other, whose certificate names the IP number it was reached at. A VM whose
-// certificate is another authority's reads the table like any other, but no peer
-// takes it in and it takes nothing from them: it can spread no configuration.
+// Peers use mutual TLS. A change made at one VM is in force at the other, whose
+// certificate names the IP address at which it is reached. A VM whose certificate is
+// signed by another authority reads the table like any other VM, but peers do not
+// accept it and it does not accept them, so it cannot spread a configuration.
 func TestPeersWithMutualTLS(t *testing.T) {
-	ours, theirs := certtest.New(t), certtest.New(t)
-	authority := ours
+	trusted, untrusted := certtest.New(t), certtest.New(t)
+	authority := trusted
 	ctx, cancel := context.WithTimeout(context.Background(), testBound)
 	defer cancel()
 	f, err := Start(ctx, Options{Routers: 2, Adjust: func(o *node.Options) {
@@ -34,7 +34,7 @@
 		t.Error("the two VMs do not reach each other")
 	}
 
-	authority = theirs
+	authority = untrusted
 	stranger, err := f.AddRouter()
 	must(t, err)
 	must(t, f.AwaitReady(ctx))
