--- a/internal/harness/fleettest/callers_test.go
+++ b/internal/harness/fleettest/callers_test.go
@@ -11,8 +11,8 @@
 	"geraniumcroft/internal/router"
 )
 
-// told is what one arrival's caller was told.
-type told struct {
+// callerResult is an arrival with the answer to its caller.
+type callerResult struct {
 	arrival
 	id, vm  string
 	body    string
@@ -21,27 +21,28 @@
 	detail  string
 	tokens  []string
 	late    time.Duration
-	// lost callers' VM died under them; skipped ones found none.
+	// lost says that the VM died during the request, skipped that no VM was ready.
 	lost, skipped bool
-	// inOrder says that the VM was being stopped in order when the request ended.
-	inOrder bool
+	// graceful says that the VM was being stopped gracefully when the request ended.
+	graceful bool
 }
 
-// sink keeps what the caller of a generation got.
+// sink collects the tokens of a generation.
 type sink struct{ tokens []string }
 
 // Token implements router.TokenSink.
 func (s *sink) Token(position int, text string) error {
 	if position != len(s.tokens) {
-		return fmt.Errorf("token %d where %d is due", position, len(s.tokens))
+		return fmt.Errorf("got token %d, want token %d", position, len(s.tokens))
 	}
 	s.tokens = append(s.tokens, text)
 	return nil
 }
 
-// balanced returns the VM that the balancer gives a caller.
-func (w *world) balanced(a arrival) *vm {
-	if v := w.vm(a.vm); v != nil && (a.stubborn || v.Router().Ready()) {
+// pickVM returns the VM to which a load balancer sends the request, or nil if none is
+// ready.
+func (w *world) pickVM(a arrival) *vm {
+	if v := w.vm(a.vm); v != nil && (a.pinned || v.Router().Ready()) {
 		return v
 	}
 	all := w.running()
@@ -53,14 +54,14 @@
 	return nil
 }
 
-// request sends one arrival and waits for its one outcome.
-func (w *world) request(number int, a arrival) told {
+// request waits for the time of an arrival, sends the request and waits for its outcome.
+func (w *world) request(number int, a arrival) callerResult {
 	time.Sleep(a.at)
-	return w.requestAt(fmt.Sprintf("r%d", number), a, w.balanced(a))
+	return w.requestAt(fmt.Sprintf("r%d", number), a, w.pickVM(a))
 }
 
-func (w *world) requestAt(id string, a arrival, v *vm) told {
-	got := told{arrival: a, id: id, body: "body " + id}
+func (w *world) requestAt(id string, a arrival, v *vm) callerResult {
+	got := callerResult{arrival: a, id: id, body: "body " + id}
 	if a.key != "" {
 		got.body = "body of " + a.key
 	}
@@ -71,22 +72,22 @@
 	got.vm = v.name
 	ctx, cancel := context.WithCancel(v.requests)
 	defer cancel()
-	if a.gone > 0 {
-		timer := time.AfterFunc(a.gone, cancel)
+	if a.disconnectAfter > 0 {
+		timer := time.AfterFunc(a.disconnectAfter, cancel)
 		defer timer.Stop()
 	}
-	w.judgeServing("as " + id + " arrived")
+	w.checkServing("as " + id + " arrived")
 	now := time.Now()
 	w.mu.Lock()
 	w.arrivals[id] = now
 	w.mu.Unlock()
-	got.take(w.send(ctx, v, &got, now))
-	got.lost = v.severed.Load() && !v.stopping.Load()
-	got.inOrder = v.stopping.Load()
+	got.setOutcome(w.send(ctx, v, &got, now))
+	got.lost = v.dead.Load() && !v.stopping.Load()
+	got.graceful = v.stopping.Load()
 	return got
 }
 
-func (w *world) send(ctx context.Context, v *vm, got *told, now time.Time) error {
+func (w *world) send(ctx context.Context, v *vm, got *callerResult, now time.Time) error {
 	identity := router.Metadata{
 		RequestID: got.id, Profile: got.profile, IdempotencyKey: got.key, Arrival: now,
 		BodyBytes: int64(len(got.body)), Digest: sha256.Sum256([]byte(got.body)),
@@ -101,7 +102,7 @@
 	}
 	result, err := v.Router().Call(ctx, router.CallRequest{Metadata: identity, Body: []byte(got.body)})
 	if err == nil && string(result.Body) != got.body {
-		w.wrong("%s asked with %q and was answered %q", got.id, got.body, result.Body)
+		w.problemf("%s sent %q and got the answer %q", got.id, got.body, result.Body)
 	}
 	return err
 }
@@ -115,7 +116,8 @@
 	return 0
 }
 
-func (t *told) take(err error) {
+// setOutcome sets the outcome from the error of a request.
+func (t *callerResult) setOutcome(err error) {
 	t.outcome = outcome.Complete
 	var failure *outcome.Failure
 	if errors.As(err, &failure) {
@@ -126,6 +128,6 @@
 	}
 }
 
-func (t told) String() string {
-	return fmt.Sprintf("%s (%s at %s on %s, key %q, gone %s): %s %s %s", t.id, t.profile, t.at, t.vm, t.key, t.gone, t.outcome, t.reason, t.detail)
+func (t callerResult) String() string {
+	return fmt.Sprintf("%s (%s at %s on %s, key %q, gone %s): %s %s %s", t.id, t.profile, t.at, t.vm, t.key, t.disconnectAfter, t.outcome, t.reason, t.detail)
 }
--- a/internal/harness/fleettest/configure_test.go
+++ b/internal/harness/fleettest/entities_test.go
@@ -17,12 +17,13 @@
 	loadTime   = 700 * time.Millisecond
 )
 
-// held are the layers of the engines; those with an odd place ignore fencing numbers.
-var held = [engineCount]config.LayerRange{
+// engineLayers are the layers that each engine holds. Engines with an odd index ignore
+// fencing numbers.
+var engineLayers = [engineCount]config.LayerRange{
 	{From: 0, To: 5}, {From: 0, To: 4}, {From: 4, To: 8}, {From: 3, To: 8}, {From: 0, To: 8}, {From: 0, To: 8},
 }
 
-// entities are the configuration that each run starts from.
+// entities starts the engines and returns the proposals of the initial configuration.
 func (w *world) entities() []confstore.Proposal {
 	var all []confstore.Proposal
 	add := func(kind config.EntityKind, name string, entity any) {
@@ -35,7 +36,7 @@
 	model := &config.Model{Name: "m", Layers: layers, Versions: []string{"1", "2"}}
 	add(config.EntityModel, "m", model)
 	add(config.EntityWorkspace, "w", &config.Workspace{Name: "w"})
-	for number, layers := range held {
+	for number, layers := range engineLayers {
 		e := enginesim.New(enginesim.Options{
 			Name: fmt.Sprintf("e%d", number), Model: model, Version: "1", Layers: layers, Slots: 3,
 			LayerTokensPerSecond: engineRate, Fabric: w.fabric, LoadTime: loadTime, IgnoresFencing: number%2 == 1,
--- a/internal/harness/fleettest/incidents_test.go
+++ b/internal/harness/fleettest/incidents_test.go
@@ -15,14 +15,14 @@
 	slowStore = 400 * time.Millisecond
 )
 
-// faults are those in force that overlap.
+// faults holds the current faults of which several can be active at a time.
 type faults struct {
 	cuts []*cut
 }
 
-// cut separates VMs from each other.
+// cut is a network partition between hosts.
 type cut struct {
-	apart func(from, to string) bool
+	separates func(from, to string) bool
 }
 
 func (w *world) setStore(change func(*platformsim.Order)) {
@@ -33,10 +33,11 @@
 	w.store.Faults.Set(order)
 }
 
-func (w *world) addCut(apart func(from, to string) bool) (end func()) {
+// addCut adds a partition. The returned function ends it.
+func (w *world) addCut(separates func(from, to string) bool) (end func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c := &cut{apart}
+	c := &cut{separates}
 	w.faults.cuts = append(w.faults.cuts, c)
 	w.applyCuts()
 	return func() {
@@ -47,39 +48,40 @@
 	}
 }
 
-// applyCuts is called with the lock held.
+// applyCuts applies the current partitions to the network. The caller must hold the
+// lock.
 func (w *world) applyCuts() {
 	cuts := slices.Clone(w.faults.cuts)
 	w.network.SetCut(func(from, to string) bool {
-		return slices.ContainsFunc(cuts, func(c *cut) bool { return c.apart(from, to) })
+		return slices.ContainsFunc(cuts, func(c *cut) bool { return c.separates(from, to) })
 	})
 }
 
-// happen makes one incident happen and end.
-func (w *world) happen(i incident) {
+// runIncident waits for the start of an incident, causes its fault and ends it.
+func (w *world) runIncident(i incident) {
 	time.Sleep(i.at)
 	w.trace.note("incident %+v", i)
 	defer func() { w.trace.note("incident over: %+v", i) }()
 	switch i.kind {
 	case "engine-die", "engine-silent", "engine-slow", "engine-mute":
-		w.engineFails(i)
+		w.injectEngineFault(i)
 	case "service":
-		w.services.order(i.name, i.fault)
+		w.services.inject(i.name, i.fault)
 	case "halves":
 		half := hostOfVM(i.vm)
 		end := w.addCut(func(from, to string) bool { return (from < half) != (to < half) })
-		time.Sleep(i.lasts)
+		time.Sleep(i.duration)
 		end()
 	case "cut-peers", "cut-store", "cut-both":
-		w.cutOff(i)
+		w.isolateVM(i)
 	case "kill", "restart", "stop", "join":
-		w.lifecycle(i)
+		w.changeLifecycle(i)
 	default:
-		w.storeFails(i)
+		w.injectStoreFault(i)
 	}
 }
 
-func (w *world) engineFails(i incident) {
+func (w *world) injectEngineFault(i incident) {
 	e := w.engines[i.name]
 	slow := func(factor float64, mute bool) {
 		e.SetFaults(func(f *enginesim.Faults) { f.Slowdown, f.Mute = factor, mute })
@@ -87,53 +89,53 @@
 	switch i.kind {
 	case "engine-die":
 		e.Die()
-		time.Sleep(i.lasts)
+		time.Sleep(i.duration)
 		_ = e.Revive()
 	case "engine-silent":
 		e.GoSilent()
 	case "engine-slow":
 		slow(slowdown, false)
-		time.Sleep(i.lasts)
+		time.Sleep(i.duration)
 		slow(1, false)
 	case "engine-mute":
 		slow(1, true)
-		time.Sleep(i.lasts)
+		time.Sleep(i.duration)
 		slow(1, false)
 	}
 }
 
-func (w *world) storeFails(i incident) {
+func (w *world) injectStoreFault(i incident) {
 	outage := func(o platformsim.Outage) {
 		w.setStore(func(order *platformsim.Order) { order.Outage = o })
 	}
 	switch i.kind {
 	case "store-refuse":
 		outage(platformsim.OutageRefuse)
-		time.Sleep(i.lasts)
+		time.Sleep(i.duration)
 		outage(platformsim.OutageNone)
 	case "store-hang":
 		outage(platformsim.OutageHang)
-		time.Sleep(i.lasts)
+		time.Sleep(i.duration)
 		outage(platformsim.OutageNone)
 	case "store-slow":
 		w.setStore(func(o *platformsim.Order) { o.SlowBy = config.Duration(slowStore) })
-		time.Sleep(i.lasts)
+		time.Sleep(i.duration)
 		w.setStore(func(o *platformsim.Order) { o.SlowBy = 0 })
 	case "store-lose":
 		w.setStore(func(o *platformsim.Order) { o.LoseAnswers = 4 })
 	case "store-delay":
-		w.setStore(func(o *platformsim.Order) { o.DelayCommits, o.DelayBy = 8, config.Duration(i.lasts) })
+		w.setStore(func(o *platformsim.Order) { o.DelayCommits, o.DelayBy = 8, config.Duration(i.duration) })
 	case "list-freeze":
 		w.setStore(func(o *platformsim.Order) { o.FreezeVMs = true })
-		time.Sleep(i.lasts)
+		time.Sleep(i.duration)
 		w.setStore(func(o *platformsim.Order) { o.FreezeVMs = false })
 	case "list-lag":
-		w.setStore(func(o *platformsim.Order) { o.VMLag = config.Duration(i.lasts) })
+		w.setStore(func(o *platformsim.Order) { o.VMLag = config.Duration(i.duration) })
 	}
 }
 
-// cutOff cuts one VM off its peers, the store, or both.
-func (w *world) cutOff(i incident) {
+// isolateVM cuts off one VM from its peers, the store, or both.
+func (w *world) isolateVM(i incident) {
 	host, v := hostOfVM(i.vm), w.vm(i.vm)
 	if v == nil {
 		return
@@ -145,28 +147,29 @@
 	if i.kind != "cut-store" {
 		defer w.addCut(func(from, to string) bool { return from == host || to == host })()
 	}
-	time.Sleep(i.lasts)
+	time.Sleep(i.duration)
 }
 
-func (w *world) lifecycle(i incident) {
+// changeLifecycle kills, restarts, stops or starts a VM.
+func (w *world) changeLifecycle(i incident) {
 	v := w.vm(i.vm)
 	switch {
 	case i.kind == "join" && v == nil:
-		w.startAgain(i.vm)
-	case v == nil || i.kind == "join" || !w.lifecycleOf(v):
+		w.startIfStopped(i.vm)
+	case v == nil || i.kind == "join" || !w.claimEnd(v):
 	case i.kind == "stop":
 		w.stopVM(v)
 	default:
 		w.killVM(v)
 		if i.kind == "restart" {
-			time.Sleep(i.lasts)
-			w.startAgain(i.vm)
+			time.Sleep(i.duration)
+			w.startIfStopped(i.vm)
 		}
 	}
 }
 
-// startAgain starts a VM unless it runs.
-func (w *world) startAgain(number int) {
+// startIfStopped starts a VM unless it is running or being started.
+func (w *world) startIfStopped(number int) {
 	w.mu.Lock()
 	taken := w.starting[number]
 	w.starting[number] = true
@@ -181,10 +184,10 @@
 	}
 }
 
-// lifecycleOf takes a process for its end; it has one.
-func (w *world) lifecycleOf(v *vm) bool { return v.ending.CompareAndSwap(false, true) }
+// claimEnd reports whether the caller is the first to end a process and so must do it.
+func (w *world) claimEnd(v *vm) bool { return v.ending.CompareAndSwap(false, true) }
 
-// heal ends all faults.
+// heal ends all faults and restarts dead engines.
 func (w *world) heal() {
 	w.trace.note("heal")
 	w.mu.Lock()
--- a/internal/harness/fleettest/main_test.go
+++ b/internal/harness/fleettest/main_test.go
@@ -10,8 +10,8 @@
 
 const checksFlag = "rapid.checks"
 
-// TestMain bounds the runs unless the command line gives their number, since each of
-// them takes as long as a hundred of another package.
+// TestMain limits the number of runs to checksInCI unless the command line sets it,
+// since one run takes as long as a hundred runs of the tests of other packages.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := false
--- a/internal/harness/fleettest/operators_test.go
+++ b/internal/harness/fleettest/operators_test.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	operatorPatience = 15 * time.Second
-	closeAnswers     = 50 * time.Millisecond
+	operatorTimeout = 15 * time.Second
+	copyDelay       = 50 * time.Millisecond
 )
 
-// answerKind is what an operator was told.
+// answerKind is the kind of answer to a proposal.
 type answerKind uint8
 
 const (
-	// toldNothing: the VM died, or the change may have been written.
-	toldNothing answerKind = iota
-	toldRefused
-	// toldWritten: it is in the history, but not yet in force everywhere.
-	toldWritten
-	toldAccepted
+	// answerUnknown means that the VM died or that the change may have been written.
+	answerUnknown answerKind = iota
+	answerRefused
+	// answerWritten means that the change is in the history but not yet in force
+	// everywhere.
+	answerWritten
+	answerAccepted
 )
 
-// answered is one proposal with its answer.
-type answered struct {
+// proposalResult is a proposal with its answer.
+type proposalResult struct {
 	confstore.Proposal
 	vm      string
 	kind    answerKind
@@ -41,49 +42,51 @@
 	until   time.Time
 }
 
-// operators remembers what they proposed and were told.
-type operators struct {
+// proposalLog records all proposals with their answers. It is safe for concurrent use.
+type proposalLog struct {
 	mu  sync.Mutex // guards all
-	all []answered
+	all []proposalResult
 }
 
-func (o *operators) add(a answered) {
+func (o *proposalLog) add(a proposalResult) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.all = append(o.all, a)
 }
 
-func (o *operators) list() []answered {
+func (o *proposalLog) list() []proposalResult {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return append([]answered(nil), o.all...)
+	return append([]proposalResult(nil), o.all...)
 }
 
-// propose proposes at one VM and judges the answer on the spot.
-func (w *world) propose(v *vm, p confstore.Proposal) answered {
-	a := answered{Proposal: p, vm: v.name, from: time.Now()}
-	w.trace.note("%s is asked for %s: %s %s at %d: %s", v.name, p.ID, p.Kind, p.Name, p.IfRevision, p.Value)
-	ctx, cancel := context.WithTimeout(v.requests, operatorPatience)
+// propose proposes a change at a VM and records the answer. If the change is accepted,
+// it immediately checks that no VM serves under an older version.
+func (w *world) propose(v *vm, p confstore.Proposal) proposalResult {
+	a := proposalResult{Proposal: p, vm: v.name, from: time.Now()}
+	w.trace.note("%s gets proposal %s: %s %s at %d: %s", v.name, p.ID, p.Kind, p.Name, p.IfRevision, p.Value)
+	ctx, cancel := context.WithTimeout(v.requests, operatorTimeout)
 	defer cancel()
 	acceptance, err := v.Change(ctx, p)
 	a.until, a.version, a.err = time.Now(), acceptance.Version, err
 	w.trace.note("%s answers %s: %+v %v", v.name, p.ID, acceptance, err)
 	switch {
-	case v.severed.Load():
+	case v.dead.Load():
 	case err == nil && acceptance.Accepted:
-		a.kind = toldAccepted
-		w.raise(acceptance.Version)
-		w.judgeServing("as it was accepted on " + v.name)
+		a.kind = answerAccepted
+		w.raiseAccepted(acceptance.Version)
+		w.checkServing("as it was accepted on " + v.name)
 	case err == nil:
-		a.kind = toldWritten
+		a.kind = answerWritten
 	case isRefusal(err):
-		a.kind = toldRefused
+		a.kind = answerRefused
 	}
-	w.history.add(a)
+	w.proposals.add(a)
 	return a
 }
 
-func (w *world) raise(version uint64) {
+// raiseAccepted raises the highest accepted version to at least version.
+func (w *world) raiseAccepted(version uint64) {
 	for {
 		before := w.accepted.Load()
 		if before >= version || w.accepted.CompareAndSwap(before, version) {
@@ -100,8 +103,9 @@
 	return errors.As(err, &conflict) || errors.As(err, &notWritten) || errors.As(err, &invalid) || errors.As(err, &reused)
 }
 
-// operate carries out one operation: it reads at a VM, edits and proposes.
-func (w *world) operate(o operation) {
+// runOperation carries out an operation: it reads the entity at a VM, edits it and
+// proposes the change.
+func (w *world) runOperation(o operation) {
 	time.Sleep(o.at)
 	v := w.vm(o.vm)
 	if v == nil {
@@ -114,14 +118,14 @@
 	var both sync.WaitGroup
 	both.Go(func() { w.propose(v, p) })
 	if second := w.vm(o.second); second != nil && o.second >= 0 {
-		time.Sleep(closeAnswers)
+		time.Sleep(copyDelay)
 		both.Go(func() { w.propose(second, p) })
 	}
 	both.Wait()
 }
 
-// edit returns the proposal of an operation, as an operator's tool makes it. As
-// the admin API does, it leaves a target alone that is being reloaded.
+// edit returns the proposal of an operation, as an operator's tool creates it. Like the
+// admin API, it does not change a target that is being reloaded.
 func edit(s *config.Snapshot, o operation) (confstore.Proposal, bool) {
 	if o.kind == "profile" {
 		profile := s.Profiles[o.name]
--- a/internal/harness/fleettest/oracle_test.go
+++ b/internal/harness/fleettest/oracle_test.go
@@ -13,10 +13,10 @@
 const (
 	changesFrom = "config/change/"
 	changesTo   = "config/change0"
-	lateBound   = 3 * time.Second
+	maxLateness = 3 * time.Second
 )
 
-// lease is what the oracle reads of a lease's row.
+// lease holds the fields of a lease's row that the oracle reads.
 type lease struct {
 	Holder  string `json:"holder"`
 	Fencing uint64 `json:"fencing"`
@@ -32,7 +32,7 @@
 	return l
 }
 
-// changes returns the history that the table holds.
+// changes returns the history of configuration changes in the table.
 func (w *world) changes() []config.Change {
 	var all []config.Change
 	for _, key := range w.store.PeekKeys(changesFrom, changesTo) {
@@ -45,22 +45,23 @@
 	return all
 }
 
-// judge compares what callers and operators were told with what happened.
-func (w *world) judge(all []told) []string {
+// check compares the answers to callers and operators with what happened. It returns
+// all problems found in the run.
+func (w *world) check(all []callerResult) []string {
 	history := w.changes()
-	w.judgeHistory(history)
-	w.judgeOperators(history)
-	w.judgeDrains(history)
+	w.checkHistory(history)
+	w.checkOperators(history)
+	w.checkDrains(history)
 	for _, got := range all {
-		w.judgeCaller(got)
+		w.checkCaller(got)
 	}
 	for name, e := range w.engines {
 		counts := e.Counts()
 		if counts.CutOff > 0 {
-			w.wrong("a reload of %s cut off %d requests", name, counts.CutOff)
+			w.problemf("a reload of %s cut off %d requests", name, counts.CutOff)
 		}
 		if e.Target().RefusesOldFencing == false && counts.OldFencing > 0 {
-			w.wrong("%s, which ignores fencing numbers, got %d orders of an old holder after one of a new", name, counts.OldFencing)
+			w.problemf("%s, which ignores fencing numbers, got %d orders of an old holder after one of a newer holder", name, counts.OldFencing)
 		}
 	}
 	w.mu.Lock()
@@ -68,68 +69,70 @@
 	return w.problems
 }
 
-// judgeHistory replays the table: no gaps, and each VM that put a version in force
-// had what the table says.
-func (w *world) judgeHistory(history []config.Change) {
+// checkHistory replays the history in the table: it must have no gaps, and each
+// version that a VM had in force must equal the one in the table.
+func (w *world) checkHistory(history []config.Change) {
 	s := config.NewSnapshot()
 	for _, change := range history {
 		next, err := s.Apply(change)
 		if err != nil {
-			w.wrong("the history cannot be replayed: %v", err)
+			w.problemf("the history cannot be replayed: %v", err)
 			return
 		}
 		s = next
-		print, _ := json.Marshal(s)
+		encoded, _ := json.Marshal(s)
 		w.mu.Lock()
-		seen, known := w.prints[s.Version]
+		seen, known := w.snapshots[s.Version]
 		w.mu.Unlock()
-		if known && seen != string(print) {
-			w.wrong("version %d on a VM is %s, in the table %s", s.Version, seen, print)
+		if known && seen != string(encoded) {
+			w.problemf("version %d on a VM is %s, in the table %s", s.Version, seen, encoded)
 		}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for version := range w.prints {
+	for version := range w.snapshots {
 		if version > s.Version {
 			w.problems = append(w.problems, "a VM had a version in force that the table does not have")
 		}
 	}
 }
 
-// judgeOperators: what was written stands under its version, what was refused
-// everywhere it was proposed does not.
-func (w *world) judgeOperators(history []config.Change) {
+// checkOperators checks the answers to proposals: a change reported as written must be
+// in the history under its version, and a change that was refused at every VM where it
+// was proposed must not be in it.
+func (w *world) checkOperators(history []config.Change) {
 	byID := map[string]config.Change{}
 	for _, change := range history {
 		byID[change.ID] = change
 	}
 	refusedOnly := map[string]bool{}
-	for _, a := range w.history.list() {
+	for _, a := range w.proposals.list() {
 		change, stands := byID[a.ID]
-		written := a.kind == toldWritten || a.kind == toldAccepted
+		written := a.kind == answerWritten || a.kind == answerAccepted
 		if written && (!stands || change.Version != a.version) {
-			w.wrong("%s told an operator version %d for %s, the table has %d", a.vm, a.version, a.ID, change.Version)
+			w.problemf("%s reported version %d for %s, the table has %d", a.vm, a.version, a.ID, change.Version)
 		}
 		so, seen := refusedOnly[a.ID]
-		refusedOnly[a.ID] = a.kind == toldRefused && (so || !seen)
+		refusedOnly[a.ID] = a.kind == answerRefused && (so || !seen)
 	}
 	for id, refused := range refusedOnly {
 		if change, stands := byID[id]; refused && stands {
-			w.wrong("proposal %s (%s %s) was refused and is version %d", id, change.Kind, change.Name, change.Version)
+			w.problemf("proposal %s (%s %s) was refused but is version %d", id, change.Kind, change.Name, change.Version)
 		}
 	}
 }
 
-// quiet is a time in which a target may get no request that arrived within it.
-type quiet struct {
+// drainPeriod is a period in which a drained target must not get any request that
+// arrived within the period.
+type drainPeriod struct {
 	target      string
 	from, until time.Time
 }
 
-// judgeDrains: no request that arrived after a drain was accepted is sent to the
-// target before somebody asks for it back.
-func (w *world) judgeDrains(history []config.Change) {
-	drains := w.quietTimes(history)
+// checkDrains checks that no request that arrived after a drain was accepted is sent
+// to the target before it is put back into service.
+func (w *world) checkDrains(history []config.Change) {
+	drains := w.drainPeriods(history)
 	names := map[string]string{}
 	for _, change := range history {
 		var target config.Target
@@ -144,30 +147,31 @@
 		arrived, known := w.arrivals[s.request]
 		w.mu.Unlock()
 		if !known {
-			w.wrong("%v, which never arrived", s)
+			w.problemf("%v, a request that never arrived", s)
 			continue
 		}
 		for _, q := range drains {
 			if names[s.address] == q.target && arrived.After(q.from) && s.at.Before(q.until) {
-				w.wrong("%v at %s; it arrived %s after the drain was accepted", s, s.at, arrived.Sub(q.from))
+				w.problemf("%v at %s; it arrived %s after the drain was accepted", s, s.at, arrived.Sub(q.from))
 			}
 		}
 	}
 }
 
-func (w *world) quietTimes(history []config.Change) []quiet {
+// drainPeriods returns the periods that follow the accepted drains.
+func (w *world) drainPeriods(history []config.Change) []drainPeriod {
 	proposed := map[string]time.Time{}
-	for _, a := range w.history.list() {
+	for _, a := range w.proposals.list() {
 		if first, ok := proposed[a.ID]; !ok || a.from.Before(first) {
 			proposed[a.ID] = a.from
 		}
 	}
-	var all []quiet
-	for _, a := range w.history.list() {
-		if a.Kind != config.EntityTarget || a.kind != toldAccepted || takesWork(a.Value) {
+	var all []drainPeriod
+	for _, a := range w.proposals.list() {
+		if a.Kind != config.EntityTarget || a.kind != answerAccepted || takesWork(a.Value) {
 			continue
 		}
-		all = append(all, quiet{a.Name, a.until, endOf(a, history, proposed)})
+		all = append(all, drainPeriod{a.Name, a.until, drainEnd(a, history, proposed)})
 	}
 	return all
 }
@@ -177,8 +181,11 @@
 	return json.Unmarshal(value, &target) == nil && target.TakesWork()
 }
 
-// endOf returns when a target could get work again after a drain.
-func endOf(drain answered, history []config.Change, proposed map[string]time.Time) time.Time {
+// drainEnd returns the earliest time at which a target may get work after a drain: the
+// first proposal of the next change that lets it take work, or, if that is not known
+// to be earlier, the time of the change itself. Without such a change it is a time
+// after the run.
+func drainEnd(drain proposalResult, history []config.Change, proposed map[string]time.Time) time.Time {
 	for _, change := range history {
 		if change.Version <= drain.version || change.Kind != drain.Kind || change.Name != drain.Name || !takesWork(change.Value) {
 			continue
@@ -191,53 +198,54 @@
 	return time.Now().Add(time.Hour)
 }
 
-func (w *world) judgeCaller(got told) {
+// checkCaller checks the answer to one caller.
+func (w *world) checkCaller(got callerResult) {
 	if got.skipped {
 		return
 	}
 	for position, text := range got.tokens {
 		if text != enginesim.TokenText(position) {
-			w.wrong("%v: token %d is %q", got, position, text)
+			w.problemf("%v: token %d is %q", got, position, text)
 		}
 	}
 	if got.profile == "hold" || got.profile == "ask" {
-		w.judgeCall(got)
+		w.checkCall(got)
 	}
 	if got.lost {
 		return
 	}
-	if got.late > lateBound {
-		w.wrong("%v was answered %s after its deadline", got, got.late)
+	if got.late > maxLateness {
+		w.problemf("%v was answered %s after its deadline", got, got.late)
 	}
 	if got.profile == "draft" || got.profile == "check" {
-		w.judgeGeneration(got)
+		w.checkGeneration(got)
 	}
 	if got.reason == outcome.ReasonInternal {
-		w.wrong("%v ended in a way that nobody foresaw", got)
+		w.problemf("%v ended with an internal error", got)
 	}
-	if got.reason == outcome.ReasonCallerGone && got.gone == 0 {
-		w.wrong("%v was cut off (orderly stop %t)", got, got.inOrder)
+	if got.reason == outcome.ReasonCallerGone && got.disconnectAfter == 0 {
+		w.problemf("%v was cut off (graceful stop %t)", got, got.graceful)
 	}
 }
 
-func (w *world) judgeGeneration(got told) {
+func (w *world) checkGeneration(got callerResult) {
 	switch {
 	case got.outcome == outcome.Complete && len(got.tokens) != got.arrival.tokens:
-		w.wrong("%v: complete with %d of %d tokens", got, len(got.tokens), got.arrival.tokens)
+		w.problemf("%v: complete with %d of %d tokens", got, len(got.tokens), got.arrival.tokens)
 	case got.outcome == outcome.NotRun && len(got.tokens) != 0:
-		w.wrong("%v: not-run with %d tokens", got, len(got.tokens))
+		w.problemf("%v: not-run with %d tokens", got, len(got.tokens))
 	}
 }
 
-func (w *world) judgeCall(got told) {
+func (w *world) checkCall(got callerResult) {
 	ran := w.services.timesRun(got.body)
 	switch {
 	case got.profile == "hold" && ran > 1:
-		w.wrong("%v ran %d times", got, ran)
+		w.problemf("%v ran %d times", got, ran)
 	case got.lost:
 	case got.outcome == outcome.NotRun && ran > 0:
-		w.wrong("%v was told as not run and ran %d times", got, ran)
+		w.problemf("%v was reported as not run but ran %d times", got, ran)
 	case got.outcome == outcome.Complete && ran == 0:
-		w.wrong("%v was told as complete and never ran", got)
+		w.problemf("%v was reported as complete but never ran", got)
 	}
 }
--- a/internal/harness/fleettest/play_test.go
+++ b/internal/harness/fleettest/play_test.go
@@ -14,50 +14,51 @@
 )
 
 const (
-	setupBound = 30 * time.Second
-	healBound  = 3 * time.Minute
-	// oldLeases is how long the leases of VMs that were killed last.
-	oldLeases = 20 * time.Second
+	setupTimeout = 30 * time.Second
+	healTimeout  = 3 * time.Minute
+	// leaseExpiry is the time after which the leases of killed VMs have expired.
+	leaseExpiry = 20 * time.Second
 )
 
-// play runs the script in virtual time and returns what is wrong.
-func play(s script, p planted) (problems []string, all []told, what *trace) {
+// play runs a script in virtual time. It returns the problems found, the results of
+// all callers and the trace.
+func play(s script, p planted) (problems []string, all []callerResult, events *trace) {
 	w := newWorld(p)
 	ctx, stop := context.WithCancel(context.Background())
 	w.setUp(ctx)
 	w.work.Go(func() { w.monitor(ctx) })
 	all = w.run(s)
 	w.heal()
-	w.settle(ctx)
+	w.awaitHealed(ctx)
 	stop()
 	w.close()
-	return w.judge(all), all, w.trace
+	return w.check(all), all, w.trace
 }
 
-// setUp starts the first VMs and puts the configuration in force.
+// setUp starts the initial VMs and puts the initial configuration in force.
 func (w *world) setUp(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, setupBound)
+	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
 	for number := range firstVMs {
 		w.start(number)
 	}
 	for number := range firstVMs {
 		if !w.vm(number).waitReady(ctx) {
-			w.wrong("VM %d is not ready", number)
+			w.problemf("VM %d is not ready", number)
 			return
 		}
 	}
 	for _, p := range w.entities() {
-		if a := w.propose(w.vm(0), p); a.kind != toldAccepted {
-			w.wrong("%s %s was not accepted at the start: %v", p.Kind, p.Name, a.err)
+		if a := w.propose(w.vm(0), p); a.kind != answerAccepted {
+			w.problemf("%s %s was not accepted at the start: %v", p.Kind, p.Name, a.err)
 		}
 	}
 }
 
-// run makes everything of the script happen.
-func (w *world) run(s script) []told {
+// run runs all arrivals, operations and incidents of a script and waits for them.
+func (w *world) run(s script) []callerResult {
 	var mu sync.Mutex
-	var all []told
+	var all []callerResult
 	var group sync.WaitGroup
 	for number, a := range s.arrivals {
 		group.Go(func() {
@@ -68,63 +69,64 @@
 		})
 	}
 	for _, o := range s.operations {
-		group.Go(func() { w.operate(o) })
+		group.Go(func() { w.runOperation(o) })
 	}
 	for _, i := range s.incidents {
-		group.Go(func() { w.happen(i) })
+		group.Go(func() { w.runIncident(i) })
 	}
 	group.Wait()
 	return all
 }
 
-// settle waits until the fleet has healed and shows that it serves.
-func (w *world) settle(ctx context.Context) {
+// awaitHealed waits until the fleet has recovered and then checks that it serves.
+func (w *world) awaitHealed(ctx context.Context) {
 	if len(w.running()) == 0 {
 		w.start(0)
 	}
 	for _, v := range w.running() {
-		bounded, cancel := context.WithTimeout(ctx, healBound)
+		bounded, cancel := context.WithTimeout(ctx, healTimeout)
 		if !v.waitReady(bounded) {
-			w.wrong("%s is not ready after all faults ended", v.name)
+			w.problemf("%s is not ready after all faults ended", v.name)
 		}
 		cancel()
 	}
 	w.restore()
-	time.Sleep(oldLeases)
+	time.Sleep(leaseExpiry)
 	last := ""
-	for range healBound / time.Second {
+	for range healTimeout / time.Second {
 		if last = w.unhealed(); last == "" {
 			w.probe()
 			return
 		}
 		time.Sleep(time.Second)
 	}
-	w.wrong("not healed: %s", last)
+	w.problemf("not healed: %s", last)
 }
 
-// restore gives every entity its first value again, as operators would who find
-// that the incident is over.
+// restore proposes changes until every entity has its initial value again, as operators
+// would after an incident.
 func (w *world) restore() {
 	v := w.running()[0]
-	for range healBound / time.Second {
-		next, ok := w.deviation(v.Store().Current())
+	for range healTimeout / time.Second {
+		next, ok := w.nextRestoration(v.Store().Current())
 		if !ok {
 			return
 		}
 		if next.ID == "" {
-			time.Sleep(time.Second) // a reload is under way
+			time.Sleep(time.Second) // a reload is in progress
 			continue
 		}
-		if w.propose(v, next).kind != toldAccepted {
+		if w.propose(v, next).kind != answerAccepted {
 			time.Sleep(time.Second)
 		}
 	}
-	w.wrong("operators could not restore the configuration at %s", v.name)
+	w.problemf("operators could not restore the configuration at %s", v.name)
 }
 
-// deviation returns a change towards the first configuration; its ID is empty while
-// there is none but to wait.
-func (w *world) deviation(s *config.Snapshot) (next confstore.Proposal, ok bool) {
+// nextRestoration returns the next change that leads back to the initial configuration.
+// Its ID is empty if the caller has to wait first. ok is false if nothing is left to
+// restore.
+func (w *world) nextRestoration(s *config.Snapshot) (next confstore.Proposal, ok bool) {
 	for _, p := range profiles() {
 		now := s.Profiles[p.Name]
 		if len(now.Models) > 0 && now.Models[0].Version != "1" {
@@ -148,7 +150,8 @@
 	return confstore.Proposal{}, ok
 }
 
-// unhealed returns what is not yet as it should be, empty when all is.
+// unhealed describes one way in which the fleet has not yet recovered. It returns an
+// empty string if the fleet has recovered.
 func (w *world) unhealed() string {
 	all := w.running()
 	version := all[0].Store().Current().Version
@@ -160,7 +163,7 @@
 			return fmt.Sprintf("%s is at version %d, another at %d", v.name, have, version)
 		}
 		if _, missing := v.Peers().InForce(version); len(missing) > 0 || v.Peers().PeerCount() != len(all)-1 {
-			return fmt.Sprintf("%s misses %v, knows %d peers of %d", v.name, missing, v.Peers().PeerCount(), len(all)-1)
+			return fmt.Sprintf("%s misses %v and has %d peers of %d", v.name, missing, v.Peers().PeerCount(), len(all)-1)
 		}
 		for target, count := range v.Router().Balancer.InFlight() {
 			if count > 0 {
@@ -168,15 +171,16 @@
 			}
 		}
 		if n := v.Router().InHand(); n > 0 {
-			return fmt.Sprintf("%s has %d requests in hand", v.name, n)
+			return fmt.Sprintf("%s has %d requests in progress", v.name, n)
 		}
 	}
-	if rows := w.store.PeekKeys(rosterFrom, rosterTo); len(rows) != len(all) {
+	if rows := w.store.PeekKeys(vmRowsFrom, vmRowsTo); len(rows) != len(all) {
 		return fmt.Sprintf("rows of VMs: %v", rows)
 	}
 	return w.unhealedEngine(all[0].Store().Current())
 }
 
+// unhealedEngine is the part of unhealed for engines.
 func (w *world) unhealedEngine(s *config.Snapshot) string {
 	for name, e := range w.engines {
 		state, wanted := e.State(), s.Targets[name]
@@ -186,30 +190,30 @@
 		case state.Version != wanted.Version || state.Loading:
 			return fmt.Sprintf("%s holds version %s, loading %t", name, state.Version, state.Loading)
 		case state.Active > 0:
-			return fmt.Sprintf("%s has %d slots taken", name, state.Active)
+			return fmt.Sprintf("%s has %d slots in use", name, state.Active)
 		}
 	}
 	return ""
 }
 
-// probe asks every VM for everything once more.
+// probe checks that every VM serves every profile and accepts a configuration change.
 func (w *world) probe() {
 	for _, v := range w.running() {
 		for _, p := range profiles() {
 			id := "probe-" + uuid.NewString()
 			got := w.requestAt(id, arrival{profile: p.Name, tokens: 3}, v)
 			if got.outcome != outcome.Complete {
-				w.wrong("healed, but %v", got)
+				w.problemf("healed, but %v", got)
 			}
 		}
 		target := v.Store().Current().Targets["s0"]
-		if a := w.propose(v, proposal(config.EntityTarget, "s0", target, target.Revision)); a.kind != toldAccepted {
-			w.wrong("healed, but a change at %s was not accepted: %v", v.name, a.err)
+		if a := w.propose(v, proposal(config.EntityTarget, "s0", target, target.Revision)); a.kind != answerAccepted {
+			w.problemf("healed, but a change at %s was not accepted: %v", v.name, a.err)
 		}
 	}
 }
 
-// close stops every VM in order and looks at what they leave behind.
+// close stops every VM gracefully and checks that no lease, row or slot remains in use.
 func (w *world) close() {
 	for _, v := range w.running() {
 		w.stopVM(v)
@@ -217,15 +221,15 @@
 	w.work.Wait()
 	for _, duty := range []string{"orders", "sweep", "compact"} {
 		if l := leaseRow(w.store, duty); l.Holder != "" {
-			w.wrong("the lease of %s is left with %s", duty, l.Holder)
+			w.problemf("the lease of %s is still held by %s", duty, l.Holder)
 		}
 	}
-	if rows := w.store.PeekKeys(rosterFrom, rosterTo); len(rows) > 0 {
-		w.wrong("rows left behind: %v", rows)
+	if rows := w.store.PeekKeys(vmRowsFrom, vmRowsTo); len(rows) > 0 {
+		w.problemf("rows of VMs remain: %v", rows)
 	}
 	for name, e := range w.engines {
 		if e.Active() > 0 {
-			w.wrong("%s has %d slots taken at the end", name, e.Active())
+			w.problemf("%s has %d slots in use at the end", name, e.Active())
 		}
 		e.Close()
 	}
--- a/internal/harness/fleettest/random_test.go
+++ b/internal/harness/fleettest/random_test.go
@@ -8,25 +8,25 @@
 	"pgregory.net/rapid"
 )
 
-// checksInCI bounds the runs where no count is given.
+// checksInCI is the number of runs if the command line gives none.
 const checksInCI = 10
 
-// Whole fleets: callers come at random, operators race on the same entities through
-// different VMs, engines, services, the store and the VM list fail, VMs are cut off,
-// killed, stopped and joined, singly and two at once. What callers and operators were
-// told is compared with what ran, and the fleet must heal.
+// Runs whole fleets with random events: requests arrive, operators race on the same
+// entities at different VMs, engines, services, the store and the VM list fail, and VMs
+// are cut off, killed, stopped and started, one or two at a time. The answers to callers
+// and operators are compared with what was executed, and the fleet must recover.
 func TestRandomFleets(t *testing.T) {
 	counts := map[string]int{}
 	var first sync.Once
 	rapid.Check(t, func(rt *rapid.T) {
 		s := rapid.Custom(draw).Draw(rt, "script")
 		var problems []string
-		var all []told
-		var what *trace
-		synctest.Test(t, func(*testing.T) { problems, all, what = play(s, planted{}) })
+		var all []callerResult
+		var events *trace
+		synctest.Test(t, func(*testing.T) { problems, all, events = play(s, planted{}) })
 		if len(problems) > 0 {
-			// rapid shows the run that it ends with, which need not fail the same way.
-			first.Do(func() { t.Logf("the first run that failed: %v\n%v", problems, what) })
+			// Rapid reports the last run of its shrinking, which may fail differently.
+			first.Do(func() { t.Logf("first failed run: %v\n%v", problems, events) })
 		}
 		for _, problem := range problems {
 			rt.Error(problem)
@@ -35,5 +35,5 @@
 			counts[got.profile+" "+got.outcome.String()]++
 		}
 	})
-	t.Log("callers were told: ", counts)
+	t.Log("outcomes by profile: ", counts)
 }
--- a/internal/harness/fleettest/script_test.go
+++ b/internal/harness/fleettest/script_test.go
@@ -27,49 +27,50 @@
 	at      time.Duration
 	vm      int
 	profile string
-	// key is empty for a request without one; two arrivals may share one.
+	// key is the idempotency key, empty for none. Arrivals may share a key.
 	key    string
 	tokens int
-	// gone is when the caller goes away, 0 for never.
-	gone time.Duration
-	// stubborn callers reach their VM even when the balancer holds it unready.
-	stubborn bool
+	// disconnectAfter is the time after which the caller disconnects, 0 for never.
+	disconnectAfter time.Duration
+	// pinned requests are sent to their VM even if it is not ready.
+	pinned bool
 }
 
-// operation is what one operator does.
+// operation is one configuration change by an operator.
 type operation struct {
 	at   time.Duration
 	vm   int
 	kind string
 	name string
-	// second is the VM that gets a copy of the same proposal, -1 for none.
+	// second is the VM that also gets a copy of the proposal, -1 for none.
 	second int
 }
 
 // incident is one fault of a script.
 type incident struct {
-	at    time.Duration
-	kind  string
-	vm    int
-	name  string
-	fault serviceFault
-	lasts time.Duration
+	at       time.Duration
+	kind     string
+	vm       int
+	name     string
+	fault    serviceFault
+	duration time.Duration
 }
 
+// script holds all events of one run.
 type script struct {
 	arrivals   []arrival
 	operations []operation
 	incidents  []incident
 }
 
-// draw leaves the counts to rapid, which shrinks them, and takes the rest from a
-// plain generator: rapid prefers small numbers, and faults of a millisecond at the
-// start of a run prove little.
+// draw generates a script. Only the seed and the counts are drawn by rapid, which can
+// shrink them; the rest comes from an ordinary random generator. Rapid prefers small
+// numbers, and faults that last a millisecond at the start of a run test little.
 func draw(t *rapid.T) script {
 	seed := rapid.Uint64().Draw(t, "seed")
-	d := drawer{rand.New(rand.NewPCG(seed, seed))}
+	d := generator{rand.New(rand.NewPCG(seed, seed))}
 	var s script
-	// Half of the runs look at what VMs agree on, with faults of that alone.
+	// Half of the runs have control-path faults only, to test the agreement of VMs.
 	kinds := incidentKinds
 	if d.oneIn(2) {
 		kinds = controlKinds
@@ -86,48 +87,48 @@
 	return s
 }
 
-// drawer draws the parts of a script.
-type drawer struct{ *rand.Rand }
+// generator generates the parts of a script.
+type generator struct{ *rand.Rand }
 
-func (d drawer) upTo(longest time.Duration) time.Duration {
+func (d generator) upTo(longest time.Duration) time.Duration {
 	return time.Duration(d.Int64N(int64(longest)))
 }
 
-// oneIn is true once in n times.
-func (d drawer) oneIn(n int) bool { return d.IntN(n) == 0 }
+// oneIn returns true with probability 1/n.
+func (d generator) oneIn(n int) bool { return d.IntN(n) == 0 }
 
-func (d drawer) of(names ...string) string { return names[d.IntN(len(names))] }
+func (d generator) pick(names ...string) string { return names[d.IntN(len(names))] }
 
-func (d drawer) engine() string { return fmt.Sprintf("e%d", d.IntN(engineCount)) }
+func (d generator) engine() string { return fmt.Sprintf("e%d", d.IntN(engineCount)) }
 
-func (d drawer) arrival() arrival {
+func (d generator) arrival() arrival {
 	a := arrival{at: d.upTo(scriptTime), vm: d.IntN(maxVMs), tokens: 1 + d.IntN(maxTokens)}
-	a.profile = d.of("draft", "draft", "check", "hold", "hold", "ask")
+	a.profile = d.pick("draft", "draft", "check", "hold", "hold", "ask")
 	if a.profile == "hold" && d.oneIn(2) {
 		a.key = fmt.Sprintf("k%d", d.IntN(5))
 	}
 	if d.oneIn(10) {
-		a.gone = d.upTo(300 * time.Millisecond)
+		a.disconnectAfter = d.upTo(300 * time.Millisecond)
 	}
-	a.stubborn = d.oneIn(4)
+	a.pinned = d.oneIn(4)
 	return a
 }
 
-// operation races with the one before it or acts in the midst of an incident, half
-// of the time each.
-func (d drawer) operation(s script) operation {
+// operation generates an operation. With probability 1/2 it races with the previous
+// operation, and otherwise with probability 1/2 it takes place during an incident.
+func (d generator) operation(s script) operation {
 	o := operation{at: d.upTo(scriptTime), vm: d.IntN(firstVMs + 1), second: -1}
-	if midst := s.incidents[d.IntN(len(s.incidents))]; d.oneIn(2) {
-		o.at = midst.at + d.upTo(midst.lasts)
+	if during := s.incidents[d.IntN(len(s.incidents))]; d.oneIn(2) {
+		o.at = during.at + d.upTo(during.duration)
 	}
-	o.kind = d.of("drain", "drain", "undrain", "undrain", "version", "version", "profile")
+	o.kind = d.pick("drain", "drain", "undrain", "undrain", "version", "version", "profile")
 	switch o.kind {
 	case "profile":
-		o.name = d.of("draft", "check")
+		o.name = d.pick("draft", "check")
 	case "version":
 		o.name = d.engine()
 	default:
-		o.name = d.of(d.engine(), d.engine(), "s0", "s1")
+		o.name = d.pick(d.engine(), d.engine(), "s0", "s1")
 	}
 	if last := len(s.operations) - 1; last >= 0 && d.oneIn(2) {
 		before := s.operations[last]
@@ -139,13 +140,14 @@
 	return o
 }
 
-// incident begins with the one before it, half of the time.
-func (d drawer) incident(kinds []string, earlier []incident) incident {
-	i := incident{at: d.upTo(scriptTime), lasts: d.upTo(longestFault), vm: d.IntN(firstVMs), name: d.engine()}
+// incident generates an incident. With probability 1/2 it begins within a second of
+// the previous one.
+func (d generator) incident(kinds []string, earlier []incident) incident {
+	i := incident{at: d.upTo(scriptTime), duration: d.upTo(longestFault), vm: d.IntN(firstVMs), name: d.engine()}
 	i.kind = kinds[d.IntN(len(kinds))]
 	switch i.kind {
 	case "service":
-		i.name, i.fault = d.of("s0", "s1"), serviceFault(d.IntN(int(serviceFaults)))
+		i.name, i.fault = d.pick("s0", "s1"), serviceFault(d.IntN(int(serviceFaultCount)))
 	case "join":
 		i.vm = d.IntN(maxVMs)
 	}
--- a/internal/harness/fleettest/services_test.go
+++ b/internal/harness/fleettest/services_test.go
@@ -11,7 +11,7 @@
 	"geraniumcroft/internal/service"
 )
 
-// serviceFault is what happens to one call.
+// serviceFault is a fault of one call to a service.
 type serviceFault uint8
 
 const (
@@ -21,11 +21,11 @@
 	faultNotRun
 	faultConnect
 	faultStatus500
-	serviceFaults
+	serviceFaultCount
 )
 
-// services are the instances of plain services, in memory. They record what ran,
-// by the body of the call.
+// services simulates the instances of a plain service in memory. It counts executions
+// by the body of the call. It is safe for concurrent use.
 type services struct {
 	mu     sync.Mutex // guards the fields below
 	ran    map[string]int
@@ -36,7 +36,7 @@
 	return &services{ran: map[string]int{}, faults: map[string][]serviceFault{}}
 }
 
-func (m *services) order(address string, f serviceFault) {
+func (m *services) inject(address string, f serviceFault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults[address] = append(m.faults[address], f)
@@ -77,30 +77,30 @@
 	return m.ran[body]
 }
 
-// serviceLink is one VM's way to the services.
-type serviceLink struct {
+// serviceClient is the service.Client of one VM.
+type serviceClient struct {
 	world *world
 	vm    *vm
 }
 
 // Connect implements service.Client.
-func (l *serviceLink) Connect(_ context.Context, address string, _ bool) (service.Conn, error) {
-	if l.vm.severed.Load() {
+func (c *serviceClient) Connect(_ context.Context, address string, _ bool) (service.Conn, error) {
+	if c.vm.dead.Load() {
 		return nil, pipenet.ErrRefused
 	}
-	if err := l.world.services.connect(address); err != nil {
+	if err := c.world.services.connect(address); err != nil {
 		return nil, err
 	}
-	return &serviceConn{link: l, address: address}, nil
+	return &serviceConn{client: c, address: address}, nil
 }
 
 // Load implements service.Client.
-func (l *serviceLink) Load(context.Context, string) (engine.LoadReport, error) {
+func (c *serviceClient) Load(context.Context, string) (engine.LoadReport, error) {
 	return engine.LoadReport{}, errors.New("no report")
 }
 
 type serviceConn struct {
-	link    *serviceLink
+	client  *serviceClient
 	address string
 }
 
@@ -111,9 +111,9 @@
 
 // Do implements service.Conn.
 func (c *serviceConn) Do(ctx context.Context, call service.Call) (service.Response, error) {
-	c.link.world.sends.add(send{vm: c.link.vm.name, request: call.RequestID, address: c.address, at: time.Now()})
+	c.client.world.sends.add(send{vm: c.client.vm.name, request: call.RequestID, address: c.address, at: time.Now()})
 	time.Sleep(serviceLatency)
-	fault, faulty := c.link.world.services.execute(c.address, string(call.Body))
+	fault, faulty := c.client.world.services.execute(c.address, string(call.Body))
 	time.Sleep(serviceTime)
 	whole := service.Response{RequestID: call.RequestID, Status: 200, Body: call.Body}
 	if !faulty {
--- a/internal/harness/fleettest/trace_test.go
+++ b/internal/harness/fleettest/trace_test.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// trace is what happened in a run, for who reads why it failed. Runs do not repeat
-// exactly, so it has to be kept from the run that failed.
+// trace records the events of a run, to find out why it failed. Runs are not exactly
+// reproducible, so the trace must be kept from the run that failed.
 type trace struct {
 	began time.Time
 
@@ -35,7 +35,7 @@
 	return t.lines.String()
 }
 
-// logger returns a logger of a VM that writes into the trace.
+// logger returns a logger for a VM that writes to the trace.
 func (t *trace) logger(vm string) *zap.Logger {
 	encoder := zapcore.NewConsoleEncoder(zapcore.EncoderConfig{MessageKey: "m", NameKey: "n", EncodeName: zapcore.FullNameEncoder})
 	core := zapcore.NewCore(encoder, traceWriter{t}, zapcore.InfoLevel)
--- a/internal/harness/fleettest/world_test.go
+++ b/internal/harness/fleettest/world_test.go
@@ -1,6 +1,6 @@
-// Package fleettest runs whole fleets, data path and control path together, in
-// virtual time: real nodes, wired as a process is, over stand-ins and connections
-// in memory.
+// Package fleettest runs random tests of whole fleets, data path and control path
+// together, in virtual time. The nodes are real and wired as in a process; they run
+// over stand-ins and connections in memory.
 package fleettest
 
 import (
@@ -25,74 +25,80 @@
 )
 
 const (
-	layers     = 8
-	rosterFrom = "vm/"
-	rosterTo   = "vm0"
-	stopBound  = time.Minute
+	layers      = 8
+	vmRowsFrom  = "vm/"
+	vmRowsTo    = "vm0"
+	stopTimeout = time.Minute
 )
 
-// planted are faults that show that the oracle objects.
+// planted are faults planted in the fleet to show that the oracle detects them.
 type planted struct {
-	// noRoster hides the rows by which VMs that nobody knows yet are found.
-	noRoster bool
-	// noConditions makes the table write changes whatever the rows are.
+	// noVMRows hides the rows by which VMs find VMs that they do not know yet.
+	noVMRows bool
+	// noConditions makes the table commit configuration changes without checking their
+	// conditions.
 	noConditions bool
-	// servesCutOff makes a VM that is cut off believe that it reaches the store.
-	servesCutOff bool
-	// hidesWork makes engines look idle to who gives them orders.
-	hidesWork bool
+	// serveCutOff makes reads of the store succeed, with old rows, on a VM that is cut
+	// off from it.
+	serveCutOff bool
+	// hideWork makes engines report no active requests to the VM that sends orders.
+	hideWork bool
 }
 
-// world is a fleet before its stand-ins.
+// world is the environment of one run: the VMs, the stand-ins that they use, and the
+// events that the oracle checks.
 type world struct {
-	planted  planted
-	store    *platformsim.Store
-	network  *pipenet.Network
-	fabric   *enginesim.Fabric
-	engines  map[string]*enginesim.Engine
-	services *services
-	sends    sends
-	orders   ordersSeen
-	history  operators
-	accepted atomic.Uint64
-	work     sync.WaitGroup
-	trace    *trace
+	planted   planted
+	store     *platformsim.Store
+	network   *pipenet.Network
+	fabric    *enginesim.Fabric
+	engines   map[string]*enginesim.Engine
+	services  *services
+	sends     sends
+	orders    ordersSeen
+	proposals proposalLog
+	accepted  atomic.Uint64
+	work      sync.WaitGroup
+	trace     *trace
 
-	mu       sync.Mutex // guards the fields below
-	vms      map[string]*vm
-	starting map[int]bool
-	faults   faults
-	prints   map[uint64]string
-	arrivals map[string]time.Time
-	problems []string
+	mu        sync.Mutex // guards the fields below
+	vms       map[string]*vm
+	starting  map[int]bool
+	faults    faults
+	snapshots map[uint64]string    // encoded configuration by version, as VMs had it in force
+	arrivals  map[string]time.Time // by request id
+	problems  []string
 }
 
 // vm is one process of the fleet.
 type vm struct {
 	*node.Node
 	name, host string
-	// severed makes everything that the process sends go nowhere: it is dead.
-	severed  atomic.Bool
+	// dead is set when the process has ended. Nothing that it sends arrives any more.
+	dead     atomic.Bool
 	storeCut atomic.Bool
-	// ending is set by who ends the process, stopping before an orderly stop.
+	// ending is set by the incident that ends the process, so that it ends once.
+	// stopping is set before a graceful stop.
 	ending   atomic.Bool
 	stopping atomic.Bool
-	// requests ends with the process, and with it what its callers wait for.
+	// requests is the context of requests and proposals at this VM. It is cancelled by
+	// kill when the process ends.
 	requests context.Context
 	kill     context.CancelFunc
-	newest   atomic.Uint64
+	newest   atomic.Uint64 // version of the configuration in force
 }
 
 func newWorld(p planted) *world {
 	return &world{
 		planted: p, store: platformsim.NewStore(), network: pipenet.NewNetwork(), fabric: enginesim.NewFabric(nil),
 		engines: map[string]*enginesim.Engine{}, services: newServices(),
-		orders: ordersSeen{holder: map[uint64]*vm{}}, history: operators{},
-		vms: map[string]*vm{}, starting: map[int]bool{}, prints: map[uint64]string{}, arrivals: map[string]time.Time{}, trace: newTrace(),
+		orders: ordersSeen{holder: map[uint64]*vm{}}, proposals: proposalLog{},
+		vms: map[string]*vm{}, starting: map[int]bool{}, snapshots: map[uint64]string{}, arrivals: map[string]time.Time{}, trace: newTrace(),
 	}
 }
 
-func (w *world) wrong(format string, args ...any) {
+// problemf records a problem that the oracle found.
+func (w *world) problemf(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	problem := fmt.Sprintf(format, args...)
@@ -102,38 +108,38 @@
 
 func hostOfVM(number int) string { return fmt.Sprintf("10.0.1.%d", number) }
 
-// dialOver opens connections to peers as long as the process lives.
+// dialOver returns a function that opens connections to peers until the process ends.
 func (v *vm) dialOver(n *pipenet.Network) peer.Dial {
 	return func(ctx context.Context, address string) (net.Conn, error) {
-		if v.severed.Load() {
+		if v.dead.Load() {
 			return nil, pipenet.ErrRefused
 		}
 		return n.DialFrom(v.host)(ctx, address)
 	}
 }
 
-// start starts a VM; a name that was used before is a restart of that VM.
+// start starts a VM. If the number was used before, this is a restart of that VM.
 func (w *world) start(number int) *vm {
 	v := &vm{name: fmt.Sprintf("entry-%d", number), host: hostOfVM(number)}
 	v.requests, v.kill = context.WithCancel(context.Background())
 	direct := enginesim.NewDirectClient(w.fabric)
-	link := &platformLink{world: w, vm: v}
+	client := &platformClient{world: w, vm: v}
 	built, err := node.New(node.Options{
-		Settings: w.settings(v, number), Version: "test", Authenticator: nobody{}, Logger: w.trace.logger(v.name),
+		Settings: w.settings(v, number), Version: "test", Authenticator: denyAll{}, Logger: w.trace.logger(v.name),
 		OnViolation: func(violation invariant.Violation) {
-			w.wrong("invariant %s on %s: %s", violation.Name, v.name, violation.Detail)
+			w.problemf("invariant %s on %s: %s", violation.Name, v.name, violation.Detail)
 		},
 		Wiring: &node.Wiring{
 			Listen: func(address string) (net.Listener, error) { return w.network.Listen(address), nil }, DialPeer: v.dialOver(w.network),
-			Engines: &engineLink{DirectClient: direct, world: w, vm: v}, Services: &serviceLink{world: w, vm: v},
-			Table: link, Objects: link, VMList: link,
+			Engines: &engineClient{DirectClient: direct, world: w, vm: v}, Services: &serviceClient{world: w, vm: v},
+			Table: client, Objects: client, VMList: client,
 		},
 	})
 	if err != nil {
 		panic(err)
 	}
 	v.Node = built
-	v.Store().Subscribe(func(s *config.Snapshot) { w.inForce(v, s) })
+	v.Store().Subscribe(func(s *config.Snapshot) { w.checkInForce(v, s) })
 	w.mu.Lock()
 	w.vms[v.name] = v
 	w.mu.Unlock()
@@ -141,7 +147,7 @@
 	if err := v.Start(); err != nil {
 		panic(err)
 	}
-	w.list()
+	w.updateVMList()
 	return v
 }
 
@@ -176,8 +182,8 @@
 	return parsed
 }
 
-// list tells the platform which VMs there are.
-func (w *world) list() {
+// updateVMList sets the platform's VM list to the running VMs.
+func (w *world) updateVMList() {
 	var listed []platform.VM
 	for _, v := range w.running() {
 		listed = append(listed, platform.VM{
@@ -188,58 +194,60 @@
 	w.store.SetVMs(listed...)
 }
 
-// running returns the processes that live, in order of name.
+// running returns the running VMs, ordered by number.
 func (w *world) running() []*vm {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var all []*vm
 	for number := range maxVMs {
-		if v := w.vms[fmt.Sprintf("entry-%d", number)]; v != nil && !v.severed.Load() {
+		if v := w.vms[fmt.Sprintf("entry-%d", number)]; v != nil && !v.dead.Load() {
 			all = append(all, v)
 		}
 	}
 	return all
 }
 
+// vm returns the running VM with a number, or nil.
 func (w *world) vm(number int) *vm {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	v := w.vms[fmt.Sprintf("entry-%d", number)]
-	if v == nil || v.severed.Load() {
+	if v == nil || v.dead.Load() {
 		return nil
 	}
 	return v
 }
 
-// killVM ends a process without a word to anyone.
+// killVM ends a process abruptly: its connections go silent and its peers get no
+// notice.
 func (w *world) killVM(v *vm) {
 	w.trace.note("kill %s", v.name)
-	v.severed.Store(true)
+	v.dead.Store(true)
 	w.network.Silence(func(from, to string) bool { return from == v.host || to == v.host })
 	v.kill()
-	w.list()
+	w.updateVMList()
 	v.Kill()
-	w.forget(v)
+	w.remove(v)
 }
 
-// stopVM stops a process in order. All that it has in hand must end first.
+// stopVM stops a process gracefully. All its requests in progress must end first.
 func (w *world) stopVM(v *vm) {
 	w.trace.note("stop %s", v.name)
 	v.stopping.Store(true)
-	w.list()
-	ctx, cancel := context.WithTimeout(context.Background(), stopBound)
+	w.updateVMList()
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	v.Stop(ctx)
 	if ctx.Err() != nil {
-		w.wrong("%s did not stop within %s", v.name, stopBound)
+		w.problemf("%s did not stop within %s", v.name, stopTimeout)
 	}
-	v.severed.Store(true)
+	v.dead.Store(true)
 	v.kill()
-	w.forget(v)
-	w.list()
+	w.remove(v)
+	w.updateVMList()
 }
 
-func (w *world) forget(v *vm) {
+func (w *world) remove(v *vm) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.vms[v.name] == v {
@@ -247,43 +255,44 @@
 	}
 }
 
-// inForce judges each configuration that a VM puts in force: it is newer than the
-// one before, and the same as every other VM has under its version.
-func (w *world) inForce(v *vm, s *config.Snapshot) {
-	print, err := json.Marshal(s)
+// checkInForce checks a configuration that a VM puts in force: it must be newer than
+// the one before and equal on all VMs that have this version.
+func (w *world) checkInForce(v *vm, s *config.Snapshot) {
+	encoded, err := json.Marshal(s)
 	if err != nil {
 		panic(err)
 	}
 	if before := v.newest.Swap(s.Version); before >= s.Version {
-		w.wrong("%s went from version %d to %d", v.name, before, s.Version)
+		w.problemf("%s went from version %d to %d", v.name, before, s.Version)
 	}
 	w.mu.Lock()
-	other, known := w.prints[s.Version]
-	w.prints[s.Version] = string(print)
+	other, known := w.snapshots[s.Version]
+	w.snapshots[s.Version] = string(encoded)
 	w.mu.Unlock()
-	if known && other != string(print) {
-		w.wrong("version %d differs between VMs: %s has %s, another %s", s.Version, v.name, print, other)
+	if known && other != string(encoded) {
+		w.problemf("version %d differs between VMs: %s has %s, another %s", s.Version, v.name, encoded, other)
 	}
 }
 
-func (v *vm) serves() bool { return !v.severed.Load() && v.Router().Gate.Check() == nil }
+// serves reports whether the VM admits requests.
+func (v *vm) serves() bool { return !v.dead.Load() && v.Router().Gate.Check() == nil }
 
-// judgeServing objects when a VM serves under a configuration older than one that
-// an operator was told is in force.
-func (w *world) judgeServing(when string) {
+// checkServing checks that no VM serves under a configuration older than one that was
+// reported to an operator as in force everywhere.
+func (w *world) checkServing(when string) {
 	floor := w.accepted.Load()
 	for _, v := range w.running() {
 		serves := v.serves()
 		if have := v.Store().Current().Version; serves && have < floor {
-			w.wrong("%s serves under version %d although %d was accepted (%s)", v.name, have, floor, when)
+			w.problemf("%s serves under version %d although %d was accepted (%s)", v.name, have, floor, when)
 		}
 	}
 }
 
-// monitor judges at short intervals until the world closes.
+// monitor calls checkServing at short intervals until ctx ends.
 func (w *world) monitor(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.judgeServing("seen at an interval")
+		w.checkServing("seen at an interval")
 		select {
 		case <-ctx.Done():
 		case <-time.After(100 * time.Millisecond):
@@ -291,8 +300,8 @@
 	}
 }
 
-// nobody knows no operator's token.
-type nobody struct{}
+// denyAll is an authenticator that accepts no token.
+type denyAll struct{}
 
 // Authenticate implements adminapi.Authenticator.
-func (nobody) Authenticate(string) (string, adminapi.Role, bool) { return "", "", false }
+func (denyAll) Authenticate(string) (string, adminapi.Role, bool) { return "", "", false }
