--- a/cmd/geraniumcroft/relay.go
+++ b/cmd/geraniumcroft/relay.go
@@ -61,7 +61,7 @@
 // Execute implements subcommands.Command.
 func (c *relayCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := exit.CheckNoArgs(f); err != nil {
-		return exit.Misused(err)
+		return exit.ReportUsageError(err)
 	}
 	loaded, findings := settings.LoadRelay(c.file)
 	for _, finding := range findings {
@@ -80,7 +80,7 @@
 func (c *relayCommand) serve(s *settings.Settings) subcommands.ExitStatus {
 	log, err := telemetry.NewLog(telemetry.LogOptions{Level: s.Log.Level, Format: s.Log.Format, Out: os.Stdout})
 	if err != nil {
-		return exit.Failed(err)
+		return exit.ReportFailure(err)
 	}
 	defer func() { _ = log.Close() }()
 	logger := log.With(zap.String("vm", s.VM.Name))
@@ -89,7 +89,7 @@
 	process, err := entry.New(relayOptions(s, logger, log.Dropped))
 	if err != nil {
 		logger.Error("not started", zap.Error(err))
-		return exit.Failed(err)
+		return exit.ReportFailure(err)
 	}
 	process.Start()
 	for {
--- a/internal/causes/account.go
+++ b/internal/causes/aggregator.go
@@ -34,8 +34,8 @@
 		(f.Profile == "" || f.Profile == e.Profile)
 }
 
-// Account counts causes.
-type Account struct {
+// Aggregator counts causes.
+type Aggregator struct {
 	Limits Limits
 	Filter Filter
 	// Span is the length of a row of the account over time.
@@ -56,12 +56,12 @@
 }
 
 // New returns an empty account.
-func New(limits Limits, filter Filter, span time.Duration) *Account {
-	return &Account{Limits: limits, Filter: filter, Span: span, dataCentres: map[string]string{}, causes: map[Cause]*count{}, spans: map[time.Time]map[Outcome]int{}}
+func New(limits Limits, filter Filter, span time.Duration) *Aggregator {
+	return &Aggregator{Limits: limits, Filter: filter, Span: span, dataCentres: map[string]string{}, causes: map[Cause]*count{}, spans: map[time.Time]map[Outcome]int{}}
 }
 
 // Read adds a log, which may be compressed.
-func (a *Account) Read(log io.Reader) error {
+func (a *Aggregator) Read(log io.Reader) error {
 	buffered := bufio.NewReader(log)
 	if magic, err := buffered.Peek(len(gzipMagic)); err == nil && string(magic) == gzipMagic {
 		unpacked, err := gzip.NewReader(buffered)
@@ -73,7 +73,7 @@
 	return a.scan(buffered)
 }
 
-func (a *Account) scan(log io.Reader) error {
+func (a *Aggregator) scan(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
@@ -89,11 +89,11 @@
 	return errors.Wrap(scanner.Err(), "log not read")
 }
 
-func (a *Account) add(e Event) {
+func (a *Aggregator) add(e Event) {
 	if !a.Filter.admits(e) {
 		return
 	}
-	cause := a.Limits.CauseOf(e)
+	cause := a.Limits.Classify(e)
 	c := a.causes[cause]
 	if c == nil {
 		c = &count{byDataCentre: map[string]int{}, byProfile: map[string]int{}, first: e.Arrival()}
@@ -143,7 +143,7 @@
 }
 
 // Report returns the account so far.
-func (a *Account) Report() Report {
+func (a *Aggregator) Report() Report {
 	var r Report
 	for cause, c := range a.causes {
 		r.Requests += c.requests
--- a/internal/causes/cause.go
+++ b/internal/causes/cause.go
@@ -12,12 +12,12 @@
 
 // The outcomes. A request that the caller left, or that was not allowed, was not lost.
 const (
-	InTime   Outcome = "in time"
-	Late     Outcome = "late"
-	Refused  Outcome = "refused"
-	Failed   Outcome = "failed"
-	NotOwed  Outcome = "not owed"
-	BrokeOff Outcome = "broken off"
+	InTime    Outcome = "in time"
+	Late      Outcome = "late"
+	Refused   Outcome = "refused"
+	Failed    Outcome = "failed"
+	NotOwed   Outcome = "not owed"
+	BrokenOff Outcome = "broken off"
 )
 
 // The reasons for which a request is late.
--- a/internal/causes/causes_test.go
+++ b/internal/causes/causes_test.go
@@ -36,7 +36,7 @@
 		report := account.Report()
 		want := map[Cause]string{
 			{InTime, ""}: "r1 r5", {Late, lateAnswer}: "r2", {Late, lateWaiting}: "r3", {Late, "pause: sent anew"}: "r4",
-			{Refused, "deadline: too late"}: "r6", {NotOwed, "unauthorized"}: "r7", {BrokeOff, "target-failed: gone"}: "r8",
+			{Refused, "deadline: too late"}: "r6", {NotOwed, "unauthorized"}: "r7", {BrokenOff, "target-failed: gone"}: "r8",
 		}
 		if report.Requests != 8 || len(report.Causes) != len(want) {
 			t.Errorf("%s: %d requests of %d causes", name, report.Requests, len(report.Causes))
--- a/internal/causes/event.go
+++ b/internal/causes/event.go
@@ -8,21 +8,21 @@
 
 // Event is the end of one request, as a VM's log has it.
 type Event struct {
-	At         time.Time
-	VM         string
-	RequestID  string
-	Profile    string
-	Took       time.Duration
-	Complete   bool
-	Outcome    string
-	Reason     string
-	Detail     string
-	Generation bool
-	Waited     time.Duration
-	FirstEvent time.Duration
-	Pause      time.Duration
-	PauseEnded string
-	Sends      int
+	At           time.Time
+	VM           string
+	RequestID    string
+	Profile      string
+	Took         time.Duration
+	Complete     bool
+	Outcome      string
+	Reason       string
+	Detail       string
+	Generation   bool
+	Waited       time.Duration
+	FirstEvent   time.Duration
+	LongestPause time.Duration
+	PauseEnded   string
+	Sends        int
 	// Objective and Gap are what the profile promises, 0 if it does not say.
 	Objective time.Duration
 	Gap       time.Duration
@@ -40,24 +40,24 @@
 
 // line is the part of a log line that is used.
 type line struct {
-	Time       time.Time `json:"time"`
-	Message    string    `json:"msg"`
-	VM         string    `json:"vm"`
-	DataCentre string    `json:"dataCentre"`
-	RequestID  string    `json:"requestId"`
-	Profile    string    `json:"profile"`
-	Outcome    string    `json:"outcome"`
-	Reason     string    `json:"reason"`
-	Detail     string    `json:"detail"`
-	Path       string    `json:"path"`
-	PauseEnded string    `json:"pauseEnded"`
-	Sends      int       `json:"sends"`
-	Took       duration  `json:"took"`
-	Waited     duration  `json:"waited"`
-	FirstEvent duration  `json:"firstEvent"`
-	Pause      duration  `json:"longestPause"`
-	Objective  duration  `json:"objective"`
-	Gap        duration  `json:"gap"`
+	Time         time.Time `json:"time"`
+	Message      string    `json:"msg"`
+	VM           string    `json:"vm"`
+	DataCentre   string    `json:"dataCentre"`
+	RequestID    string    `json:"requestId"`
+	Profile      string    `json:"profile"`
+	Outcome      string    `json:"outcome"`
+	Reason       string    `json:"reason"`
+	Detail       string    `json:"detail"`
+	Path         string    `json:"path"`
+	PauseEnded   string    `json:"pauseEnded"`
+	Sends        int       `json:"sends"`
+	Took         duration  `json:"took"`
+	Waited       duration  `json:"waited"`
+	FirstEvent   duration  `json:"firstEvent"`
+	LongestPause duration  `json:"longestPause"`
+	Objective    duration  `json:"objective"`
+	Gap          duration  `json:"gap"`
 }
 
 // duration is written as in 12.5ms.
@@ -93,7 +93,7 @@
 		At: l.Time, VM: l.VM, RequestID: l.RequestID, Profile: l.Profile, Took: time.Duration(l.Took),
 		Complete: l.Message == messageComplete, Outcome: l.Outcome, Reason: l.Reason, Detail: l.Detail,
 		Generation: l.Path != "", Waited: time.Duration(l.Waited), FirstEvent: time.Duration(l.FirstEvent),
-		Pause: time.Duration(l.Pause), PauseEnded: l.PauseEnded, Sends: l.Sends,
+		LongestPause: time.Duration(l.LongestPause), PauseEnded: l.PauseEnded, Sends: l.Sends,
 		Objective: time.Duration(l.Objective), Gap: time.Duration(l.Gap),
 	}
 }
--- a/internal/causes/limits.go
+++ b/internal/causes/limits.go
@@ -11,8 +11,8 @@
 	Gap       time.Duration
 }
 
-// CauseOf says how a request ended, and why.
-func (l Limits) CauseOf(e Event) Cause {
+// Classify says how a request ended, and why.
+func (l Limits) Classify(e Event) Cause {
 	switch {
 	case e.Complete:
 		return l.ofComplete(e)
@@ -21,7 +21,7 @@
 	case e.Outcome == "not-run":
 		return Cause{Refused, e.Reason + ": " + e.Detail}
 	case e.FirstEvent > 0:
-		return Cause{BrokeOff, e.Reason + ": " + e.Detail}
+		return Cause{BrokenOff, e.Reason + ": " + e.Detail}
 	}
 	return Cause{Failed, e.Reason + ": " + e.Detail}
 }
@@ -39,7 +39,7 @@
 		return Cause{Late, lateResentLong}
 	case e.FirstEvent > objective:
 		return Cause{Late, lateFirst}
-	case e.Pause > gap:
+	case e.LongestPause > gap:
 		return Cause{Late, latePause + cmp.Or(e.PauseEnded, "unknown end")}
 	}
 	return Cause{InTime, ""}
--- a/internal/causes/print.go
+++ b/internal/causes/print.go
@@ -10,7 +10,7 @@
 )
 
 // printedSpans are the outcomes that have a column each.
-var printedSpans = []Outcome{InTime, Late, Refused, Failed, BrokeOff, NotOwed}
+var printedSpans = []Outcome{InTime, Late, Refused, Failed, BrokenOff, NotOwed}
 
 // Print writes the report as two tables.
 func (r Report) Print(out io.Writer) error {
--- a/internal/cli/causescmd/command.go
+++ b/internal/cli/causescmd/command.go
@@ -61,19 +61,19 @@
 func (c *Command) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	filter, err := c.filter()
 	if err != nil {
-		return exit.Misused(err)
+		return exit.ReportUsageError(err)
 	}
 	if f.NArg() == 0 || c.span <= 0 {
-		return exit.Misused(errors.New("at least one file is needed, and a span above zero"))
+		return exit.ReportUsageError(errors.New("at least one file is needed, and a span above zero"))
 	}
-	account := causes.New(causes.Limits{Objective: c.objective, Gap: c.gap}, filter, c.span)
+	aggregator := causes.New(causes.Limits{Objective: c.objective, Gap: c.gap}, filter, c.span)
 	for _, name := range f.Args() {
-		if err := read(account, name); err != nil {
-			return exit.Failed(errors.Wrap(err, name))
+		if err := read(aggregator, name); err != nil {
+			return exit.ReportFailure(errors.Wrap(err, name))
 		}
 	}
-	if err := c.print(os.Stdout, account.Report()); err != nil {
-		return exit.Failed(err)
+	if err := c.print(os.Stdout, aggregator.Report()); err != nil {
+		return exit.ReportFailure(err)
 	}
 	return exit.Done
 }
@@ -96,16 +96,16 @@
 	return filter, nil
 }
 
-func read(account *causes.Account, name string) error {
+func read(aggregator *causes.Aggregator, name string) error {
 	if name == standardIn {
-		return account.Read(os.Stdin)
+		return aggregator.Read(os.Stdin)
 	}
 	file, err := os.Open(name)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = file.Close() }() // read only
-	return account.Read(file)
+	return aggregator.Read(file)
 }
 
 func (c *Command) print(out io.Writer, report causes.Report) error {
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -39,7 +39,7 @@
 // Execute implements subcommands.Command.
 func (c *checkCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := exit.CheckNoArgs(f); err != nil {
-		return exit.Misused(err)
+		return exit.ReportUsageError(err)
 	}
 	if _, ok := loadSettings(c.file); !ok {
 		return exit.Usage
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -42,17 +42,17 @@
 // Execute implements subcommands.Command.
 func (c *demoCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := exit.CheckNoArgs(f); err != nil {
-		return exit.Misused(err)
+		return exit.ReportUsageError(err)
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	d, err := demo.New(ctx, os.Stdout)
 	if err != nil {
-		return exit.Failed(err)
+		return exit.ReportFailure(err)
 	}
 	defer d.Close()
 	if err := d.Run(ctx); err != nil {
-		return exit.Failed(err)
+		return exit.ReportFailure(err)
 	}
 	if c.keep {
 		fmt.Print(d.Hints())
--- a/internal/cli/exit/exit.go
+++ b/internal/cli/exit/exit.go
@@ -18,14 +18,14 @@
 	Usage = subcommands.ExitUsageError
 )
 
-// Failed reports what the command could not do.
-func Failed(err error) subcommands.ExitStatus {
+// ReportFailure reports what the command could not do.
+func ReportFailure(err error) subcommands.ExitStatus {
 	fmt.Fprintln(os.Stderr, "geraniumcroft:", err)
 	return Fail
 }
 
-// Misused reports bad usage or settings.
-func Misused(err error) subcommands.ExitStatus {
+// ReportUsageError reports bad usage or settings.
+func ReportUsageError(err error) subcommands.ExitStatus {
 	fmt.Fprintln(os.Stderr, "geraniumcroft:", err)
 	return Usage
 }
--- a/internal/cli/experimentcmd/experimentcmd.go
+++ b/internal/cli/experimentcmd/experimentcmd.go
@@ -60,14 +60,14 @@
 	}
 	chosen, err := choose(f.Args())
 	if err != nil {
-		return exit.Misused(err)
+		return exit.ReportUsageError(err)
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	c.options.Progress = os.Stderr
 	for _, e := range chosen {
 		if err := c.run(ctx, e); err != nil {
-			return exit.Failed(err)
+			return exit.ReportFailure(err)
 		}
 	}
 	return exit.Done
--- a/internal/cli/explaincmd/command.go
+++ b/internal/cli/explaincmd/command.go
@@ -35,23 +35,23 @@
 // Execute implements subcommands.Command.
 func (*Command) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() < 2 {
-		return exit.Misused(errors.New("a request id and at least one file are needed"))
+		return exit.ReportUsageError(errors.New("a request id and at least one file are needed"))
 	}
 	var logs []io.Reader
 	for _, name := range f.Args()[1:] {
 		file, err := os.Open(name)
 		if err != nil {
-			return exit.Failed(err)
+			return exit.ReportFailure(err)
 		}
 		defer func() { _ = file.Close() }() // read only
 		logs = append(logs, file)
 	}
 	found, err := story(os.Stdout, f.Arg(0), logs...)
 	if err != nil {
-		return exit.Failed(err)
+		return exit.ReportFailure(err)
 	}
 	if !found {
-		return exit.Failed(errors.Newf("no line about request %s", f.Arg(0)))
+		return exit.ReportFailure(errors.Newf("no line about request %s", f.Arg(0)))
 	}
 	return exit.Done
 }
--- a/internal/cli/loadcmd/loadcmd.go
+++ b/internal/cli/loadcmd/loadcmd.go
@@ -83,16 +83,16 @@
 		return compare(f.Args())
 	}
 	if err := c.prepare(f.Args()); err != nil {
-		return exit.Misused(err)
+		return exit.ReportUsageError(err)
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	result, err := loadgen.Run(ctx, c.options)
 	if err != nil {
-		return exit.Failed(err)
+		return exit.ReportFailure(err)
 	}
 	if err := c.write(result); err != nil {
-		return exit.Failed(err)
+		return exit.ReportFailure(err)
 	}
 	if result.FaultCount() > 0 || result.Requests == 0 {
 		return exit.Fail
@@ -143,18 +143,18 @@
 func compare(files []string) subcommands.ExitStatus {
 	const wanted = 2
 	if len(files) != wanted {
-		return exit.Misused(fmt.Errorf("load -compare needs two reports, got %d", len(files)))
+		return exit.ReportUsageError(fmt.Errorf("load -compare needs two reports, got %d", len(files)))
 	}
 	var reports [wanted]*loadgen.Report
 	for i, file := range files {
 		read, err := loadgen.ReadJSON(file)
 		if err != nil {
-			return exit.Misused(err)
+			return exit.ReportUsageError(err)
 		}
 		reports[i] = read
 	}
 	if err := loadgen.Compare(os.Stdout, reports[0], reports[1]); err != nil {
-		return exit.Failed(err)
+		return exit.ReportFailure(err)
 	}
 	return exit.Done
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -42,7 +42,7 @@
 // Execute implements subcommands.Command.
 func (c *serveCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := exit.CheckNoArgs(f); err != nil {
-		return exit.Misused(err)
+		return exit.ReportUsageError(err)
 	}
 	loaded, ok := loadSettings(c.file)
 	if !ok {
@@ -50,14 +50,14 @@
 	}
 	log, err := telemetry.NewLog(telemetry.LogOptions{Level: loaded.Log.Level, Format: loaded.Log.Format, Out: os.Stderr})
 	if err != nil {
-		return exit.Failed(err)
+		return exit.ReportFailure(err)
 	}
 	defer func() { _ = log.Close() }()
 	files := &nodeFiles{logger: log.Logger}
 	defer files.close()
 	n, err := startNode(files, loaded)
 	if err != nil {
-		return exit.Failed(err)
+		return exit.ReportFailure(err)
 	}
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -44,23 +44,23 @@
 // Execute implements subcommands.Command.
 func (c *standinCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := exit.CheckNoArgs(f); err != nil {
-		return exit.Misused(err)
+		return exit.ReportUsageError(err)
 	}
 	if c.file == "" {
-		return exit.Misused(errors.New("-file FILE is needed"))
+		return exit.ReportUsageError(errors.New("-file FILE is needed"))
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	group, err := standin.Load(c.file)
 	if err != nil {
-		return exit.Misused(err)
+		return exit.ReportUsageError(err)
 	}
 	if err := group.Start(); err != nil {
-		return exit.Failed(err)
+		return exit.ReportFailure(err)
 	}
 	defer group.Close()
 	if err := group.PrintEntities(os.Stdout); err != nil {
-		return exit.Failed(err)
+		return exit.ReportFailure(err)
 	}
 	<-ctx.Done()
 	return exit.Done
