--- a/internal/causes/aggregator.go
+++ b/internal/causes/aggregator.go
@@ -13,41 +13,44 @@
 )
 
 const (
-	// maxLine bounds a line of a log.
-	maxLine = 4 << 20
-	// keptIDs is how many requests are named for each cause.
-	keptIDs = 3
-	// gzipMagic begins a compressed log.
+	// maxLineBytes bounds the length of a log line in bytes.
+	maxLineBytes = 4 << 20
+	// maxIDsPerCause bounds the number of request ids that are kept for each cause.
+	maxIDsPerCause = 3
+	// gzipMagic is the start of a log compressed with gzip.
 	gzipMagic = "\x1f\x8b"
 )
 
-// Filter selects requests. Zero fields select all.
+// Filter selects requests by time of arrival, from Since and before Until, and by profile.
+// A zero field does not restrict the selection.
 type Filter struct {
 	Since   time.Time
 	Until   time.Time
 	Profile string
 }
 
-func (f Filter) admits(e Event) bool {
+func (f Filter) matches(e Event) bool {
 	at := e.Arrival()
 	return (f.Since.IsZero() || !at.Before(f.Since)) && (f.Until.IsZero() || at.Before(f.Until)) &&
 		(f.Profile == "" || f.Profile == e.Profile)
 }
 
-// Aggregator counts causes.
+// Aggregator counts the causes of the requests in logs. It is not safe for concurrent use.
 type Aggregator struct {
 	Limits Limits
 	Filter Filter
-	// Span is the length of a row of the account over time.
+	// Span is the length of time that one SpanRow covers.
 	Span time.Duration
 
+	// dataCentres maps the name of a VM to its data centre, from the line that the VM logs at
+	// its start.
 	dataCentres map[string]string
-	causes      map[Cause]*count
+	causes      map[Cause]*causeStats
 	spans       map[time.Time]map[Outcome]int
 }
 
-// count is what is kept of one cause.
-type count struct {
+// causeStats is the aggregate of the requests with one cause.
+type causeStats struct {
 	requests      int
 	ids           []string
 	byDataCentre  map[string]int
@@ -55,12 +58,14 @@
 	first, latest time.Time
 }
 
-// New returns an empty account.
+// New returns an Aggregator without requests.
 func New(limits Limits, filter Filter, span time.Duration) *Aggregator {
-	return &Aggregator{Limits: limits, Filter: filter, Span: span, dataCentres: map[string]string{}, causes: map[Cause]*count{}, spans: map[time.Time]map[Outcome]int{}}
+	return &Aggregator{Limits: limits, Filter: filter, Span: span, dataCentres: map[string]string{}, causes: map[Cause]*causeStats{}, spans: map[time.Time]map[Outcome]int{}}
 }
 
-// Read adds a log, which may be compressed.
+// Read adds the requests of a log, which may be compressed with gzip. Lines of other programs
+// are skipped. A request counts under the data centre "unknown" unless the line about the start
+// of its VM has been read before.
 func (a *Aggregator) Read(log io.Reader) error {
 	buffered := bufio.NewReader(log)
 	if magic, err := buffered.Peek(len(gzipMagic)); err == nil && string(magic) == gzipMagic {
@@ -75,7 +80,7 @@
 
 func (a *Aggregator) scan(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		l, ok := parse(scanner.Bytes())
 		switch {
@@ -90,17 +95,17 @@
 }
 
 func (a *Aggregator) add(e Event) {
-	if !a.Filter.admits(e) {
+	if !a.Filter.matches(e) {
 		return
 	}
 	cause := a.Limits.Classify(e)
 	c := a.causes[cause]
 	if c == nil {
-		c = &count{byDataCentre: map[string]int{}, byProfile: map[string]int{}, first: e.Arrival()}
+		c = &causeStats{byDataCentre: map[string]int{}, byProfile: map[string]int{}, first: e.Arrival()}
 		a.causes[cause] = c
 	}
 	c.requests++
-	if len(c.ids) < keptIDs {
+	if len(c.ids) < maxIDsPerCause {
 		c.ids = append(c.ids, e.RequestID)
 	}
 	c.byDataCentre[cmp.Or(a.dataCentres[e.VM], "unknown")]++
@@ -118,7 +123,8 @@
 	a.spans[span][cause.Outcome]++
 }
 
-// Row is one cause of the report.
+// Row is one cause in a report: the number of its requests, a few of their ids, and the
+// first and latest arrival.
 type Row struct {
 	Cause
 	Requests     int            `json:"requests"`
@@ -129,20 +135,20 @@
 	Latest       time.Time      `json:"latest"`
 }
 
-// SpanRow is one span of time of the report.
+// SpanRow counts, by outcome, the requests that arrived within one span of time.
 type SpanRow struct {
 	From     time.Time       `json:"from"`
 	Requests map[Outcome]int `json:"requests"`
 }
 
-// Report is the account: causes with the most requests first, then the spans in order.
+// Report holds the causes, those with the most requests first, and the spans in order of time.
 type Report struct {
 	Requests int       `json:"requests"`
 	Causes   []Row     `json:"causes"`
 	Spans    []SpanRow `json:"spans"`
 }
 
-// Report returns the account so far.
+// Report returns the aggregate of all logs read so far.
 func (a *Aggregator) Report() Report {
 	var r Report
 	for cause, c := range a.causes {
--- a/internal/causes/cause.go
+++ b/internal/causes/cause.go
@@ -1,16 +1,19 @@
 package causes
 
-// Cause is how a request ended, and for what reason.
+// Cause is the outcome of a request with its reason.
 type Cause struct {
 	Outcome Outcome `json:"outcome"`
-	// Reason is the log's own reason for a request that failed, and what made a stream late.
+	// Reason is empty for a request in time, and says what made a late one late. For the other
+	// outcomes it is the reason that the log gives, followed by the detail except for NotOwed.
 	Reason string `json:"reason"`
 }
 
-// Outcome is what the caller got.
+// Outcome is what the caller of a request got.
 type Outcome string
 
-// The outcomes. A request that the caller left, or that was not allowed, was not lost.
+// The outcomes. Refused requests did not run. Of the other failures, BrokenOff are those after
+// the first event and Failed those without one. NotOwed are failures for one of the
+// notOwedReasons: a request that the caller left, or that was not allowed, does not count as lost.
 const (
 	InTime    Outcome = "in time"
 	Late      Outcome = "late"
@@ -20,17 +23,17 @@
 	BrokenOff Outcome = "broken off"
 )
 
-// The reasons for which a request is late.
+// The reasons of late requests.
 const (
-	lateWaiting    = "waited for room"
-	lateFirst      = "first event"
-	lateResentLong = "first event, sent more than once"
-	latePause      = "pause: "
-	lateAnswer     = "answer"
+	lateQueued           = "waited for room"
+	lateFirstEvent       = "first event"
+	lateFirstEventResent = "first event, sent more than once"
+	latePausePrefix      = "pause: "
+	lateAnswer           = "answer"
 )
 
-// notOwed are the reasons of failures that nobody but the caller could have avoided.
-var notOwed = map[string]bool{
+// notOwedReasons holds the reasons of failures that only the caller could have avoided.
+var notOwedReasons = map[string]bool{
 	"unauthorized": true, "forbidden": true, "unknown-profile": true, "bad-request": true,
 	"too-large": true, "headers-too-large": true, "not-found": true, "caller-gone": true,
 }
--- a/internal/causes/causes_test.go
+++ b/internal/causes/causes_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// log is what two VMs wrote of eight requests, with a line of another program.
+// log holds the lines of two VMs about eight requests, and a line of another program.
 const log = `-3.1 vm-a {"level":"info","time":"2026-12-02T10:00:00Z","msg":"started","vm":"a","dataCentre":"north"}
 {"level":"info","time":"2026-12-02T10:00:01Z","msg":"request complete","vm":"a","requestId":"r1","took":"40ms","profile":"call","objective":"150ms"}
 {"level":"info","time":"2026-12-02T10:00:01Z","msg":"request complete","vm":"a","requestId":"r2","took":"400ms","profile":"call","objective":"150ms"}
@@ -21,21 +21,21 @@
 {"level":"warn","time":"2026-12-02T10:00:09Z","msg":"request failed","vm":"b","requestId":"r8","took":"2s","profile":"draft","path":"p","firstEvent":"70ms","outcome":"unknown","reason":"target-failed","detail":"gone"}
 `
 
-// Each request is counted once, under the outcome that its caller saw and the reason that
-// its line gives, plain or compressed logs alike.
+// Each request is counted once, under the outcome that its caller saw and the reason in its
+// log line. Plain and compressed logs give the same report.
 func TestEachRequestHasOneCause(t *testing.T) {
 	var packed bytes.Buffer
 	w := gzip.NewWriter(&packed)
 	_, _ = w.Write([]byte(log))
 	_ = w.Close()
 	for name, text := range map[string]string{"plain": log, "compressed": packed.String()} {
-		account := New(Limits{}, Filter{}, 2*time.Second)
-		if err := account.Read(strings.NewReader(text)); err != nil {
+		aggregator := New(Limits{}, Filter{}, 2*time.Second)
+		if err := aggregator.Read(strings.NewReader(text)); err != nil {
 			t.Fatal(name, err)
 		}
-		report := account.Report()
+		report := aggregator.Report()
 		want := map[Cause]string{
-			{InTime, ""}: "r1 r5", {Late, lateAnswer}: "r2", {Late, lateWaiting}: "r3", {Late, "pause: sent anew"}: "r4",
+			{InTime, ""}: "r1 r5", {Late, lateAnswer}: "r2", {Late, lateQueued}: "r3", {Late, "pause: sent anew"}: "r4",
 			{Refused, "deadline: too late"}: "r6", {NotOwed, "unauthorized"}: "r7", {BrokenOff, "target-failed: gone"}: "r8",
 		}
 		if report.Requests != 8 || len(report.Causes) != len(want) {
@@ -49,9 +49,9 @@
 	}
 }
 
-// Only what arrived within the span, and of the profile, is counted; its sums per span and
-// data centre are those of the causes.
-func TestAccountIsFiltered(t *testing.T) {
+// Only requests of the filter's profile that arrived between its times are counted. The counts
+// by span and by data centre add up to those of the causes.
+func TestFilter(t *testing.T) {
 	at := func(text string) time.Time {
 		parsed, err := time.Parse(time.RFC3339, text)
 		if err != nil {
@@ -59,11 +59,11 @@
 		}
 		return parsed
 	}
-	account := New(Limits{}, Filter{Since: at("2026-12-02T10:00:02Z"), Until: at("2026-12-02T10:00:08Z"), Profile: "draft"}, 2*time.Second)
-	if err := account.Read(strings.NewReader(log)); err != nil {
+	aggregator := New(Limits{}, Filter{Since: at("2026-12-02T10:00:02Z"), Until: at("2026-12-02T10:00:08Z"), Profile: "draft"}, 2*time.Second)
+	if err := aggregator.Read(strings.NewReader(log)); err != nil {
 		t.Fatal(err)
 	}
-	report := account.Report()
+	report := aggregator.Report()
 	inSpans := 0
 	for _, span := range report.Spans {
 		for _, n := range span.Requests {
--- a/internal/causes/event.go
+++ b/internal/causes/event.go
@@ -6,39 +6,41 @@
 	"time"
 )
 
-// Event is the end of one request, as a VM's log has it.
+// Event is the end of one request, as a VM logs it.
 type Event struct {
-	At           time.Time
-	VM           string
-	RequestID    string
-	Profile      string
-	Took         time.Duration
-	Complete     bool
-	Outcome      string
-	Reason       string
-	Detail       string
-	Generation   bool
-	Waited       time.Duration
-	FirstEvent   time.Duration
+	At         time.Time
+	VM         string
+	RequestID  string
+	Profile    string
+	Took       time.Duration
+	Complete   bool
+	Outcome    string
+	Reason     string
+	Detail     string
+	Generation bool
+	Waited     time.Duration
+	FirstEvent time.Duration
+	// LongestPause is the longest time between two events, and PauseEnded what ended it.
 	LongestPause time.Duration
 	PauseEnded   string
 	Sends        int
-	// Objective and Gap are what the profile promises, 0 if it does not say.
+	// Objective and Gap are the profile's bounds on the time to the answer or first event
+	// and on the pause between two events, 0 if the profile states none.
 	Objective time.Duration
 	Gap       time.Duration
 }
 
-// Arrival is when the request came.
+// Arrival returns the time at which the request arrived.
 func (e Event) Arrival() time.Time { return e.At.Add(-e.Took) }
 
-// The messages that are read.
+// The messages of the log lines that are read.
 const (
 	messageComplete = "request complete"
 	messageFailed   = "request failed"
 	messageStarted  = "started"
 )
 
-// line is the part of a log line that is used.
+// line holds the fields of a log line that are used.
 type line struct {
 	Time         time.Time `json:"time"`
 	Message      string    `json:"msg"`
@@ -60,7 +62,7 @@
 	Gap          duration  `json:"gap"`
 }
 
-// duration is written as in 12.5ms.
+// duration is a time.Duration whose text form is that of time.ParseDuration, such as 12.5ms.
 type duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -70,9 +72,9 @@
 	return err
 }
 
-// parse reads a line; what stands before its first brace, as a collector may put it there,
-// is passed over. It reports false for lines that are not about the end of a request or
-// the start of a VM, and for other programs' lines.
+// parse decodes a log line. It skips any text before the first brace, such as a prefix that a
+// log collector adds. It reports false for lines that are not about the end of a request or
+// the start of a VM, and for lines of other programs.
 func parse(text []byte) (line, bool) {
 	if !bytes.Contains(text, []byte(messageComplete)) && !bytes.Contains(text, []byte(messageFailed)) && !bytes.Contains(text, []byte(messageStarted)) {
 		return line{}, false
