--- a/internal/cli/causescmd/command.go
+++ b/internal/cli/causescmd/command.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	// defaultObjective and defaultGap hold for profiles that state none.
+	// defaultObjective and defaultGap apply to profiles that state none.
 	defaultObjective = 500 * time.Millisecond
 	defaultGap       = 250 * time.Millisecond
-	// defaultSpan is the length of a row of the table over time.
+	// defaultSpan is the length of time that a row of the table over time covers.
 	defaultSpan = 2 * time.Second
-	standardIn  = "-"
+	// standardInput is the file name that stands for standard input.
+	standardInput = "-"
 )
 
-// Command implements subcommands.Command.
+// Command implements "causes".
 type Command struct {
 	since, until, profile string
 	objective, gap, span  time.Duration
@@ -68,7 +69,7 @@
 	}
 	aggregator := causes.New(causes.Limits{Objective: c.objective, Gap: c.gap}, filter, c.span)
 	for _, name := range f.Args() {
-		if err := read(aggregator, name); err != nil {
+		if err := readLog(aggregator, name); err != nil {
 			return exit.ReportFailure(errors.Wrap(err, name))
 		}
 	}
@@ -81,8 +82,8 @@
 func (c *Command) filter() (causes.Filter, error) {
 	filter := causes.Filter{Profile: c.profile}
 	for _, bound := range []struct {
-		text string
-		to   *time.Time
+		text   string
+		parsed *time.Time
 	}{{c.since, &filter.Since}, {c.until, &filter.Until}} {
 		if bound.text == "" {
 			continue
@@ -91,20 +92,20 @@
 		if err != nil {
 			return filter, errors.Wrap(err, "time not read")
 		}
-		*bound.to = at
+		*bound.parsed = at
 	}
 	return filter, nil
 }
 
-func read(aggregator *causes.Aggregator, name string) error {
-	if name == standardIn {
+func readLog(aggregator *causes.Aggregator, name string) error {
+	if name == standardInput {
 		return aggregator.Read(os.Stdin)
 	}
 	file, err := os.Open(name)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // read only
+	defer func() { _ = file.Close() }() // opened for reading only
 	return aggregator.Read(file)
 }
 
--- a/internal/cli/causescmd/doc.go
+++ b/internal/cli/causescmd/doc.go
@@ -1,3 +1,3 @@
-// Package causescmd implements "causes": where requests were lost, from the logs of
-// several VMs.
+// Package causescmd implements the command "causes", which prints from the logs of several VMs
+// how requests were lost.
 package causescmd
