--- a/internal/cli/explaincmd/command.go
+++ b/internal/cli/explaincmd/command.go
@@ -12,7 +12,7 @@
 	"geraniumcroft/internal/cli/exit"
 )
 
-// Command implements subcommands.Command.
+// Command implements "explain".
 type Command struct{}
 
 // Name implements subcommands.Command.
@@ -43,10 +43,10 @@
 		if err != nil {
 			return exit.ReportFailure(err)
 		}
-		defer func() { _ = file.Close() }() // read only
+		defer func() { _ = file.Close() }() // opened for reading only
 		logs = append(logs, file)
 	}
-	found, err := story(os.Stdout, f.Arg(0), logs...)
+	found, err := explain(os.Stdout, f.Arg(0), logs...)
 	if err != nil {
 		return exit.ReportFailure(err)
 	}
--- a/internal/cli/explaincmd/doc.go
+++ b/internal/cli/explaincmd/doc.go
@@ -1,3 +1,3 @@
-// Package explaincmd implements "explain": the story of one request from the logs of
-// several VMs.
+// Package explaincmd implements the command "explain", which prints all lines about one request
+// from the logs of several VMs, in order of time.
 package explaincmd
--- a/internal/cli/explaincmd/explain.go
+++ b/internal/cli/explaincmd/explain.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// maxLine bounds a line of a log.
-const maxLine = 4 << 20
+// maxLineBytes bounds the length of a log line in bytes.
+const maxLineBytes = 4 << 20
 
-// line is one line about the request.
+// line is a log line about the request.
 type line struct {
 	at     time.Time
 	vm     string
@@ -22,15 +22,16 @@
 	fields map[string]json.RawMessage
 }
 
-// ordinary fields are printed apart from the others, or not at all.
-var ordinary = []string{"level", "time", "at", "msg", "vm", "requestId"}
+// commonFields are the names of fields that are printed before the others and without their
+// names, or not at all.
+var commonFields = []string{"level", "time", "at", "msg", "vm", "requestId"}
 
-// story prints all lines about a request in the order of time, across VMs. It reports
-// whether there were any.
-func story(out io.Writer, requestID string, logs ...io.Reader) (bool, error) {
+// explain prints the lines about a request from all logs, in order of time. It reports whether
+// there were any.
+func explain(out io.Writer, requestID string, logs ...io.Reader) (bool, error) {
 	var lines []line
 	for _, log := range logs {
-		found, err := linesOf(requestID, log)
+		found, err := readLines(requestID, log)
 		if err != nil {
 			return false, err
 		}
@@ -45,12 +46,12 @@
 	return len(lines) > 0, nil
 }
 
-// linesOf reads a log. What stands before a line's first brace, as a collector may put
-// it there, is passed over.
-func linesOf(requestID string, log io.Reader) ([]line, error) {
+// readLines returns the lines about a request in a log. It skips any text before the first brace
+// of a line, such as a prefix that a log collector adds.
+func readLines(requestID string, log io.Reader) ([]line, error) {
 	var lines []line
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Bytes()
 		start := bytes.IndexByte(text, '{')
@@ -64,13 +65,14 @@
 	return lines, scanner.Err()
 }
 
+// parse decodes a log line. It reports false for a line of another program, or without a time.
 func parse(text []byte) (line, bool) {
 	l := line{fields: map[string]json.RawMessage{}}
 	if json.Unmarshal(text, &l.fields) != nil {
-		return line{}, false // another program's line
+		return line{}, false
 	}
 	l.vm, l.event = l.text("vm"), l.text("msg")
-	// Decisions are written when the request has failed; "at" is when they were taken.
+	// Decisions are logged only after the request has failed; "at" is the time of the decision.
 	for _, name := range []string{"at", "time"} {
 		if at, err := time.Parse(time.RFC3339Nano, l.text(name)); err == nil {
 			l.at = at
@@ -80,6 +82,7 @@
 	return line{}, false
 }
 
+// text returns the value of a string field, or "" if there is no such field.
 func (l line) text(name string) string {
 	var text string
 	if json.Unmarshal(l.fields[name], &text) != nil {
@@ -88,13 +91,13 @@
 	return text
 }
 
-// String returns the time, the VM, the event and its fields by name.
+// String returns the time, the VM, the event and the other fields in order of their names.
 func (l line) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %s", l.at.Format("15:04:05.000"), l.vm, l.event)
 	var names []string
 	for name := range l.fields {
-		if !slices.Contains(ordinary, name) {
+		if !slices.Contains(commonFields, name) {
 			names = append(names, name)
 		}
 	}
