--- a/internal/cli/experimentcmd/experimentcmd.go
+++ b/internal/cli/experimentcmd/experimentcmd.go
@@ -1,4 +1,4 @@
-// Package experimentcmd is the command "experiment", which measures the system.
+// Package experimentcmd implements the command "experiment", which measures the system.
 package experimentcmd
 
 import (
@@ -15,7 +15,7 @@
 	"geraniumcroft/internal/harness/experiment"
 )
 
-// Register adds the command to the commander.
+// Register adds the command to c.
 func Register(c *subcommands.Commander) {
 	c.Register(&command{}, "trying")
 }
@@ -74,14 +74,14 @@
 }
 
 func (c *command) run(ctx context.Context, e experiment.Experiment) error {
-	found, err := e.Run(ctx, c.options)
+	report, err := e.Run(ctx, c.options)
 	if err != nil {
 		return err
 	}
 	if c.json {
-		return found.WriteJSON(os.Stdout)
+		return report.WriteJSON(os.Stdout)
 	}
-	return found.WriteText(os.Stdout)
+	return report.WriteText(os.Stdout)
 }
 
 func list() {
