--- a/internal/cli/loadcmd/loadcmd.go
+++ b/internal/cli/loadcmd/loadcmd.go
@@ -1,4 +1,5 @@
-// Package loadcmd is the subcommand "load".
+// Package loadcmd implements the command "load", which sends load to routers and checks the
+// answers.
 package loadcmd
 
 import (
@@ -26,7 +27,7 @@
 	compare  bool
 }
 
-// Register adds the command.
+// Register adds the command to c.
 func Register(c *subcommands.Commander) {
 	c.Register(&command{}, "trying")
 }
@@ -141,17 +142,17 @@
 }
 
 func compare(files []string) subcommands.ExitStatus {
-	const wanted = 2
-	if len(files) != wanted {
+	const numReports = 2
+	if len(files) != numReports {
 		return exit.ReportUsageError(fmt.Errorf("load -compare needs two reports, got %d", len(files)))
 	}
-	var reports [wanted]*loadgen.Report
+	var reports [numReports]*loadgen.Report
 	for i, file := range files {
-		read, err := loadgen.ReadJSON(file)
+		report, err := loadgen.ReadJSON(file)
 		if err != nil {
 			return exit.ReportUsageError(err)
 		}
-		reports[i] = read
+		reports[i] = report
 	}
 	if err := loadgen.Compare(os.Stdout, reports[0], reports[1]); err != nil {
 		return exit.ReportFailure(err)
--- a/internal/cli/loadcmd/loadcmd_test.go
+++ b/internal/cli/loadcmd/loadcmd_test.go
@@ -25,7 +25,8 @@
 	return c.Execute(context.Background(), flags)
 }
 
-// router refuses each request, truthfully or not.
+// router starts a server that refuses each request as not run, and returns its address. The
+// answer contradicts itself if problemOutcome says otherwise.
 func router(t *testing.T, problemOutcome string) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -38,7 +39,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// Scripts can tell from the exit code what happened.
+// Scripts tell from the exit code whether all checks passed, the run or a check failed, or the
+// command line is wrong.
 func TestExitCodes(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "report.json")
 	send := []string{"-profile", "name=a", "-rate", "1000", "-count", "5"}
