--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -48,7 +48,8 @@
 	return exit.Done
 }
 
-// loadSettings reads the file and prints all findings in one report.
+// loadSettings reads the settings file and prints all findings to standard error. It reports
+// false if there are any, or if file is empty.
 func loadSettings(file string) (*settings.Settings, bool) {
 	if file == "" {
 		fmt.Fprintln(os.Stderr, "geraniumcroft: -settings FILE is needed")
--- a/internal/cli/node_options.go
+++ b/internal/cli/node_options.go
@@ -14,14 +14,15 @@
 	"geraniumcroft/internal/version"
 )
 
-// nodeFiles are the files that the settings name, followed as they change.
+// nodeFiles holds the certificates and the operators' tokens that the settings name. They are
+// read again when their files change, until close.
 type nodeFiles struct {
 	logger  *zap.Logger
 	closers []func()
 }
 
-// options reads the files and returns what a node is made from. After an error
-// what was opened still has to be closed.
+// options reads the files and returns the options of a node. The caller must call close, also
+// after an error.
 func (f *nodeFiles) options(s *settings.Settings) (node.Options, error) {
 	o := node.Options{Settings: s, Version: version.String(), LogOut: os.Stderr}
 	authenticator, err := security.NewAuthenticator(s.Admin.TokensFile, security.Options{Logger: f.logger})
@@ -42,7 +43,9 @@
 	return o, f.peersTLS(s.Peers.TLS, &o)
 }
 
-// platformTLS trusts the authorities of the file alone; nil trusts the system's.
+// platformTLS returns a configuration that trusts only the authorities in the file. Without a
+// file it returns nil, with which the system's authorities are trusted. The file is not read
+// again when it changes.
 func platformTLS(file string) (*tls.Config, error) {
 	if file == "" {
 		return nil, nil
@@ -59,34 +62,34 @@
 }
 
 func (f *nodeFiles) peersTLS(t settings.TLS, o *node.Options) error {
-	source, err := f.source(t)
-	if err != nil || source == nil {
+	tlsSource, err := f.tlsSource(t)
+	if err != nil || tlsSource == nil {
 		return err
 	}
-	o.PeersTLS = source.ServerConfig()
-	o.PeersClientTLS = source.ClientConfig
+	o.PeersTLS = tlsSource.ServerConfig()
+	o.PeersClientTLS = tlsSource.ClientConfig
 	return nil
 }
 
 func (f *nodeFiles) serverTLS(t settings.TLS) (*tls.Config, error) {
-	source, err := f.source(t)
-	if err != nil || source == nil {
+	tlsSource, err := f.tlsSource(t)
+	if err != nil || tlsSource == nil {
 		return nil, err
 	}
-	return source.ServerConfig(), nil
+	return tlsSource.ServerConfig(), nil
 }
 
-// source is nil for plain connections.
-func (f *nodeFiles) source(t settings.TLS) (*security.TLSSource, error) {
+// tlsSource returns nil if t chooses connections without TLS.
+func (f *nodeFiles) tlsSource(t settings.TLS) (*security.TLSSource, error) {
 	if t.Plain {
 		return nil, nil
 	}
 	files := security.TLSFiles{Cert: t.Cert, Key: t.Key, CA: t.CA}
-	source, err := security.NewTLSSource(files, security.Options{Logger: f.logger})
+	tlsSource, err := security.NewTLSSource(files, security.Options{Logger: f.logger})
 	if err == nil {
-		f.closers = append(f.closers, source.Close)
+		f.closers = append(f.closers, tlsSource.Close)
 	}
-	return source, err
+	return tlsSource, err
 }
 
 func (f *nodeFiles) close() {
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -15,8 +15,8 @@
 	"geraniumcroft/internal/cli/loadcmd"
 )
 
-// Run executes the command line and returns the process's exit code. The extra
-// commands are those that need more than this module's internal packages.
+// Run executes the command line args and returns the process's exit code. extra holds further
+// commands, which depend on packages outside internal.
 func Run(args []string, extra ...subcommands.Command) int {
 	flags := flag.NewFlagSet("geraniumcroft", flag.ContinueOnError)
 	commander := subcommands.NewCommander(flags, "geraniumcroft")
--- a/internal/cli/run_test.go
+++ b/internal/cli/run_test.go
@@ -8,9 +8,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Scripts tell by the exit code whether to mend their call or to try again. A call
-// that cannot work is 2 before anything has been started, also when a word stands
-// where a flag was meant.
+// Scripts tell by the exit code whether the command line has to be corrected or the command may
+// be run again. Bad usage exits with 2 before anything has been started, also if the dash of a
+// flag is missing.
 func TestExitCodes(t *testing.T) {
 	file := func(name, content string) string {
 		path := filepath.Join(t.TempDir(), name)
@@ -21,17 +21,17 @@
 	}
 	const example = "../../geraniumcroft.example.ini"
 
-	Convey("What works is 0", t, func() {
+	Convey("A command that succeeds exits with 0", t, func() {
 		So(Run([]string{"version"}), ShouldEqual, 0)
 		So(Run([]string{"check", "-settings", example}), ShouldEqual, 0)
 	})
 
-	Convey("What cannot be done is 1", t, func() {
+	Convey("A command that fails exits with 1", t, func() {
 		token := file("token", "operator")
 		So(Run([]string{"dump", "-admin", "http://127.0.0.1:1", "-token-file", token}), ShouldEqual, 1)
 	})
 
-	Convey("Bad usage and bad settings are 2", t, func() {
+	Convey("Bad usage and bad settings exit with 2", t, func() {
 		bad := file("bad.ini", "[vm]\nname = ?\n")
 		for _, line := range [][]string{
 			{"-unknown"},
