--- a/internal/cli/admincmd/admincmd_test.go
+++ b/internal/cli/admincmd/admincmd_test.go
@@ -24,36 +24,38 @@
 
 const token = "operators-token"
 
-type oneToken struct{}
+// singleToken accepts only token.
+type singleToken struct{}
 
-func (oneToken) Authenticate(presented string) (string, adminapi.Role, bool) {
+func (singleToken) Authenticate(presented string) (string, adminapi.Role, bool) {
 	return "ana", adminapi.RoleOperate, presented == token
 }
 
-// fixedConfirmer says that some VMs have no version in force.
+// fixedConfirmer reports the VMs in missing as not having any version in force.
 type fixedConfirmer struct{ missing []string }
 
 func (c *fixedConfirmer) InForce(uint64) (confirmed, missing []string) { return nil, c.missing }
 
-// bench is an admin API over a store on a stand-in platform, and a directory.
-type bench struct {
+// fixture is an admin API with a store on a simulated platform, and a directory for files.
+type fixture struct {
 	t         *testing.T
 	dir       string
 	url       string
 	platform  *platformsim.Store
 	confirmer *fixedConfirmer
 	handler   http.Handler
-	// loseAnswers is how many answers of the API break off before their end.
-	loseAnswers atomic.Int64
+	// dropResponses is the number of changes whose responses are dropped: the API makes the
+	// change, then the connection is closed.
+	dropResponses atomic.Int64
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, dir: t.TempDir(), platform: platformsim.NewStore(), confirmer: &fixedConfirmer{}}
+func newFixture(t *testing.T) *fixture {
+	b := &fixture{t: t, dir: t.TempDir(), platform: platformsim.NewStore(), confirmer: &fixedConfirmer{}}
 	store := confstore.New(confstore.Options{
 		Table: b.platform, Objects: b.platform, VM: "vm-1", Invariants: invariant.Strict(),
 	})
 	api, err := adminapi.New(adminapi.Options{
-		Store: store, Confirmer: b.confirmer, Authenticator: oneToken{},
+		Store: store, Confirmer: b.confirmer, Authenticator: singleToken{},
 		VMs:    func() any { return []vmRow{{Name: "vm-1", DataCentre: "hall-a", State: "alive", Version: 7}} },
 		Leases: func() any { return map[string]string{"orders": "vm-1"} },
 		Dump:   func() any { return map[string]string{"state": "whole"} },
@@ -62,7 +64,7 @@
 		t.Fatal(err)
 	}
 	b.handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Method != http.MethodGet && b.loseAnswers.Add(-1) >= 0 {
+		if r.Method != http.MethodGet && b.dropResponses.Add(-1) >= 0 {
 			api.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		}
@@ -75,7 +77,7 @@
 	return b
 }
 
-func (b *bench) file(name, content string) string {
+func (b *fixture) file(name, content string) string {
 	b.t.Helper()
 	path := filepath.Join(b.dir, name)
 	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
@@ -84,8 +86,8 @@
 	return path
 }
 
-// run runs one command line and returns its exit code and output.
-func (b *bench) run(line ...string) (code int, out, err string) {
+// run executes a command line and returns its exit code and output.
+func (b *fixture) run(line ...string) (code int, out, err string) {
 	var stdout, stderr bytes.Buffer
 	top := flag.NewFlagSet("geraniumcroft", flag.ContinueOnError)
 	top.SetOutput(&stderr)
@@ -99,9 +101,9 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// want runs a command against the API within a Convey and checks its exit code and
-// its output, in which the token never stands.
-func (b *bench) want(code int, part string, line ...string) string {
+// want executes a command against the API and checks its exit code, that its output contains
+// part and that it does not contain the token. It must be called within a Convey.
+func (b *fixture) want(code int, part string, line ...string) string {
 	b.t.Helper()
 	line = append(line, "-admin", b.url, "-token-file", filepath.Join(b.dir, "token"))
 	got, out, errs := b.run(line...)
@@ -112,7 +114,8 @@
 	return out
 }
 
-func (b *bench) withEngine() {
+// createTarget creates a model and a target that serves it.
+func (b *fixture) createTarget() {
 	b.t.Helper()
 	b.want(0, "version 1", "model", "set", "draft", "-f", b.file("m", `{"layers":8,"versions":["v1"]}`))
 	b.want(0, "version 2", "target", "set", "gpu-1", "-f", b.file("t",
@@ -120,29 +123,28 @@
 			`"layers":{"from":0,"to":8},"slots":4}`))
 }
 
-// An operator sets up a target, reads it, edits what was read and sets it again;
-// another operator who still has the old file gets a conflict, exit code 3, and
-// the present target.
+// A target is set with a file that was edited since it was read. A second change with a file of
+// the old revision fails with exit code 3 and prints the present target.
 func TestSetShowAndConflict(t *testing.T) {
 	Convey("Given a target that was read, edited and set again", t, func() {
-		b := newBench(t)
-		b.withEngine()
+		b := newFixture(t)
+		b.createTarget()
 		shown := b.want(0, `"slots": 4`, "target", "show", "gpu-1")
 		edited := b.file("edited", strings.Replace(shown, `"slots": 4`, `"slots": 6`, 1))
 		b.want(0, "version 3 is in force everywhere", "target", "set", "gpu-1", "-f", edited)
 
-		Convey("an old file gets a conflict with the present target", func() {
+		Convey("a file of an old revision gets a conflict and the present target", func() {
 			b.want(3, `"slots":6`, "target", "set", "gpu-1", "-f", edited)
 			b.want(3, "present revision 3", "target", "set", "gpu-1", "-f", filepath.Join(b.dir, "t"))
 		})
 
-		Convey("a drain is shown, and a repeated one changes nothing", func() {
+		Convey("a drained target is listed as such, and a second drain changes nothing", func() {
 			b.want(0, "version 4", "target", "drain", "gpu-1")
 			b.want(0, "unchanged", "target", "drain", "gpu-1")
 			b.want(0, "draining", "target", "list")
 		})
 
-		Convey("the list shows what it holds, and whom it does not check", func() {
+		Convey("the list shows its model and layers, and that it does not check its callers", func() {
 			list := b.want(0, "active", "target", "list")
 			for _, part := range []string{"NAME", "draft@v1 0-8", "do not check their callers: gpu-1", "old fencing number: gpu-1"} {
 				So(list, ShouldContainSubstring, part)
@@ -150,7 +152,7 @@
 			b.want(0, `"uncheckedCallers"`, "target", "list", "-json")
 		})
 
-		Convey("its model cannot go before it, nor it at an old revision", func() {
+		Convey("its model cannot be deleted before it, nor can it be at an old revision", func() {
 			b.want(1, "is held by target gpu-1", "model", "delete", "draft")
 			b.want(3, "is at revision 3, not 2", "target", "delete", "gpu-1", "-revision", "2")
 			b.want(0, "version 4", "target", "delete", "gpu-1")
@@ -167,94 +169,93 @@
 	})
 }
 
-// Everything that is wrong with a file is printed, one line each.
+// All findings about a file are printed, one on each line.
 func TestFindingsArePrinted(t *testing.T) {
-	Convey("A profile with two faults is refused with both", t, func() {
-		b := newBench(t)
+	Convey("A profile with two faults is refused with both findings", t, func() {
+		b := newFixture(t)
 		file := b.file("p", `{"workspace":"x","class":"call","urgency":"bulk","deadline":"0s","limits":{},"path":"/","service":"s"}`)
 		b.want(1, "profile.permits.workspace: unknown workspace", "profile", "set", "permits", "-f", file)
 		b.want(1, "profile.permits.deadline: 0s is out of range", "profile", "set", "permits", "-f", file)
 	})
 }
 
-// A VM has not confirmed the change when the wait ends: the command fails and
-// names it, so that a script does not go on as if the change were in force.
+// If a VM has not confirmed a change when the wait ends, the command fails and names the VM, so
+// that a script does not continue as if the change were in force.
 func TestPendingChangeFailsWithNames(t *testing.T) {
 	Convey("Given a VM that does not confirm a change", t, func() {
-		b := newBench(t)
+		b := newFixture(t)
 		b.confirmer.missing = []string{"vm-5"}
 		file := b.file("w", `{"weight":2}`)
 		b.want(1, "version 1 is committed, not yet in force on vm-5", "workspace", "set", "crews", "-f", file, "-wait", "1ms")
 
-		Convey("a wait for the change fails with its name", func() {
+		Convey("a wait for the change fails and names the VM", func() {
 			b.want(1, "vm-5", "change", "wait", "1", "-wait", "1ms")
 		})
 
-		Convey("a wait succeeds once it has confirmed", func() {
+		Convey("a wait succeeds once the VM has confirmed the change", func() {
 			b.confirmer.missing = nil
 			b.want(0, "version 1", "change", "wait", "1")
 		})
 	})
 }
 
-// The answer to a change is lost on the way to the operator. The command asks
-// again with the same id and learns that its change is in force; with another id
-// it would report a conflict with its own change.
+// If the response to a change is lost, the command sends the request again under the same id and
+// gets the result of the first. Under another id it would report a conflict with its own change.
 func TestLostAnswerIsAskedForAgain(t *testing.T) {
 	Convey("Given a workspace", t, func() {
-		b := newBench(t)
+		b := newFixture(t)
 		file := b.file("w", `{"weight":2}`)
 
-		Convey("a change whose answer is lost is made once and reported as in force", func() {
-			b.loseAnswers.Store(1)
+		Convey("a change whose response is lost is made once and reported as in force", func() {
+			b.dropResponses.Store(1)
 			b.want(0, "version 1 is in force", "workspace", "set", "crews", "-f", file)
-			So(b.loseAnswers.Load(), ShouldBeLessThan, 1)
+			So(b.dropResponses.Load(), ShouldBeLessThan, 1)
 			So(strings.Count(b.want(0, "crews", "change", "list"), "\n"), ShouldEqual, 2)
 		})
 
-		Convey("a change that the store refuses for an outage is reported as not written", func() {
+		Convey("a change that the store refuses during an outage is reported as not written", func() {
 			b.platform.Faults.Set(platformsim.Order{Outage: platformsim.OutageRefuse})
 			b.want(1, "Nothing was written", "workspace", "set", "crews", "-f", file)
 		})
 	})
 }
 
-// The address leads to something that redirects, by a mistake or by intent. The
-// operator's token is not carried to where it points, and the command fails.
+// If the server at the address redirects, by mistake or on purpose, the command fails and does
+// not send the operator's token to the target of the redirect.
 func TestTokenIsNotCarriedByARedirect(t *testing.T) {
-	Convey("Given an address that redirects elsewhere", t, func() {
-		b := newBench(t)
-		asked := 0
-		elsewhere := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked++ }))
-		defer elsewhere.Close()
-		redirecting := httptest.NewServer(http.RedirectHandler(elsewhere.URL, http.StatusTemporaryRedirect))
+	Convey("Given a server that redirects to another", t, func() {
+		b := newFixture(t)
+		requests := 0
+		other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests++ }))
+		defer other.Close()
+		redirecting := httptest.NewServer(http.RedirectHandler(other.URL, http.StatusTemporaryRedirect))
 		defer redirecting.Close()
 
-		Convey("the command fails and asks nobody else", func() {
+		Convey("the command fails and sends no request to the other", func() {
 			b.url = redirecting.URL
 			b.want(1, "307", "profile", "list")
-			So(asked, ShouldEqual, 0)
+			So(requests, ShouldEqual, 0)
 		})
 	})
 }
 
-// The admin listener has TLS with a certificate of the operators' own authority. The
-// commands, dump among them, reach it with that authority's file and not without.
+// The admin listener has a TLS certificate of a private authority. The commands, dump among them,
+// succeed with the authority's file and fail without it.
 func TestCommandsOverTLS(t *testing.T) {
 	Convey("Given a listener with TLS", t, func() {
-		b := newBench(t)
+		b := newFixture(t)
 		secure := httptest.NewTLSServer(b.handler)
 		defer secure.Close()
 		b.url = secure.URL
 		authority := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: secure.Certificate().Raw})
 		file := b.file("ca", string(authority))
 
-		Convey("its authority's file lets the commands in", func() {
+		Convey("the commands succeed with the file of its authority", func() {
 			b.want(0, "hall-a", "vm", "list", "-ca-file", file)
 			b.want(0, `"state": "whole"`, "dump", "-ca-file", file)
 		})
 
-		Convey("without it, or with a file that has none, they fail", func() {
+		Convey("they fail without the file, or with one that holds no certificate", func() {
 			b.want(1, "certificate", "vm", "list")
 			b.want(1, "certificate", "dump")
 			b.want(2, "holds no certificate", "dump", "-ca-file", b.file("empty", "nothing"))
@@ -262,9 +263,9 @@
 	})
 }
 
-// Bad usage has its own exit code and says what is allowed.
+// Bad usage has its own exit code and prints an error that says what is allowed.
 func TestBadUsage(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	tokenFile := filepath.Join(b.dir, "token")
 	for _, line := range [][]string{
 		{"profile"},
--- a/internal/cli/admincmd/change.go
+++ b/internal/cli/admincmd/change.go
@@ -16,10 +16,11 @@
 	"geraniumcroft/internal/sleep"
 )
 
-// lookupInterval is the time between two looks for a change whose answer was lost.
+// lookupInterval is the time between two lookups of a change that may or may not have been written.
 const lookupInterval = 500 * time.Millisecond
 
-// change sends a change and follows it until it is in force everywhere.
+// change sends a change under a new id and waits for at most s.wait until it is in force
+// everywhere.
 func (s *session) change(ctx context.Context, r request) subcommands.ExitStatus {
 	if r.header == nil {
 		r.header = map[string]string{}
@@ -30,34 +31,35 @@
 	r.query = waitQuery(s.wait)
 	got, err := s.do(ctx, r)
 	if err != nil {
-		s.complain("the change's id is %s", id)
-		return s.failSend(err)
+		s.printErrorf("the change's id is %s", id)
+		return s.reportNoResponse(err)
 	}
 	if got.status != http.StatusOK && got.status != http.StatusAccepted {
-		return s.fail(got)
+		return s.reportFailure(got)
 	}
-	return s.follow(ctx, got, until)
+	return s.awaitChange(ctx, got, until)
 }
 
-// waitQuery asks the VM to wait, at most as long as it allows.
+// waitQuery returns the query that makes the VM wait until a change is in force everywhere, for
+// at most wait and at most the time that the API allows.
 func waitQuery(wait time.Duration) url.Values {
 	wait = max(0, min(wait, adminapi.MaxWait))
 	return url.Values{"wait": {wait.String()}}
 }
 
-// follow waits for a committed change to be in force, and looks for one whose
-// answer was lost, until the time is over.
-func (s *session) follow(ctx context.Context, got reply, until time.Time) subcommands.ExitStatus {
+// awaitChange waits until a committed change is in force everywhere, and looks up one that may or
+// may not have been written. It stops at the given time and prints the state of the change.
+func (s *session) awaitChange(ctx context.Context, got response, until time.Time) subcommands.ExitStatus {
 	for {
 		var state adminapi.ChangeResponse
 		if err := got.decode(&state); err != nil {
-			s.complain("%v", err)
+			s.printErrorf("%v", err)
 			return exitFailed
 		}
 		if state.Status == adminapi.StatusAccepted || !time.Now().Before(until) || ctx.Err() != nil {
-			return s.finish(got, state)
+			return s.reportChange(got, state)
 		}
-		next, exit := s.again(ctx, got, state, until)
+		next, exit := s.pollChange(ctx, got, state, until)
 		if exit != exitDone {
 			return exit
 		}
@@ -65,15 +67,18 @@
 	}
 }
 
-func (s *session) again(ctx context.Context, got reply, state adminapi.ChangeResponse, until time.Time) (reply, subcommands.ExitStatus) {
+// pollChange returns the next response about a change. If the exit code is not exitDone, the
+// reason has been printed.
+func (s *session) pollChange(ctx context.Context, got response, state adminapi.ChangeResponse, until time.Time) (response, subcommands.ExitStatus) {
 	if !state.Committed {
 		return s.lookUp(ctx, got, state.ID)
 	}
 	return s.get(ctx, changePath(state.Version), waitQuery(time.Until(until)))
 }
 
-// lookUp returns the change's state once it is found, and got until then.
-func (s *session) lookUp(ctx context.Context, got reply, id string) (reply, subcommands.ExitStatus) {
+// lookUp waits for lookupInterval and looks a change up by its id. It returns the response about
+// the change if it is found, and else got.
+func (s *session) lookUp(ctx context.Context, got response, id string) (response, subcommands.ExitStatus) {
 	if !sleep.For(ctx, lookupInterval) {
 		return got, exitDone
 	}
@@ -82,9 +87,9 @@
 	})
 	switch {
 	case err != nil:
-		return got, s.failSend(err)
+		return got, s.reportNoResponse(err)
 	case next.status == http.StatusGone:
-		return got, s.fail(next)
+		return got, s.reportFailure(next)
 	case next.status != http.StatusOK:
 		return got, exitDone
 	}
@@ -96,16 +101,16 @@
 		method: http.MethodGet, path: changePath(found.Changes[0].Version), query: waitQuery(0),
 	})
 	if err != nil {
-		return got, s.failSend(err)
+		return got, s.reportNoResponse(err)
 	}
 	return next, exitDone
 }
 
 func changePath(version uint64) string { return "/changes/" + strconv.FormatUint(version, 10) }
 
-// finish prints what became of the change. Only one that is in force everywhere
-// is done.
-func (s *session) finish(got reply, state adminapi.ChangeResponse) subcommands.ExitStatus {
+// reportChange prints the state of a change. It returns exitDone only if the change is in force
+// everywhere.
+func (s *session) reportChange(got response, state adminapi.ChangeResponse) subcommands.ExitStatus {
 	switch {
 	case s.json:
 		s.printJSON(got.body)
@@ -114,9 +119,9 @@
 	case state.Status == adminapi.StatusAccepted:
 		fmt.Fprintf(s.out, "accepted: version %d is in force everywhere\n", state.Version)
 	case !state.Committed:
-		s.complain("pending: the change may or may not have been written, its id is %s", state.ID)
+		s.printErrorf("pending: the change may or may not have been written, its id is %s", state.ID)
 	default:
-		s.complain("pending: version %d is committed, not yet in force on %s", state.Version, strings.Join(state.Missing, ", "))
+		s.printErrorf("pending: version %d is committed, not yet in force on %s", state.Version, strings.Join(state.Missing, ", "))
 	}
 	if state.Status == adminapi.StatusAccepted {
 		return exitDone
--- a/internal/cli/admincmd/change_verbs.go
+++ b/internal/cli/admincmd/change_verbs.go
@@ -37,22 +37,22 @@
 	r, err := s.do(ctx, request{method: http.MethodGet, path: "/changes", query: query})
 	switch {
 	case err != nil:
-		return s.failSend(err)
+		return s.reportNoResponse(err)
 	case r.status == http.StatusAccepted:
-		return s.follow(ctx, r, time.Now())
+		return s.awaitChange(ctx, r, time.Now())
 	case r.status != http.StatusOK:
-		return s.fail(r)
+		return s.reportFailure(r)
 	case s.json:
 		s.printJSON(r.body)
 		return exitDone
 	}
-	var answer adminapi.ChangesResponse
-	if err := r.decode(&answer); err != nil {
-		s.complain("%v", err)
+	var list adminapi.ChangesResponse
+	if err := r.decode(&list); err != nil {
+		s.printErrorf("%v", err)
 		return exitFailed
 	}
 	var rows [][]string
-	for _, change := range answer.Changes {
+	for _, change := range list.Changes {
 		rows = append(rows, changeRow(change))
 	}
 	s.printTable([]string{"VERSION", "TIME", "AUTHOR", "KIND", "NAME", "ACTION", "ID"}, rows)
@@ -88,13 +88,13 @@
 	if exit != exitDone {
 		return exit
 	}
-	return s.follow(ctx, r, until)
+	return s.awaitChange(ctx, r, until)
 }
 
 func parseVersion(s *session, text string) (uint64, bool) {
 	version, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || version == 0 {
-		s.complain("%q is not a version", text)
+		s.printErrorf("%q is not a version", text)
 		return 0, false
 	}
 	return version, true
--- a/internal/cli/admincmd/command.go
+++ b/internal/cli/admincmd/command.go
@@ -9,8 +9,8 @@
 	"github.com/google/subcommands"
 )
 
-// command is a subcommands.Command with verbs. Flags may stand before and after
-// the verb and its arguments.
+// command is a subcommands.Command with verbs. Flags may be given before and after the verb and
+// its arguments.
 type command struct {
 	name     string
 	synopsis string
@@ -44,11 +44,11 @@
 
 // Execute implements subcommands.Command.
 func (c *command) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	words, err := positionals(f)
+	positional, err := positionalArgs(f)
 	if err != nil {
 		return exitUsage
 	}
-	chosen, err := c.choose(words)
+	chosen, err := c.choose(positional)
 	if err != nil {
 		fmt.Fprintf(c.output.err, "%s: %v\n%s", c.name, err, c.Usage())
 		f.PrintDefaults()
@@ -59,34 +59,34 @@
 		fmt.Fprintf(c.output.err, "%s: %v\n", c.name, err)
 		return exitUsage
 	}
-	return chosen.run(ctx, s, words[1:])
+	return chosen.run(ctx, s, positional[1:])
 }
 
-func (c *command) choose(words []string) (verb, error) {
-	if len(words) == 0 {
+func (c *command) choose(positional []string) (verb, error) {
+	if len(positional) == 0 {
 		return verb{}, fmt.Errorf("a verb is missing")
 	}
 	for _, v := range c.verbs {
-		if v.name != words[0] {
+		if v.name != positional[0] {
 			continue
 		}
-		if len(words)-1 != v.arity {
-			return verb{}, fmt.Errorf("%s takes %d arguments, not %d", v.name, v.arity, len(words)-1)
+		if len(positional)-1 != v.arity {
+			return verb{}, fmt.Errorf("%s takes %d arguments, not %d", v.name, v.arity, len(positional)-1)
 		}
 		return v, nil
 	}
-	return verb{}, fmt.Errorf("unknown verb %q", words[0])
+	return verb{}, fmt.Errorf("unknown verb %q", positional[0])
 }
 
-// positionals returns the arguments that are no flags; package flag stops at the
-// first of them.
-func positionals(f *flag.FlagSet) ([]string, error) {
-	var words []string
+// positionalArgs returns the arguments that are not flags. Since package flag stops at the first
+// of them, it parses the flags after each.
+func positionalArgs(f *flag.FlagSet) ([]string, error) {
+	var positional []string
 	for rest := f.Args(); len(rest) > 0; rest = f.Args() {
-		words = append(words, rest[0])
+		positional = append(positional, rest[0])
 		if err := f.Parse(rest[1:]); err != nil {
 			return nil, err
 		}
 	}
-	return words, nil
+	return positional, nil
 }
--- a/internal/cli/admincmd/dump.go
+++ b/internal/cli/admincmd/dump.go
@@ -10,10 +10,10 @@
 	"geraniumcroft/internal/cli/exit"
 )
 
-// defaultDumpAdmin is where a VM's operators listen by the example's settings.
+// defaultDumpAdmin is the address of the operators' listener in the example settings.
 const defaultDumpAdmin = "http://127.0.0.1:7001"
 
-// dumpCommand is the command "dump".
+// dumpCommand implements "dump".
 type dumpCommand struct {
 	output output
 	flags  flags
--- a/internal/cli/admincmd/entity_verbs.go
+++ b/internal/cli/admincmd/entity_verbs.go
@@ -11,7 +11,7 @@
 )
 
 func entityVerbs(kind config.EntityKind) []verb {
-	e := entities{kind: kind}
+	e := entityCommands{kind: kind}
 	verbs := []verb{
 		{name: "list", help: "list all", run: e.list},
 		{name: "show", args: "NAME", help: "print one as JSON, to be edited and set again", arity: 1, run: e.show},
@@ -20,18 +20,18 @@
 	}
 	if kind == config.EntityTarget {
 		verbs = append(verbs,
-			verb{name: "drain", args: "NAME", help: "give it no new work; what it has in hand ends whole", arity: 1, run: e.moveTo("drain")},
-			verb{name: "undrain", args: "NAME", help: "give it work again", arity: 1, run: e.moveTo("undrain")})
+			verb{name: "drain", args: "NAME", help: "give it no new work; what it has in hand ends whole", arity: 1, run: e.postAction("drain")},
+			verb{name: "undrain", args: "NAME", help: "give it work again", arity: 1, run: e.postAction("undrain")})
 	}
 	return verbs
 }
 
-// entities are the verbs of one table of the configuration.
-type entities struct {
+// entityCommands implements the verbs for the entities of one kind.
+type entityCommands struct {
 	kind config.EntityKind
 }
 
-func (e entities) path(name string) string {
+func (e entityCommands) path(name string) string {
 	path := "/" + string(e.kind) + "s"
 	if name != "" {
 		path += "/" + url.PathEscape(name)
@@ -39,7 +39,7 @@
 	return path
 }
 
-func (e entities) list(ctx context.Context, s *session, _ []string) subcommands.ExitStatus {
+func (e entityCommands) list(ctx context.Context, s *session, _ []string) subcommands.ExitStatus {
 	if s.json {
 		return s.show(ctx, e.path(""), nil)
 	}
@@ -48,17 +48,17 @@
 		return exit
 	}
 	if err := e.printList(s, r); err != nil {
-		s.complain("%v", err)
+		s.printErrorf("%v", err)
 		return exitFailed
 	}
 	return exitDone
 }
 
-func (e entities) show(ctx context.Context, s *session, args []string) subcommands.ExitStatus {
+func (e entityCommands) show(ctx context.Context, s *session, args []string) subcommands.ExitStatus {
 	return s.show(ctx, e.path(args[0]), nil)
 }
 
-func (e entities) remove(ctx context.Context, s *session, args []string) subcommands.ExitStatus {
+func (e entityCommands) remove(ctx context.Context, s *session, args []string) subcommands.ExitStatus {
 	revision, exit := e.revisionToDelete(ctx, s, args[0])
 	if exit != exitDone {
 		return exit
@@ -68,8 +68,9 @@
 	})
 }
 
-// revisionToDelete is the flag's, or else the present one.
-func (e entities) revisionToDelete(ctx context.Context, s *session, name string) (uint64, subcommands.ExitStatus) {
+// revisionToDelete returns the revision of the flag or, without one, the present revision of the
+// entity. If the exit code is not exitDone, the reason has been printed.
+func (e entityCommands) revisionToDelete(ctx context.Context, s *session, name string) (uint64, subcommands.ExitStatus) {
 	if s.revision > 0 {
 		return s.revision, exitDone
 	}
@@ -79,13 +80,14 @@
 	}
 	var present struct{ Revision uint64 }
 	if err := r.decode(&present); err != nil {
-		s.complain("%v", err)
+		s.printErrorf("%v", err)
 		return 0, exitFailed
 	}
 	return present.Revision, exitDone
 }
 
-func (e entities) moveTo(action string) func(context.Context, *session, []string) subcommands.ExitStatus {
+// postAction returns the function of a verb that posts an action on an entity.
+func (e entityCommands) postAction(action string) func(context.Context, *session, []string) subcommands.ExitStatus {
 	return func(ctx context.Context, s *session, args []string) subcommands.ExitStatus {
 		return s.change(ctx, request{method: http.MethodPost, path: e.path(args[0]) + "/" + action})
 	}
--- a/internal/cli/admincmd/exit.go
+++ b/internal/cli/admincmd/exit.go
@@ -6,7 +6,8 @@
 	"geraniumcroft/internal/cli/exit"
 )
 
-// The exit codes of the commands.
+// The exit codes of the commands. A command exits with exitConflict if its change conflicts with
+// another one.
 const (
 	exitDone     = exit.Done
 	exitFailed   = exit.Fail
--- a/internal/cli/admincmd/failure.go
+++ b/internal/cli/admincmd/failure.go
@@ -8,11 +8,12 @@
 	"geraniumcroft/internal/adminapi"
 )
 
-// fail prints a problem with all its findings and returns the exit code.
-func (s *session) fail(r reply) subcommands.ExitStatus {
+// reportFailure prints the problem in a response, with all its findings. It returns exitConflict
+// if the change conflicts with another one, and else exitFailed.
+func (s *session) reportFailure(r response) subcommands.ExitStatus {
 	var problem adminapi.Problem
 	if err := r.decode(&problem); err != nil || problem.Title == "" {
-		s.complain("the VM answered %d %s", r.status, http.StatusText(r.status))
+		s.printErrorf("the VM answered %d %s", r.status, http.StatusText(r.status))
 		return exitFailed
 	}
 	s.printProblem(r, problem)
@@ -22,24 +23,24 @@
 	return exitFailed
 }
 
-func (s *session) printProblem(r reply, problem adminapi.Problem) {
+func (s *session) printProblem(r response, problem adminapi.Problem) {
 	if s.json {
 		s.printJSON(r.body)
 		return
 	}
 	if len(problem.Findings) == 0 {
-		s.complain("%s: %s", problem.Title, problem.Detail)
+		s.printErrorf("%s: %s", problem.Title, problem.Detail)
 	}
 	for _, finding := range problem.Findings {
-		s.complain("%s", finding)
+		s.printErrorf("%s", finding)
 	}
 	if len(problem.Current) > 0 {
-		s.complain("present revision %d: %s", problem.Revision, problem.Current)
+		s.printErrorf("present revision %d: %s", problem.Revision, problem.Current)
 	}
 }
 
-// failSend reports that no answer came at all.
-func (s *session) failSend(err error) subcommands.ExitStatus {
-	s.complain("no answer from %s: %v", s.admin, err)
+// reportNoResponse prints why a request got no response, and returns the exit code.
+func (s *session) reportNoResponse(err error) subcommands.ExitStatus {
+	s.printErrorf("no answer from %s: %v", s.admin, err)
 	return exitFailed
 }
--- a/internal/cli/admincmd/flags.go
+++ b/internal/cli/admincmd/flags.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// defaultWait covers the time in which a change is to be in force everywhere.
+// defaultWait covers the time within which a change has to be in force everywhere.
 const defaultWait = 16 * time.Second
 
-// flags are those of every command.
+// flags holds the values of the commands' flags.
 type flags struct {
 	admin     string
 	tokenFile string
@@ -21,13 +21,14 @@
 	limit     int
 }
 
-// registerSession registers what a session needs.
+// registerSession registers the flags that a session needs.
 func (f *flags) registerSession(set *flag.FlagSet, defaultAdmin string) {
 	set.StringVar(&f.admin, "admin", defaultAdmin, "`URL` of a VM's admin listener, http://IP:port or https://IP:port")
 	set.StringVar(&f.tokenFile, "token-file", "", "`FILE` that holds the operator's token")
 	set.StringVar(&f.caFile, "ca-file", "", "`FILE` with the certificates to trust for https")
 }
 
+// register registers all flags. The help text of those that only some verbs use names the verbs.
 func (f *flags) register(set *flag.FlagSet) {
 	f.registerSession(set, "")
 	set.BoolVar(&f.json, "json", false, "print JSON as the API answers it")
--- a/internal/cli/admincmd/lists.go
+++ b/internal/cli/admincmd/lists.go
@@ -12,18 +12,20 @@
 	"geraniumcroft/internal/config"
 )
 
+// tables defines, for each kind of entity, the table that lists its entities.
 var tables = map[config.EntityKind]table{
 	config.EntityProfile: {
-		[]string{"NAME", "WORKSPACE", "CLASS", "URGENCY", "IDEMPOTENT", "DEADLINE", "SERVED BY", "REVISION"}, rowOf(profileRow)},
+		[]string{"NAME", "WORKSPACE", "CLASS", "URGENCY", "IDEMPOTENT", "DEADLINE", "SERVED BY", "REVISION"}, decodeRow(profileRow)},
 	config.EntityTarget: {
-		[]string{"NAME", "STATE", "KIND", "ADDRESS", "DATA CENTRE", "HOLDS", "SLOTS", "REVISION"}, rowOf(targetRow)},
+		[]string{"NAME", "STATE", "KIND", "ADDRESS", "DATA CENTRE", "HOLDS", "SLOTS", "REVISION"}, decodeRow(targetRow)},
 	config.EntityWorkspace: {
-		[]string{"NAME", "WEIGHT", "MAX IN FLIGHT", "KEYS", "REVISION"}, rowOf(workspaceRow)},
+		[]string{"NAME", "WEIGHT", "MAX IN FLIGHT", "KEYS", "REVISION"}, decodeRow(workspaceRow)},
 	config.EntityModel: {
-		[]string{"NAME", "LAYERS", "VERSIONS", "ADAPTERS", "REVISION"}, rowOf(modelRow)},
+		[]string{"NAME", "LAYERS", "VERSIONS", "ADAPTERS", "REVISION"}, decodeRow(modelRow)},
 }
 
-func rowOf[T any](row func(T) []string) func(json.RawMessage) ([]string, error) {
+// decodeRow returns a function that decodes an entity and returns its row.
+func decodeRow[T any](row func(T) []string) func(json.RawMessage) ([]string, error) {
 	return func(item json.RawMessage) ([]string, error) {
 		var entity T
 		if err := json.Unmarshal(item, &entity); err != nil {
@@ -33,18 +35,18 @@
 	}
 }
 
-func (e entities) printList(s *session, r reply) error {
-	var answer struct {
+func (e entityCommands) printList(s *session, r response) error {
+	var list struct {
 		Items            []json.RawMessage
 		UncheckedCallers []string
 		IgnoreFencing    []string
 	}
-	if err := r.decode(&answer); err != nil {
+	if err := r.decode(&list); err != nil {
 		return err
 	}
 	shown := tables[e.kind]
 	var rows [][]string
-	for _, item := range answer.Items {
+	for _, item := range list.Items {
 		row, err := shown.row(item)
 		if err != nil {
 			return err
@@ -52,8 +54,8 @@
 		rows = append(rows, row)
 	}
 	s.printTable(shown.header, rows)
-	s.printNote("do not check their callers", answer.UncheckedCallers)
-	s.printNote("take orders with an old fencing number", answer.IgnoreFencing)
+	s.printNote("do not check their callers", list.UncheckedCallers)
+	s.printNote("take orders with an old fencing number", list.IgnoreFencing)
 	return nil
 }
 
@@ -99,15 +101,15 @@
 
 func workspaceRow(w adminapi.WorkspaceView) []string {
 	return []string{
-		w.Name, fmt.Sprint(max(w.Weight, 1)), boundText(w.MaxInFlight), fmt.Sprint(w.KeyDigestCount), fmt.Sprint(w.Revision),
+		w.Name, fmt.Sprint(max(w.Weight, 1)), limitText(w.MaxInFlight), fmt.Sprint(w.KeyDigestCount), fmt.Sprint(w.Revision),
 	}
 }
 
-func boundText(bound int) string {
-	if bound == 0 {
+func limitText(limit int) string {
+	if limit == 0 {
 		return "unbounded"
 	}
-	return fmt.Sprint(bound)
+	return fmt.Sprint(limit)
 }
 
 func modelRow(m config.Model) []string {
--- a/internal/cli/admincmd/print.go
+++ b/internal/cli/admincmd/print.go
@@ -13,7 +13,7 @@
 	columnPadding  = 2
 )
 
-// printJSON prints JSON indented, or as it came when it is none.
+// printJSON prints body indented, or unchanged if it is not JSON.
 func (s *session) printJSON(body []byte) {
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, body, "", "  "); err != nil {
@@ -23,7 +23,7 @@
 	fmt.Fprintln(s.out, strings.TrimRight(indented.String(), "\n"))
 }
 
-// printTable prints rows under a header, in columns.
+// printTable prints a header and rows in aligned columns.
 func (s *session) printTable(header []string, rows [][]string) {
 	writer := tabwriter.NewWriter(s.out, minColumnWidth, 0, columnPadding, ' ', 0)
 	fmt.Fprintln(writer, strings.Join(header, "\t"))
@@ -33,7 +33,7 @@
 	_ = writer.Flush()
 }
 
-// orDash stands in for what is empty, so that columns stay readable.
+// orDash returns text, or a dash if it is empty, so that the columns of a table stay readable.
 func orDash(text string) string {
 	if text == "" {
 		return "-"
--- a/internal/cli/admincmd/register.go
+++ b/internal/cli/admincmd/register.go
@@ -9,15 +9,16 @@
 	"geraniumcroft/internal/config"
 )
 
+// group is the heading of the commands in the help text.
 const group = "administration"
 
-// output is where a command writes.
+// output holds the writers for a command's output and errors.
 type output struct {
 	out io.Writer
 	err io.Writer
 }
 
-// Register adds the commands to a commander.
+// Register adds the commands to c.
 func Register(c *subcommands.Commander) {
 	register(c, output{out: os.Stdout, err: os.Stderr})
 }
--- a/internal/cli/admincmd/request.go
+++ b/internal/cli/admincmd/request.go
@@ -2,7 +2,7 @@
 
 import "net/url"
 
-// request is one request of the admin API.
+// request is a request to the admin API. Its path is relative to the root of the API.
 type request struct {
 	method string
 	path   string
--- a/internal/cli/admincmd/reply.go
+++ b/internal/cli/admincmd/response.go
@@ -7,13 +7,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// reply is a whole answer.
-type reply struct {
+// response is a response of the admin API, read to its end or to maxResponseBytes.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (r reply) decode(into any) error {
+func (r response) decode(into any) error {
 	return errors.Wrap(json.Unmarshal(r.body, into), "the VM's answer")
 }
--- a/internal/cli/admincmd/session.go
+++ b/internal/cli/admincmd/session.go
@@ -18,17 +18,18 @@
 )
 
 const (
-	// requestSlack is what an answer may take beyond the wait that was asked for.
+	// requestSlack is the time that a response may take beyond the requested wait.
 	requestSlack = 10 * time.Second
-	// maxAnswerBytes bounds what is read of an answer.
-	maxAnswerBytes = 64 << 20
-	maxTokenBytes  = 4096
-	// sendAttempts bounds how often a request without an answer is sent. Changes
-	// carry an id, so a second arrival is not a second change.
+	// maxResponseBytes bounds how much of a response is read.
+	maxResponseBytes = 64 << 20
+	// maxTokenBytes bounds how much of the token file is read.
+	maxTokenBytes = 4096
+	// sendAttempts bounds how often a request that gets no response is sent. Changes carry an
+	// id, so one that arrives twice is made once.
 	sendAttempts = 2
 )
 
-// session is a connection to one VM's admin API with the flags of one run.
+// session is one run of a command with its flags, its output and a client of one VM's admin API.
 type session struct {
 	*flags
 	output
@@ -37,7 +38,7 @@
 }
 
 func newSession(f *flags, o output) (*session, error) {
-	if err := checkAdmin(f.admin); err != nil {
+	if err := checkAdminURL(f.admin); err != nil {
 		return nil, err
 	}
 	token, err := readToken(f.tokenFile)
@@ -46,19 +47,19 @@
 	}
 	transport := &http.Transport{}
 	if f.caFile != "" {
-		if transport.TLSClientConfig, err = trust(f.caFile); err != nil {
+		if transport.TLSClientConfig, err = clientTLS(f.caFile); err != nil {
 			return nil, err
 		}
 	}
-	// A redirect would carry the token to another host.
-	stay := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	// Redirects are not followed, as that would send the token to another host.
+	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &session{
 		flags: f, output: o, token: token,
-		client: &http.Client{Transport: transport, CheckRedirect: stay},
+		client: &http.Client{Transport: transport, CheckRedirect: noRedirect},
 	}, nil
 }
 
-func checkAdmin(admin string) error {
+func checkAdminURL(admin string) error {
 	if admin == "" {
 		return errors.New("-admin is missing, such as -admin http://10.0.0.1:7002")
 	}
@@ -95,7 +96,8 @@
 	return token, nil
 }
 
-func trust(file string) (*tls.Config, error) {
+// clientTLS returns a configuration that trusts only the authorities in the file.
+func clientTLS(file string) (*tls.Config, error) {
 	pem, err := os.ReadFile(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "-ca-file")
@@ -107,11 +109,11 @@
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13}, nil
 }
 
-// do sends a request, again when no answer came.
-func (s *session) do(ctx context.Context, r request) (reply, error) {
+// do sends a request, and sends it again if there is no response, up to sendAttempts times.
+func (s *session) do(ctx context.Context, r request) (response, error) {
 	var err error
 	for range sendAttempts {
-		var got reply
+		var got response
 		if got, err = s.send(ctx, r); err == nil {
 			return got, nil
 		}
@@ -119,34 +121,35 @@
 			break
 		}
 	}
-	return reply{}, err
+	return response{}, err
 }
 
-func (s *session) send(ctx context.Context, r request) (reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, waitOf(r.query)+requestSlack)
+func (s *session) send(ctx context.Context, r request) (response, error) {
+	ctx, cancel := context.WithTimeout(ctx, waitParam(r.query)+requestSlack)
 	defer cancel()
 	address := strings.TrimRight(s.admin, "/") + "/admin/v1" + r.path
 	if len(r.query) > 0 {
 		address += "?" + r.query.Encode()
 	}
-	sent, err := http.NewRequestWithContext(ctx, r.method, address, bytes.NewReader(r.body))
+	httpRequest, err := http.NewRequestWithContext(ctx, r.method, address, bytes.NewReader(r.body))
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	sent.Header.Set("Authorization", "Bearer "+s.token)
+	httpRequest.Header.Set("Authorization", "Bearer "+s.token)
 	for name, value := range r.header {
-		sent.Header.Set(name, value)
+		httpRequest.Header.Set(name, value)
 	}
-	response, err := s.client.Do(sent)
+	httpResponse, err := s.client.Do(httpRequest)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
-	return reply{status: response.StatusCode, header: response.Header, body: body}, err
+	defer httpResponse.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxResponseBytes))
+	return response{status: httpResponse.StatusCode, header: httpResponse.Header, body: body}, err
 }
 
-func waitOf(query url.Values) time.Duration {
+// waitParam returns the wait parameter of a query, 0 if there is none.
+func waitParam(query url.Values) time.Duration {
 	wait, err := time.ParseDuration(query.Get("wait"))
 	if err != nil {
 		return 0
@@ -154,6 +157,7 @@
 	return wait
 }
 
-func (s *session) complain(format string, args ...any) {
+// printErrorf prints a line to the error output.
+func (s *session) printErrorf(format string, args ...any) {
 	fmt.Fprintf(s.err, format+"\n", args...)
 }
--- a/internal/cli/admincmd/set.go
+++ b/internal/cli/admincmd/set.go
@@ -14,24 +14,25 @@
 	"geraniumcroft/internal/adminapi"
 )
 
+// standardInput is the file name that stands for standard input.
 const standardInput = "-"
 
-// set creates or changes an entity. The revision comes from the flag or from the
-// file, as show has printed it; without one the entity is created, so a file that
-// was written by hand never overwrites what is there.
-func (e entities) set(ctx context.Context, s *session, args []string) subcommands.ExitStatus {
+// set creates or changes an entity. The revision is that of the flag or else of the file, where it
+// is if show printed the file. Without a revision the entity is created, so a file that was written
+// by hand never overwrites an existing entity.
+func (e entityCommands) set(ctx context.Context, s *session, args []string) subcommands.ExitStatus {
 	if s.file == "" {
-		s.complain("-f is missing")
+		s.printErrorf("-f is missing")
 		return exitUsage
 	}
 	body, err := readFile(s.file)
 	if err != nil {
-		s.complain("%v", err)
+		s.printErrorf("%v", err)
 		return exitUsage
 	}
 	var entity struct{ Revision uint64 }
 	if err := json.Unmarshal(body, &entity); err != nil {
-		s.complain("%s is not a JSON object: %v", s.file, err)
+		s.printErrorf("%s is not a JSON object: %v", s.file, err)
 		return exitUsage
 	}
 	if s.revision > 0 {
@@ -42,6 +43,8 @@
 	})
 }
 
+// precondition returns the header with which a change is made only if the entity has the
+// revision, or only if there is no such entity for revision 0.
 func precondition(revision uint64) map[string]string {
 	if revision == 0 {
 		return map[string]string{"If-None-Match": "*"}
--- a/internal/cli/admincmd/table.go
+++ b/internal/cli/admincmd/table.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// table is how one kind of entity is listed.
+// table defines the header of a list of entities and the row of each entity.
 type table struct {
 	header []string
 	row    func(item json.RawMessage) ([]string, error)
--- a/internal/cli/admincmd/verb.go
+++ b/internal/cli/admincmd/verb.go
@@ -9,7 +9,7 @@
 // verb is one action of a command, such as "list".
 type verb struct {
 	name string
-	// args and help stand in the usage.
+	// args and help are printed in the usage.
 	args string
 	help string
 	// arity is the number of arguments after the verb.
--- a/internal/cli/admincmd/vm_row.go
+++ b/internal/cli/admincmd/vm_row.go
@@ -1,6 +1,6 @@
 package admincmd
 
-// vmRow is what the table shows of a VM.
+// vmRow holds the fields of a VM that the table shows.
 type vmRow struct {
 	Name       string `json:"name"`
 	DataCentre string `json:"dataCentre"`
