--- a/cmd/geraniumcroft/relay.go
+++ b/cmd/geraniumcroft/relay.go
@@ -21,12 +21,12 @@
 	"geraniumcroft/platform"
 )
 
-// settingsVariable names the environment variable that holds the settings file's path.
-const settingsVariable = "GERANIUMCROFT_SETTINGS"
+// settingsEnv is the name of the environment variable with the path of the settings file.
+const settingsEnv = "GERANIUMCROFT_SETTINGS"
 
-// storeIdle is how long a connection to the store is kept unused. Calls to the feed
-// follow each other more closely.
-const storeIdle = 5 * time.Second
+// storeIdleTimeout is the time after which an unused connection to the store is closed. The calls
+// to the feed come at shorter intervals.
+const storeIdleTimeout = 5 * time.Second
 
 // relayCommand implements "relay".
 type relayCommand struct {
@@ -54,7 +54,7 @@
 
 // SetFlags implements subcommands.Command.
 func (c *relayCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.file, "settings", os.Getenv(settingsVariable), "settings file")
+	f.StringVar(&c.file, "settings", os.Getenv(settingsEnv), "settings file")
 	f.BoolVar(&c.check, "check", false, "only check the settings")
 }
 
@@ -84,8 +84,8 @@
 	}
 	defer func() { _ = log.Close() }()
 	logger := log.With(zap.String("vm", s.VM.Name))
-	stops := make(chan os.Signal, 1)
-	signal.Notify(stops, os.Interrupt, syscall.SIGTERM)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	process, err := entry.New(relayOptions(s, logger, log.Dropped))
 	if err != nil {
 		logger.Error("not started", zap.Error(err))
@@ -96,14 +96,15 @@
 		select {
 		case <-hangup.Received:
 			c.reload(process, logger)
-		case <-stops:
+		case <-signals:
 			process.Stop()
 			return exit.Done
 		}
 	}
 }
 
-// reload reads the settings again. Addresses and names hold until the next start.
+// reload reads the settings again and, if there are no findings, applies the seed peers. All other
+// settings, such as addresses and names, take effect only at the next start.
 func (c *relayCommand) reload(process *entry.Process, logger *zap.Logger) {
 	loaded, findings := settings.LoadRelay(c.file)
 	for _, finding := range findings {
@@ -114,14 +115,14 @@
 	}
 }
 
-func relayOptions(s *settings.Settings, logger *zap.Logger, dropped func() uint64) entry.Options {
-	bounds := transport.Settings{}.WithDefaults()
-	pool := transport.NewPool(bounds, transport.NewDialer(bounds))
+func relayOptions(s *settings.Settings, logger *zap.Logger, logDropped func() uint64) entry.Options {
+	transportSettings := transport.Settings{}.WithDefaults()
+	pool := transport.NewPool(transportSettings, transport.NewDialer(transportSettings))
 	store := platform.NewStore(s.Relay.StoreAddress, transport.NewWary(&http.Transport{
-		DialContext: transport.NewDialer(bounds), IdleConnTimeout: storeIdle, DisableCompression: true,
+		DialContext: transport.NewDialer(transportSettings), IdleConnTimeout: storeIdleTimeout, DisableCompression: true,
 	}))
 	return entry.Options{
-		Settings: s, Pool: pool, Logger: logger, LogDropped: dropped,
+		Settings: s, Pool: pool, Logger: logger, LogDropped: logDropped,
 		Adapter: entry.Adapter{
 			Codec: platform.Codec{}, Engines: platform.NewEngines(pool), Table: store, Feed: store,
 			OperatorTable: platform.OperatorTable, ReplicaTable: platform.ReplicaTable,
