--- a/scripts/before-landing.sh
+++ b/scripts/before-landing.sh
@@ -24,16 +24,16 @@
 jobs=${JOBS:-2}
 mkdir -p "$state"
 
-# vms_of prints how many VMs an installation starts with.
+# vms_of prints the number of VMs with which an installation starts.
 vms_of() {
   awk '/^machines = \[$/,/^\]/' "$1" | grep -o 'count = [0-9]*' | awk '{n += $3} END {print n + 0}'
 }
 
-# finished says whether a step's output is whole, which is so once it has a verdict. The snapshot's
-# name alone says nothing: a player that is stopped prints that too, and its days passed for green.
+# finished succeeds if a step's output is complete, that is, once it has a verdict. The name of the
+# snapshot is not enough: a player that is stopped prints it too, and its days counted as green.
 finished() { grep -qE '^score on |^[0-9]+ days on ' "$1" 2>/dev/null; }
 
-# step runs the player once, unless its output of this commit is there.
+# step runs the player once, unless there is complete output of it for this commit.
 step() {
   local out=$1
   shift
@@ -41,7 +41,7 @@
 }
 
 red=0
-# row prints one line of the table.
+# row prints one line of the table, and sets red unless the verdict is green.
 row() {
   local name=$1 verb=$2 out=$3 verdict=green detail
   detail=$(grep -hE '^score on|days on|GATE' "$out" | tr '\n' ' ' || true)
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Generates the code of the peers' protocol. The plugins come from go.mod's tools.
+# Generates the Go code of the peers' protocol. The plugins of protoc are tools of go.mod.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=$(mktemp -d)
