--- a/scripts/before-landing.sh
+++ b/scripts/before-landing.sh
@@ -1,14 +1,14 @@
 #!/usr/bin/env bash
-# Plays what is played before a landing and prints one table with what is red.
+# Runs the checks that are due before a landing and prints a table of their results.
 #
 #   scripts/before-landing.sh PLAYER STATE_DIR SITE.toml...
 #
-# PLAYER is the users' program that plays days of an installation (docs/developers.md). Of each
-# installation the standard days are scored and days are hunted, 40 on small ones and 8 where
-# there are 60 VMs or more; the hunts play deploy/days as well. STATE_DIR keeps the output of
-# each step of this commit, so that the command goes on where it was interrupted. JOBS says how
-# many days are played at a time: 2, as each day of a large fleet takes 3.4 GB. Exits 1 if
-# anything is red.
+# PLAYER is the users' program that plays days of an installation (docs/developers.md). For each
+# installation the script runs its "score", on the standard days, and its "hunt", with 40 days on
+# small installations and 8 on those with 60 VMs or more. A hunt plays deploy/days as well.
+# STATE_DIR keeps the output of each step for this commit, so that an interrupted run can be
+# continued. JOBS is the number of days played at a time: 2 by default, as each day of a large
+# fleet takes 3.4 GB. Exits 1 unless all results are green.
 set -euo pipefail
 if [ $# -lt 3 ]; then
   sed -n '2,11s/^# \{0,1\}//p' "$0" >&2
