--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -39,7 +39,7 @@
 // Execute implements subcommands.Command.
 func (c *checkCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := exit.CheckNoArgs(f); err != nil {
-		return exit.Misused(err)
+		return exit.ReportUsageError(err)
 	}
 	if _, ok := loadSettings(c.file); !ok {
 		return exit.Usage
@@ -48,7 +48,8 @@
 	return exit.Done
 }
 
-// loadSettings reads the file and prints all findings in one report.
+// loadSettings reads the settings file and prints all findings to standard error. It reports
+// false if there are any, or if file is empty.
 func loadSettings(file string) (*settings.Settings, bool) {
 	if file == "" {
 		fmt.Fprintln(os.Stderr, "geraniumcroft: -settings FILE is needed")
