--- a/internal/confstore/lost_response_test.go
+++ b/internal/confstore/lost_response_test.go
@@ -97,7 +97,7 @@
 // whether the change was written. The proposal must report this together with the id. After
 // the outage, a lookup must return the change, or report that it will never be written.
 func TestOutageLeavesTheChangePending(t *testing.T) {
-	for name, arrives := range map[string]bool{"written": true, "superseded": false} {
+	for name, arrives := range map[string]bool{"written": true, "overtaken": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { testPendingChange(t, arrives) })
 		})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -133,12 +133,12 @@
 func (n *Node) listen() error {
 	peers, err := n.wiring.Listen(n.settings.Peers.Address)
 	if err != nil {
-		return errors.Wrap(err, "listen for peers")
+		return errors.Wrap(err, "peers' listener")
 	}
 	admin, err := n.wiring.Listen(n.settings.Admin.Address)
 	if err != nil {
 		_ = peers.Close()
-		return errors.Wrap(err, "listen for operators")
+		return errors.Wrap(err, "operators' listener")
 	}
 	n.peerListener, n.adminListener = peers, withTLS(admin, n.options.AdminTLS)
 	return nil
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -26,7 +26,7 @@
 	if q.sendGuard != nil {
 		q.sendGuard.Close()
 		truthful := ended != outcome.NotRun || !q.sendGuard.MayHaveRun()
-		h.Invariants.Check(truthful, invariant.NoDispatchAfterOutcome, "request %s was sent but is reported as not run", q.RequestID)
+		h.Invariants.Check(truthful, invariant.NoDispatchAfterOutcome, "request %s was sent and told as not run", q.RequestID)
 	}
 	took := time.Since(q.arrival)
 	urgency := config.Normal
--- a/internal/router/entry.go
+++ b/internal/router/entry.go
@@ -58,5 +58,5 @@
 	e.mu.Unlock()
 	invariants.Check(!alreadyEnded, invariant.OneOutcome, "request %s ended twice", e.meta.RequestID)
 	truthful := o != outcome.NotRun || !e.sendGuard.MayHaveRun()
-	invariants.Check(truthful, invariant.NoDispatchAfterOutcome, "request %s was sent but is reported as not run", e.meta.RequestID)
+	invariants.Check(truthful, invariant.NoDispatchAfterOutcome, "request %s was sent and told as not run", e.meta.RequestID)
 }
