--- a/internal/claim/group_writer.go
+++ b/internal/claim/group_writer.go
@@ -113,8 +113,8 @@
 // run collects and sends one group.
 //
 // The group is formed only when the table's rate limit permits its transaction. If it
-// were formed earlier, it would wait for its turn while later claims formed further
-// groups behind it, and each claim would wait for several turns instead of one.
+// were formed earlier, it would wait for the permit while later claims formed further
+// groups behind it, and each claim would wait for several permits instead of one.
 func (w *groupWriter) run() {
 	ctx := platform.WithLane(context.Background(), platform.LaneUrgent)
 	ctx, cancel := context.WithTimeout(ctx, w.settings.Timeout)
@@ -122,7 +122,7 @@
 	if w.settings.Linger > 0 {
 		time.Sleep(w.settings.Linger)
 	}
-	ctx, err := waitForTurn(ctx, w.table)
+	ctx, err := reserveWrite(ctx, w.table)
 	group := w.takeGroup()
 	if err != nil {
 		resolveAll(group, err)
@@ -135,9 +135,9 @@
 	w.startGroup()
 }
 
-// waitForTurn waits until the table's rate limit permits one write, if the table has
+// reserveWrite waits until the table's rate limit permits one write, if the table has
 // a rate limit. The returned context carries the permit.
-func waitForTurn(ctx context.Context, table platform.Table) (context.Context, error) {
+func reserveWrite(ctx context.Context, table platform.Table) (context.Context, error) {
 	taker, ok := table.(platform.TurnTaker)
 	if !ok {
 		return ctx, nil
--- a/internal/claim/settings.go
+++ b/internal/claim/settings.go
@@ -32,9 +32,9 @@
 	RetryAfter time.Duration
 	// Ungrouped writes each row in a transaction of its own.
 	Ungrouped bool
-	// Linger is how long a group waits for more rows before it waits for its turn; 0
-	// means not at all. Rows that arrive while the group waits for its turn join it in
-	// any case.
+	// Linger is how long a group waits for more rows before it reserves its write; 0
+	// means not at all. Rows that arrive while the write is being reserved join the
+	// group in any case.
 	Linger time.Duration
 	// MaxGroup and MaxGroupBytes bound the number of rows in one transaction and the
 	// total size of their values.
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -230,12 +230,12 @@
 }
 
 // The whole fleet starts together after a power loss. For the first seconds no VM has a load
-// board, and VMs that ask for one get that answer. Once the placement has a holder again, its board
-// must reach the others at once. When followers without a board counted as silent, the board was
-// neither offered to nor requested from any of them for 10 s: VMs knew no load and no dead
-// replica, and after 8 s all of them read the lease. With 195 VMs started within 0.2 s, one had
-// the lease after 4.5 s and its first board a second later; 10 s after the start no other VM had a
-// board.
+// snapshot, and VMs that ask for one get that answer. Once the placement has a holder again, its
+// snapshot must reach the others at once. When followers without a snapshot counted as silent, the
+// snapshot was neither offered to nor requested from any of them for 10 s: VMs knew no load and no
+// dead replica, and after 8 s all of them read the lease. With 195 VMs started within 0.2 s, one
+// had the lease after 4.5 s and its first snapshot a second later; 10 s after the start no other VM
+// had a snapshot.
 func TestPeerWithoutACopyIsNotSilent(t *testing.T) {
 	near, far, maker := &tableCopy{}, &tableCopy{}, NewClient("", nil, zap.NewNop())
 	defer maker.Close()
@@ -249,10 +249,10 @@
 			t.Fatal("there is a copy before one was offered")
 		}
 	}
-	board := platform.TableChange{Revision: 9, Whole: true, Written: map[string][]byte{"all": []byte("loads")}}
-	offer(t, maker, near, board)
-	offer(t, maker, far, board)
-	if change, _, ok := asking.FetchOne(t.Context(), "loads", 0); !ok || change.Revision != board.Revision {
+	snapshot := platform.TableChange{Revision: 9, Whole: true, Written: map[string][]byte{"all": []byte("loads")}}
+	offer(t, maker, near, snapshot)
+	offer(t, maker, far, snapshot)
+	if change, _, ok := asking.FetchOne(t.Context(), "loads", 0); !ok || change.Revision != snapshot.Revision {
 		t.Errorf("%+v, %t", change, ok)
 	}
 }
--- a/internal/mirror/request.go
+++ b/internal/mirror/request.go
@@ -105,8 +105,8 @@
 }
 
 // noCopy is the answer of a peer that has no copy of the table yet. It counts as an answer: after
-// a power loss of the whole fleet no VM has a load board. If these peers counted as silent, the
-// first board would be neither offered to nor requested from any of them for silentPeerTTL.
+// a power loss of the whole fleet no VM has a load snapshot. If these peers counted as silent, the
+// first snapshot would be neither offered to nor requested from any of them for silentPeerTTL.
 var noCopy = &fetchResponse{}
 
 func (c *Client) callPeer(ctx context.Context, address string, req fetchRequest) *fetchResponse {
