--- a/internal/claim/faulty_writers_test.go
+++ b/internal/claim/faulty_writers_test.go
@@ -9,7 +9,7 @@
 	"geraniumcroft/internal/platform"
 )
 
-// unconditionalWriter overwrites existing rows: its condition is on a row that nobody
+// unconditionalWriter overwrites existing rows: its condition is on a row that nothing
 // else writes.
 type unconditionalWriter struct {
 	table platform.Table
--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	// leaseTTL is how long no VM holds the placement lease after its holder has died. It is
-	// a bit more than discovery takes to notice a dead replica.
+	// leaseTTL is the duration of the placement lease: no VM holds it for this long after its
+	// holder has died. It is a bit more than discovery takes to notice a dead replica.
 	leaseTTL = 4 * time.Second
 	// assumedVMs is the fleet size assumed until the list of VMs has been read.
 	assumedVMs = 6
--- a/internal/entry/replica_set.go
+++ b/internal/entry/replica_set.go
@@ -13,7 +13,7 @@
 )
 
 // replicaSet holds the replicas that this VM knows: those of the discovery entries, updated by
-// the replicas' own reports, and those that may come back after a store outage. It is not safe
+// the replicas' own reports, and those that may be listed again after a store outage. It is not safe
 // for concurrent use; the view's lock guards it.
 type replicaSet struct {
 	decode func(id string, row []byte) (relay.Replica, error)
@@ -26,7 +26,7 @@
 	listed map[string]relay.Replica
 	// superseded holds entries that an earlier incarnation wrote over its successor's, by id.
 	superseded map[string]relay.Replica
-	// vanished holds replicas that are no longer listed but may come back, because their
+	// vanished holds replicas that are no longer listed but may be listed again, because their
 	// entries expired during a store outage.
 	vanished map[string]relay.Replica
 	unusable unusableEntries
@@ -173,7 +173,7 @@
 	changes.log(s.logger, len(s.listed), revision)
 }
 
-// current returns the listed replicas and those that may come back.
+// current returns the listed replicas and those that may be listed again.
 func (s *replicaSet) current() []relay.Replica {
 	return slices.AppendSeq(slices.Collect(maps.Values(s.listed)), maps.Values(s.vanished))
 }
--- a/internal/follow/backoff.go
+++ b/internal/follow/backoff.go
@@ -45,7 +45,7 @@
 }
 
 // awaitTurn waits until it is this VM's turn to call a store that does not answer its peers, and
-// reports whether it is. VMs that follow the feed, and those without a feed peer, go on at once.
+// reports whether it is. VMs that follow the feed, and those without a feed peer, do not wait.
 // For the others the wait ends early, without a turn, if peers have a current copy again.
 func (f *Follower) awaitTurn(ctx context.Context) bool {
 	if f.View() == nil || !f.defersToFeedPeers() {
--- a/internal/follow/confirm_test.go
+++ b/internal/follow/confirm_test.go
@@ -30,7 +30,7 @@
 	})
 }
 
-// Guards against repeated reads of an unchanged table. Nobody writes the table for minutes, while
+// Guards against repeated reads of an unchanged table. The table is not written for minutes, while
 // the store's other tables change and the store drops changes older than 20 s. If the feed were
 // asked from the copy's revision each time, the whole table would be read every 20 s, which is
 // half a megabyte for a large configuration.
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -36,13 +36,13 @@
 	readTimeout = time.Second
 	// feedTimeout bounds one feed call, which itself waits for changes up to FeedWait.
 	feedTimeout = FeedWait + time.Second
-	// peerSettlingMargin is how much longer than a peer this VM assumes that rows may come back,
+	// peerSettlingMargin is how much longer than a peer this VM assumes that rows may reappear,
 	// since it learns of them later. Together with settlingTime, and with retryDelay, within which
-	// the peer detects that the store is back, a replica that leaves as soon as the store is back
+	// the peer detects that the store has recovered, a replica that leaves as soon as it has recovered
 	// gets no more requests after 2.8 s; 3 s are allowed for about 85 VMs.
 	peerSettlingMargin = 400 * time.Millisecond
-	// settlingTime is how long after an outage of the store a row that is missing may still come
-	// back, as its writer has to reach the store first.
+	// settlingTime is how long after an outage of the store a row that is missing may still
+	// reappear, as its writer has to reach the store first.
 	settlingTime = 2200 * time.Millisecond
 )
 
--- a/internal/follow/retry_group.go
+++ b/internal/follow/retry_group.go
@@ -12,7 +12,7 @@
 const maxSharedWait = readTimeout + 2*retryDelay
 
 // RetryGroup shares the retries of one VM's tables while the store is unavailable: the follower of
-// one table calls the store, and the others go on as soon as it gets an answer. When each table
+// one table calls the store, and the others continue as soon as it gets an answer. When each table
 // retried by itself, the calls during an outage doubled: by their own counters 195 VMs made 2,036
 // calls in 8 s. RetryGroup is safe for concurrent use.
 type RetryGroup struct {
@@ -27,7 +27,7 @@
 func NewRetryGroup() *RetryGroup { return &RetryGroup{} }
 
 // join is called by a follower whose call failed, and makes it the leader if there is none. It
-// reports whether the follower is the leader. If it is not, done is closed when it may go on.
+// reports whether the follower is the leader. If it is not, done is closed when it may continue.
 func (t *RetryGroup) join(f *Follower) (leads bool, done <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/follow/settling.go
+++ b/internal/follow/settling.go
@@ -47,7 +47,7 @@
 	f.RetryGroup.leave(f)
 }
 
-// recordPeerSettling records a peer's answer that rows may come back for the duration left after
+// recordPeerSettling records a peer's answer that rows may reappear for the duration left after
 // askedAt. If the peer did not give a duration, the answer counts until peers are asked again.
 func (f *Follower) recordPeerSettling(askedAt time.Time, left time.Duration) {
 	if left <= 0 {
@@ -58,7 +58,7 @@
 	f.peersSettledAt = askedAt.Add(left)
 }
 
-// Settling reports whether missing rows may still come back after an outage of the store that this
+// Settling reports whether missing rows may still reappear after an outage of the store that this
 // VM or a peer observed.
 func (f *Follower) Settling() bool {
 	f.mu.Lock()
@@ -66,7 +66,7 @@
 	return f.ownSettlingLeft() > 0 || f.peersSettlingLeft()+peerSettlingMargin > 0
 }
 
-// ownSettlingLeft returns for how long rows may still come back, going by this VM's own calls to
+// ownSettlingLeft returns for how long rows may still reappear, going by this VM's own calls to
 // the store. During an outage that is the full settling time. The caller holds f.mu.
 func (f *Follower) ownSettlingLeft() time.Duration {
 	switch {
@@ -87,11 +87,11 @@
 	return time.Until(f.peersSettledAt)
 }
 
-// reportedSettling returns for how long rows may come back, as reported to peers; 0 if they may
+// reportedSettling returns for how long rows may reappear, as reported to peers; 0 if they may
 // not. It does not include peerSettlingMargin, which would add up from VM to VM. A VM that the
 // store rejects but that copies from peers has the current table and reports 0. If it reported
-// that rows may come back, the others would go on using replicas that have left, 3 s after that
-// was known to all.
+// that rows may reappear, the others would continue to use replicas that have left, 3 s after all
+// VMs knew that they had left.
 func (f *Follower) reportedSettling() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/follow/settling_test.go
+++ b/internal/follow/settling_test.go
@@ -55,8 +55,8 @@
 }
 
 // The store rejects this VM and serves the others, from which it copies. It must not report to
-// peers that rows may come back: they kept using a replica that had left, and requests reached it
-// 3.2 s after all VMs knew that it was gone. Once no VM gets an answer from the store it does
+// peers that rows may reappear: they kept using a replica that had left, and requests reached it
+// 3.2 s after all VMs knew that it had left. Once no VM gets an answer from the store it does
 // report so, as rows expire unseen then.
 func TestTurnedAwayVMDoesNotSettleOthers(t *testing.T) {
 	runFollower(t, func(feed *fakeFeed, peers *fakePeers, f *Follower, _ func() string) {
--- a/internal/layers/bottleneck.go
+++ b/internal/layers/bottleneck.go
@@ -8,7 +8,7 @@
 
 // Bottleneck describes, for each data centre, why a request finds no path inside it now: the
 // first layers that none of its replicas can serve, and the reason for each holder. It is
-// logged with a refused request, to tell a full card from a VM that has used up its share.
+// logged with a refused request, to distinguish a full card from a VM that has used up its share.
 func (t *Table) Bottleneck(query Query) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/layers/cost.go
+++ b/internal/layers/cost.go
@@ -7,7 +7,7 @@
 
 const (
 	// suspectCost is added for a stage on a suspected replica. It is longer than any path
-	// takes, so such a stage is used only if nobody else holds the layers.
+	// takes, so such a stage is used only if no other replica holds the layers.
 	suspectCost = 100 * time.Second
 	// remoteEntryCost is added when the first stage is in another data centre than the
 	// request. The whole answer then crosses between them.
--- a/internal/layers/coverage.go
+++ b/internal/layers/coverage.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// requests returns how many mean requests fit on a card beside n layers.
+// requests returns how many mean requests fit on a card in addition to n layers.
 func (c *coverage) requests(k Accelerator, n int) float64 {
 	return c.spec.tokenCapacity(k, n) / c.spec.meanTokens()
 }
@@ -39,7 +39,8 @@
 	return capacity
 }
 
-// layersFor returns how many layers a card can hold beside the given number of requests.
+// layersFor returns how many layers a card can hold in addition to the given number of
+// requests.
 func (c *coverage) layersFor(k Accelerator, capacity float64) int {
 	perLayer := c.spec.LayerMB + capacity*c.spec.meanTokens()*c.spec.KVBytes/float64(c.spec.Layers)/1e6
 	return min(c.spec.maxLayers(k), int(k.MemoryMB/perLayer))
--- a/internal/layers/detour_capacity.go
+++ b/internal/layers/detour_capacity.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// prefillShare is the fraction of its time that a replica has for prefill beside the tokens
-	// that it decodes for other requests.
+	// prefillShare is the fraction of its time that a replica has for prefill while it also
+	// decodes tokens for other requests.
 	prefillShare = 0.4
 	// minPrefill is the least prefill time that is assumed for one stream.
 	minPrefill = 100 * time.Microsecond
--- a/internal/layers/layout.go
+++ b/internal/layers/layout.go
@@ -35,7 +35,7 @@
 	// requests.
 	capacity float64
 	// redundancy is how many times the cards of a set should be able to hold the model
-	// beside the requests. What exceeds 1 gives layers a second holder.
+	// in addition to the requests. What exceeds 1 gives layers a second holder.
 	redundancy float64
 }
 
--- a/internal/layers/path_test.go
+++ b/internal/layers/path_test.go
@@ -162,7 +162,7 @@
 }
 
 // A card that is about to leave refuses new requests although its report shows free memory,
-// and goes on doing so. Discovery cannot show that while the store is unavailable. A VM that
+// and continues to do so. Discovery cannot show that while the store is unavailable. A VM that
 // tried the card again after a second would be refused each time.
 func TestCardThatTurnsAwayWithRoomIsLeftForLonger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/layers/place.go
+++ b/internal/layers/place.go
@@ -61,8 +61,8 @@
 	return cmp.Or(byStepTime, cmp.Compare(a.Address, b.Address), cmp.Compare(a.ID, b.ID))
 }
 
-// maxSets returns how many sets of layers the replicas can hold beside some requests. It is
-// 0 if they cannot hold a single one.
+// maxSets returns how many sets of layers the replicas can hold in addition to some requests.
+// It is 0 if they cannot hold a single one.
 func maxSets(spec *Spec, group []Replica) int {
 	const memoryPerSet = 1.1 // memory for a set and a few requests, in multiples of its weights
 	memory, most := 0.0, 0
--- a/internal/layers/place_test.go
+++ b/internal/layers/place_test.go
@@ -178,7 +178,7 @@
 
 // When a fast card fails, the card next to it widens over its layers at once and has memory
 // for a sixth of the requests left. When a card of the same kind joins, it must take these
-// layers and the neighbour must release them, or requests go on waiting for memory.
+// layers and the neighbour must release them, or requests continue to wait for memory.
 func TestRoomComesBackWithACard(t *testing.T) {
 	spec := testSpec()
 	group := slices.Concat(cards("a", "large", 1), cards("a", "fast", 1), cards("a", "slow", 5), cards("a", "small", 7))
--- a/internal/layers/rebalance.go
+++ b/internal/layers/rebalance.go
@@ -12,14 +12,14 @@
 	// requests, and all loads share one source of weights.
 	minMoveGain = 0.15
 	// minNarrowGain is the same for a card that only releases layers which others hold. It
-	// loads nothing and goes on serving its other layers, so a small gain is enough. At
-	// 0.15 a data centre of 14 cards whose h100 came back kept a capacity of 59 requests
+	// loads nothing and continues to serve its other layers, so a small gain is enough. At
+	// 0.15 a data centre of 14 cards whose h100 recovered kept a capacity of 59 requests
 	// in place of 192.
 	minNarrowGain = 0.01
 	// narrowBelowCapacity is the capacity, in mean requests, below which a card may release
 	// layers to others, for instance after it widened over those of a failed neighbour.
 	// Above it the layers stay: the other cards may be ten times slower, and more capacity
-	// there would serve nobody. 120 is the capacity that was best for the fast cards of a data
+	// there would serve no requests. 120 is the capacity that was best for the fast cards of a data
 	// centre of 13.
 	narrowBelowCapacity = 120
 	// nearBestGain is the fraction of the best move's gain from which a cheaper card is
@@ -198,7 +198,7 @@
 }
 
 // canSpare reports whether each layer that a card releases has another holder. Layers that
-// are still being loaded do not count: until they are loaded nobody would hold them.
+// are still being loaded do not count: until they are loaded no replica would hold them.
 func (h holderCounts) canSpare(from, to config.LayerRange) bool {
 	for l := max(0, from.From); l < min(from.To, len(h)); l++ {
 		kept := l >= to.From && l < to.To
--- a/internal/layers/replica_state.go
+++ b/internal/layers/replica_state.go
@@ -95,7 +95,7 @@
 
 // fits reports whether this VM may reserve the amount here. It may always use its even
 // share while the replica is not full. Up to a few shares, or for one request in any case,
-// it may go on while the report leaves room for what other VMs send before the next
+// it may continue while the report leaves capacity for what other VMs send before the next
 // report. Beyond that it takes only its part of the memory that was reported free:
 // otherwise all VMs would fill the same memory at once.
 func (s *replicaState) fits(amount float64, a allowance, now time.Time) bool {
--- a/internal/layers/search.go
+++ b/internal/layers/search.go
@@ -33,7 +33,7 @@
 	steps   [][]step
 }
 
-// run finds the path. Suspected replicas are used only if nobody else holds their layers:
+// run finds the path. Suspected replicas are used only if no other replica holds their layers:
 // waiting for capacity elsewhere is better than another refusal.
 func (s *search) run() (Path, error) {
 	path, err := s.withoutRepeats()
--- a/internal/layers/spec.go
+++ b/internal/layers/spec.go
@@ -57,7 +57,7 @@
 	return min(s.Layers, int(k.MemoryMB/s.LayerMB))
 }
 
-// tokenCapacity returns how many tokens of context fit on a card beside n layers.
+// tokenCapacity returns how many tokens of context fit on a card in addition to n layers.
 func (s *Spec) tokenCapacity(k Accelerator, n int) float64 {
 	if n <= 0 || s.KVBytes <= 0 {
 		return 0
--- a/internal/lease/clock.go
+++ b/internal/lease/clock.go
@@ -5,7 +5,7 @@
 // Reading is one reading of a VM's two clocks.
 type Reading struct {
 	Wall time.Time
-	// Mono is the time since an arbitrary moment; it may stand still while the VM is paused.
+	// Mono is the time since an arbitrary moment; it may not advance while the VM is paused.
 	Mono time.Duration
 }
 
--- a/internal/loads/collector.go
+++ b/internal/loads/collector.go
@@ -166,7 +166,7 @@
 }
 
 // offer sends the new snapshot to peers. VMs ask only a few of the others, and the holder of
-// the duty need not be one of these: its snapshots would then reach nobody.
+// the duty need not be one of these: its snapshots would then reach no other VM.
 func (c *Collector) offer(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
--- a/internal/membership/listing.go
+++ b/internal/membership/listing.go
@@ -10,7 +10,7 @@
 const RoleEntry = "entry"
 
 // UpdateListed takes over the platform's list. The list lags behind, so it can only add VMs to
-// probe, including VMs that were dead and forgotten and come back under a new address.
+// probe, including VMs that were dead and forgotten and reappear under a new address.
 func (t *Table) UpdateListed(vms []platform.VM, now time.Time) {
 	for _, m := range t.members {
 		m.Listed, m.ListedLeaving = false, false
--- a/internal/membership/random_test.go
+++ b/internal/membership/random_test.go
@@ -24,7 +24,7 @@
 	return 2*(3*2*fleet/2) + 2*suspicion
 }
 
-// VMs die, come back, lose messages and are cut off from each other at random. Whatever the order,
+// VMs die, restart, lose messages and are cut off from each other at random. Whatever the order,
 // once the faults end, every live VM must be alive on all VMs and every other one dead, within a
 // bound. The incarnation of a VM, and its version within one process, must never be seen to fall.
 func TestRandomFaults(t *testing.T) {
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// The store rejects one of two peers, which therefore reports that rows may come back; it serves
+// The store rejects one of two peers, which therefore reports that rows may reappear; it serves
 // the other peer, which reports that they may not. A VM that asks both must use the status of the
 // more recently confirmed copy. Otherwise it keeps using a replica that has left, and requests
 // reach it seconds after they may.
--- a/internal/mirror/service.go
+++ b/internal/mirror/service.go
@@ -78,9 +78,9 @@
 	UnchangedUpTo uint64 `json:"unchangedUpTo,omitempty"`
 	// AgeMS is the time in milliseconds since the copy was confirmed to be current.
 	AgeMS int64 `json:"ageMs"`
-	// Settling says that rows may still come back after a recent outage of the store.
+	// Settling says that rows may still reappear after a recent outage of the store.
 	Settling bool `json:"settling,omitempty"`
-	// SettlingLeftMS is for how long rows may still come back, in milliseconds. It is 0 with
+	// SettlingLeftMS is for how long rows may still reappear, in milliseconds. It is 0 with
 	// Settling set if the VM, of an earlier version, does not report it.
 	SettlingLeftMS int64 `json:"settlingLeftMs,omitempty"`
 	// ByFeed says that the peer follows the store's feed.
--- a/internal/mirror/settling_test.go
+++ b/internal/mirror/settling_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A replica leaves as soon as the store is back after an outage. Its entry is deleted, but a VM
-// that assumes that entries may still come back goes on sending requests to it. 3 s after the
+// A replica leaves as soon as the store has recovered from an outage. Its entry is deleted, but a VM
+// that assumes that entries may still reappear continues to send requests to it. 3 s after the
 // store has acknowledged the departure, no requests may arrive from about 85 VMs. The VMs that
 // follow the feed stop in time; the others learn from them, and so later.
 func TestReplicaThatLeavesAfterAnOutageIsLeftInTime(t *testing.T) {
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -4,7 +4,7 @@
 
 // updateShares divides the table's budget and the targets' slots by the number of VMs that take new
 // requests. It uses the membership even while the platform's list is unavailable: otherwise a VM
-// that dies in the meantime would keep a share that nobody uses.
+// that dies in the meantime would keep a share that no VM uses.
 //
 // Without shares, each VM would use the slots that the others had left free when they last
 // reported. Under overload all VMs would do so at once, targets would get more requests than they
--- a/internal/node/shares_test.go
+++ b/internal/node/shares_test.go
@@ -8,7 +8,7 @@
 
 // Each VM must use its own share of each target's slots. If two VMs computed the same index, one
 // share would be unused and another one exceeded. A VM that is dead or leaving must not count, or
-// it would keep a share that nobody uses.
+// it would keep a share that no VM uses.
 func TestPlaceInFleet(t *testing.T) {
 	members := []membership.Member{
 		{Name: "a", State: membership.Alive},
--- a/internal/peer/push.go
+++ b/internal/peer/push.go
@@ -46,7 +46,7 @@
 	return n.table.Sample(n.settings.PushFanout, inView)
 }
 
-// wholeFleetInView reports whether the view has room for all peers that may serve. The caller holds
+// wholeFleetInView reports whether the view can hold all peers that may serve. The caller holds
 // n.mu.
 func (n *Node) wholeFleetInView() bool {
 	return n.table.FleetSize()-1 <= n.settings.ViewSize
--- a/internal/placer/order.go
+++ b/internal/placer/order.go
@@ -37,7 +37,7 @@
 
 // dropSupersededOrders deletes orders after which the replica has begun another one. An order to
 // a replica's earlier incarnation may be carried out seconds later by the next incarnation, which
-// counts its orders from 0 again. Without this the placer would go on waiting for layers that it
+// counts its orders from 0 again. Without this the placer would continue to wait for layers that it
 // has ordered since and that the replica no longer loads.
 func (p *Placer) dropSupersededOrders() {
 	p.mu.Lock()
--- a/internal/plan/chooser_test.go
+++ b/internal/plan/chooser_test.go
@@ -139,7 +139,7 @@
 }
 
 // A request whose prompt is cached at one of several equal engines is sent there while that engine
-// has room, and otherwise to another one: a preference never makes a request wait.
+// has capacity, and otherwise to another one: a preference never makes a request wait.
 func TestPreferredTargetIsChosenWhileItHasRoom(t *testing.T) {
 	model := &config.Model{Name: "m", Layers: 4, Versions: []string{"1"}}
 	var targets []*config.Target
--- a/internal/plan/query.go
+++ b/internal/plan/query.go
@@ -5,7 +5,7 @@
 // Query describes the plan that one request needs.
 type Query struct {
 	Urgency config.Urgency
-	// Usable reports whether a target has room for the request now.
+	// Usable reports whether a target has capacity for the request now.
 	Usable func(target string) bool
 	// Exclude names targets that the plan must not use.
 	Exclude map[string]bool
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -5,7 +5,7 @@
 // them (see Settings.CrashWindow). A request with crashes of Settings.CrashThreshold different
 // replicas is quarantined: it is refused until no caller has sent it for Settings.QuarantineTTL, or
 // until an operator lifts the quarantine. Most requests that are on a replica when it crashes did
-// not cause the crash. Two rules tell them apart from those that did:
+// not cause the crash. Two rules distinguish them from those that did:
 //
 //   - A run that has produced events for Settings.CrashWindow, or a complete response, shows that
 //     the request does not crash replicas: all of its recorded crashes are cleared.
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -14,7 +14,7 @@
 )
 
 // retryAfterDivisor bounds the time a caller may be told to wait to the time it has left divided by
-// this. Callers do not come back after anything longer.
+// this. Callers do not retry after a longer time.
 const retryAfterDivisor = 3
 
 // finish records the single outcome of the request in the log and the metrics.
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -32,7 +32,7 @@
 	bodyReadTimeout = 10 * time.Second
 	// staleAfter is the age of the configuration above which an unknown key or path may be missing
 	// on this VM, rather than being the caller's mistake. Without it, a caller whose key was added
-	// while the VM was cut off would get 401 and not come back. Copies are confirmed within 2 s in
+	// while the VM was cut off would get 401 and not retry. Copies are confirmed within 2 s in
 	// normal operation.
 	staleAfter = 3 * time.Second
 	// maxBufferedBodies bounds the bytes of all buffered bodies, not counting one more body for
--- a/internal/relay/shortages.go
+++ b/internal/relay/shortages.go
@@ -10,7 +10,7 @@
 	// shortageQuietPeriod is how long nothing must have been refused for a shortage to be over. At
 	// 5 requests per second to a small VM, a second without a refusal is unlikely to be chance.
 	shortageQuietPeriod = time.Second
-	// maxRetryAfter bounds the time that callers are told to wait. They do not come back after more
+	// maxRetryAfter bounds the time that callers are told to wait. They do not retry after more
 	// than a third of the time they have left, 6.6 s of 20 s.
 	maxRetryAfter = 6 * time.Second
 	// retryAfterJitter is the fraction by which that time is varied in both directions, so that
--- a/internal/relay/shortages_test.go
+++ b/internal/relay/shortages_test.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// A shortage is over once nothing was refused for some time. The next one starts anew: its first
+// A shortage is over once nothing was refused for some time. The next one is independent: its first
 // callers are not told to wait for as long as the last one lasted.
 func TestShortagesEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/relay/stage_prober.go
+++ b/internal/relay/stage_prober.go
@@ -20,7 +20,7 @@
 	dialInterval = 15 * time.Millisecond
 	maxDials     = 3
 	// maxDialDelay is how much longer than probeTimeout a probe may take. If it takes longer, this
-	// VM is assumed to have been held up, not the stage.
+	// VM is assumed to have been delayed, not the stage.
 	maxDialDelay = 10 * time.Millisecond
 	// acceptedTTL is how long the result of a stage that accepts connections is valid, failedTTL
 	// that of a stage that does not.
--- a/internal/router/plan_cache.go
+++ b/internal/router/plan_cache.go
@@ -129,7 +129,7 @@
 	return c.plans.Load().byRef[ref]
 }
 
-// Choose returns a plan whose targets all have room now. The targets in prefer are those
+// Choose returns a plan whose targets all have capacity now. The targets in prefer are those
 // that hold part of the prompt's KV cache, according to their reports.
 func (c *PlanCache) Choose(ref config.ModelRef, u config.Urgency, exclude, prefer map[string]bool) (plan.Plan, bool) {
 	planned := c.get(ref)
--- a/internal/stall/stopped.go
+++ b/internal/stall/stopped.go
@@ -27,7 +27,7 @@
 
 // StoppedStages returns the stages that have stopped. A refused connection is proof. A timeout
 // counts only if most stages of the same data centre responded or were passed by other streams;
-// otherwise the network to them may be cut, or this VM itself may have been held up. The timeout of
+// otherwise the network to them may be cut, or this VM itself may have been delayed. The timeout of
 // an entry stage does not count: the connections of new requests may be waiting in its accept queue.
 func StoppedStages(probed []ProbedStage, passed []Stage) []Stage {
 	alive, timedOut := map[string]int{}, map[string]int{}
