--- a/internal/balance/headrooms.go
+++ b/internal/balance/headrooms.go
@@ -13,11 +13,11 @@
 // urgent requests, and at least one if the group has several targets and all have one slot.
 // A group with a single slot has no headroom; urgent requests depend on preemption there.
 func headrooms(members []*config.Target, s Settings) [][config.UrgencyCount]int {
-	rooms := make([][config.UrgencyCount]int, len(members))
+	reserved := make([][config.UrgencyCount]int, len(members))
 	var single []int
 	for i, t := range members {
 		if t.Slots > 1 {
-			rooms[i] = headroom(t.Slots, s)
+			reserved[i] = headroom(t.Slots, s)
 		} else {
 			single = append(single, i)
 		}
@@ -27,10 +27,10 @@
 		kept = 1
 	}
 	for _, i := range single[:kept] {
-		rooms[i][config.Normal] = 1
-		rooms[i][config.Bulk] = 1
+		reserved[i][config.Normal] = 1
+		reserved[i][config.Bulk] = 1
 	}
-	return rooms
+	return reserved
 }
 
 // headroom returns how many slots requests of each urgency must leave free on a target with
--- a/internal/balance/rebuild.go
+++ b/internal/balance/rebuild.go
@@ -44,12 +44,12 @@
 func (b *Balancer) allot(members []*config.Target) []allotment {
 	parts := subsetParts(members, b.peers(), b.settings)
 	chosen := inSubset(members, b.peers(), b.vmIndex(), b.settings)
-	rooms := headrooms(members, b.settings)
+	reserved := headrooms(members, b.settings)
 	allotted := make([]allotment, len(members))
 	for i, c := range members {
 		allotted[i] = allotment{
 			sharersKnown:  b.peersKnown(),
-			headroom:      rooms[i],
+			headroom:      reserved[i],
 			sharers:       (b.peers() + parts - 1) / parts,
 			sharerIndex:   b.vmIndex() / parts,
 			targetIndex:   i,
--- a/internal/layers/place_test.go
+++ b/internal/layers/place_test.go
@@ -93,7 +93,7 @@
 		for range rapid.IntRange(1, 5).Draw(t, "deaths") {
 			dead := rapid.IntRange(0, len(held)-1).Draw(t, "dead")
 			held = slices.Delete(slices.Clone(held), dead, dead+1)
-			held = settle(t, spec, held)
+			held = placeUntilStable(t, spec, held)
 		}
 		if low := slices.Min(holders(spec, held, "")); low < 1 {
 			t.Fatal("a layer has no holder")
@@ -101,8 +101,8 @@
 	})
 }
 
-// settle applies placements until one changes nothing.
-func settle(t *rapid.T, spec *Spec, replicas []Replica) []Replica {
+// placeUntilStable applies placements until one changes nothing.
+func placeUntilStable(t *rapid.T, spec *Spec, replicas []Replica) []Replica {
 	const most = 40
 	for range most {
 		next := withRanges(replicas, Place(spec, replicas))
@@ -186,9 +186,9 @@
 	before := minCapacityOf(spec, held)
 	rapid.Check(t, func(t *rapid.T) {
 		dead := rapid.IntRange(0, len(held)-1).Draw(t, "dead")
-		left := settle(t, spec, slices.Delete(slices.Clone(held), dead, dead+1))
+		left := placeUntilStable(t, spec, slices.Delete(slices.Clone(held), dead, dead+1))
 		joined := Replica{ID: "new", Address: "new", DataCentre: "a", Kind: held[dead].Kind}
-		after := minCapacityOf(spec, settle(t, spec, append(left, joined)))
+		after := minCapacityOf(spec, placeUntilStable(t, spec, append(left, joined)))
 		if after < 0.45*before {
 			t.Errorf("the least capacity was %.0f requests, and is %.0f after %s failed and was replaced", before, after, held[dead].ID)
 		}
--- a/internal/membership/random_test.go
+++ b/internal/membership/random_test.go
@@ -16,10 +16,10 @@
 	os.Exit(m.Run())
 }
 
-// settleBound is the number of periods within which a fleet has to agree after its last fault: two
-// shuffled rounds of probes, of which every third goes to a dead VM, the suspicion, and one more
+// convergenceBound is the number of periods within which a fleet has to agree after its last fault:
+// two shuffled rounds of probes, of which every third goes to a dead VM, the suspicion, and one more
 // round for a VM that was wrongly declared dead.
-func settleBound(fleet int) int {
+func convergenceBound(fleet int) int {
 	suspicion := int(Settings{}.withDefaults().suspicionTimeout(fleet) / period)
 	return 2*(3*2*fleet/2) + 2*suspicion
 }
@@ -40,7 +40,7 @@
 			}
 		}
 		c.heal()
-		for range settleBound(size) {
+		for range convergenceBound(size) {
 			if c.disagreement() == "" {
 				return
 			}
@@ -48,7 +48,7 @@
 			seen.check(rt, c)
 		}
 		if left := c.disagreement(); left != "" {
-			rt.Fatalf("not settled within %d periods: %s", settleBound(size), left)
+			rt.Fatalf("no agreement within %d periods: %s", convergenceBound(size), left)
 		}
 	})
 }
@@ -133,7 +133,7 @@
 		t.Fatalf("the other half is %s after an hour, want dead", m.State)
 	}
 	c.heal()
-	if c.run(settleBound(6)) < 0 {
+	if c.run(convergenceBound(6)) < 0 {
 		t.Fatal(c.disagreement())
 	}
 }
--- a/internal/orders/drain.go
+++ b/internal/orders/drain.go
@@ -33,7 +33,7 @@
 	}
 	// A request that a VM sent just before the drain was confirmed may not have reached the
 	// engine. The engine's state is used only after such a request would show in it.
-	if now.Sub(task.confirmed) < c.options.Settings.SettleTime {
+	if now.Sub(task.confirmed) < c.options.Settings.VisibilityDelay {
 		return c.retry(PhaseDraining), false
 	}
 	if task.state.Active > 0 {
--- a/internal/orders/failure_test.go
+++ b/internal/orders/failure_test.go
@@ -186,7 +186,7 @@
 		e := f.engines[ignoring]
 		f.change(ignoring, "v2")
 		await(t, 10*time.Second, "the drain", func() bool { return f.drains.confirmed(ignoring) })
-		time.Sleep(400 * time.Millisecond) // less than SettleTime
+		time.Sleep(400 * time.Millisecond) // less than VisibilityDelay
 		e.addWork(1)
 		time.Sleep(5 * time.Minute)
 		orders, _, _, _ := e.counts()
@@ -205,8 +205,8 @@
 func TestNoReloadOnAnOutdatedState(t *testing.T) {
 	settings := testSettings()
 	settings.RetryInterval = 250 * time.Millisecond
-	settings.SettleTime = 2450 * time.Millisecond // the last state but one is older by the delay of the answer
-	for late := time.Second; late < settings.SettleTime; late += 25 * time.Millisecond {
+	settings.VisibilityDelay = 2450 * time.Millisecond // the last state but one is older by the delay of the answer
+	for late := time.Second; late < settings.VisibilityDelay; late += 25 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleetWith(settings, 1, hooks{}, ignoringTarget(ignoring))
 			defer f.stop()
--- a/internal/orders/fleet_test.go
+++ b/internal/orders/fleet_test.go
@@ -25,7 +25,7 @@
 		CallTimeout:        time.Second,
 		OrderTimeout:       time.Second,
 		MaxOrderDelay:      12 * time.Second,
-		SettleTime:         500 * time.Millisecond,
+		VisibilityDelay:    500 * time.Millisecond,
 		LoadInterval:       time.Second,
 		MaxConcurrentLoads: 2,
 	}
--- a/internal/orders/history_test.go
+++ b/internal/orders/history_test.go
@@ -146,7 +146,7 @@
 }
 
 // sendRequests sends requests to the engine while no drain is confirmed. A request takes up to
-// 400 ms to arrive, less than SettleTime.
+// 400 ms to arrive, less than VisibilityDelay.
 func sendRequests(random *rand.Rand, drains *fakeDrains, e *fakeEngine, end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(random.Int64N(int64(600 * time.Millisecond))))
--- a/internal/orders/settings.go
+++ b/internal/orders/settings.go
@@ -16,9 +16,9 @@
 	// MaxOrderDelay is the time after which an order that was sent can no longer take effect. It
 	// is at least OrderTimeout.
 	MaxOrderDelay time.Duration
-	// SettleTime is the longest time until a request that was dispatched before a drain was
+	// VisibilityDelay is the longest time until a request that was dispatched before a drain was
 	// confirmed shows in the engine's state.
-	SettleTime time.Duration
+	VisibilityDelay time.Duration
 	// LoadInterval is the least time between the starts of two loads and MaxConcurrentLoads
 	// bounds those that run at once, because the weight store is rate-limited.
 	LoadInterval       time.Duration
@@ -34,7 +34,7 @@
 	DefaultCallTimeout        = 2 * time.Second
 	DefaultOrderTimeout       = 3 * time.Second
 	DefaultMaxOrderDelay      = 10 * time.Second
-	DefaultSettleTime         = 2 * time.Second
+	DefaultVisibilityDelay    = 2 * time.Second
 	DefaultLoadInterval       = 10 * time.Second
 	DefaultMaxConcurrentLoads = 2
 	DefaultConcurrency        = 32
@@ -49,7 +49,7 @@
 	setDuration(&s.CallTimeout, DefaultCallTimeout)
 	setDuration(&s.OrderTimeout, DefaultOrderTimeout)
 	setDuration(&s.MaxOrderDelay, DefaultMaxOrderDelay)
-	setDuration(&s.SettleTime, DefaultSettleTime)
+	setDuration(&s.VisibilityDelay, DefaultVisibilityDelay)
 	setDuration(&s.LoadInterval, DefaultLoadInterval)
 	s.MaxOrderDelay = max(s.MaxOrderDelay, s.OrderTimeout)
 	if s.MaxConcurrentLoads == 0 {
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// settle waits until no rumour from the start of the fleet is pending.
-func settle(b *testing.B, vms []*benchVM) {
+// waitForRumours waits until no rumour from the start of the fleet is pending.
+func waitForRumours(b *testing.B, vms []*benchVM) {
 	waitUntil(b, func() bool {
 		return !slices.ContainsFunc(vms, func(vm *benchVM) bool { return vm.node.Dump().(Dump).Rumours > 0 })
 	})
@@ -198,7 +198,7 @@
 func benchCost(b *testing.B, size int, changing bool) {
 	before := memoryInUse()
 	vms := newBenchFleet(b, size, Settings{}, true)
-	settle(b, vms)
+	waitForRumours(b, vms)
 	for range b.N {
 		cpu, sent, received := usage(vms)
 		started := time.Now()
--- a/internal/peer/random_test.go
+++ b/internal/peer/random_test.go
@@ -57,7 +57,7 @@
 				r.inject(f)
 				time.Sleep(f.wait)
 			}
-			failure = r.settle()
+			failure = r.heal()
 		})
 		if failure != "" {
 			rt.Fatal(failure)
@@ -128,8 +128,8 @@
 	delete(r.fleet.vms, vm.name)
 }
 
-// settle ends all faults and returns what is still wrong after healBound, or an empty string.
-func (r *randomRun) settle() string {
+// heal ends all faults and returns what is still wrong after healBound, or an empty string.
+func (r *randomRun) heal() string {
 	r.fleet.network.SetCut(func(string, string) bool { return false })
 	for i := range r.size {
 		if r.fleet.vm(i) == nil {
--- a/internal/peer/spreading_test.go
+++ b/internal/peer/spreading_test.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	joinBound   = 30 * time.Second
-	settleTime  = 3 * time.Second
-	smallBound  = 2 * time.Second
-	pushBound   = 200 * time.Millisecond
-	deathBound  = time.Minute
-	healBound   = 2 * time.Minute
-	spreadBound = 16 * time.Second
+	joinBound       = 30 * time.Second
+	convergenceTime = 3 * time.Second
+	smallBound      = 2 * time.Second
+	pushBound       = 200 * time.Millisecond
+	deathBound      = time.Minute
+	healBound       = 2 * time.Minute
+	spreadBound     = 16 * time.Second
 )
 
 // runFleet runs a test on a fleet in virtual time, once all its VMs know each other and have pooled
@@ -30,7 +30,7 @@
 		f := newFleet(t, size, s)
 		defer f.stop()
 		f.waitFor(joinBound, "every VM knows all others", f.joined(size))
-		time.Sleep(settleTime)
+		time.Sleep(convergenceTime)
 		test(t, f)
 	})
 }
@@ -59,12 +59,12 @@
 		slow.limitInForce(first)
 		second := f.vm(0).change("b")
 		f.waitFor(smallBound, "received by all", f.allAt(second))
-		time.Sleep(settleTime)
+		time.Sleep(convergenceTime)
 		if _, missing := f.vm(0).node.InForce(second); !slices.Equal(missing, []string{vmName(1)}) {
 			t.Errorf("missing %v", missing)
 		}
 		slow.limitInForce(0)
-		f.waitFor(settleTime, "confirmed at the origin", func() bool {
+		f.waitFor(convergenceTime, "confirmed at the origin", func() bool {
 			_, missing := f.vm(0).node.InForce(second)
 			return len(missing) == 0
 		})
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -24,11 +24,11 @@
 	interval = 200 * time.Millisecond
 	// maxConcurrentOrders bounds the orders that are sent at the same time.
 	maxConcurrentOrders = 16
-	// listSettleTime is how long no new replica must have been listed before the first layers
+	// minListStableTime is how long no new replica must have been listed before the first layers
 	// are assigned. Replicas that start together are listed within one or two heartbeats. A
 	// layout for the first few of them would leave them no memory for requests, and each later
 	// replica would make layers move.
-	listSettleTime = 1500 * time.Millisecond
+	minListStableTime = 1500 * time.Millisecond
 	// joinWait is how long a replica that joins a complete set waits for a gap in the coverage.
 	// In a rolling replacement the old replica begins to leave about a second after the new one
 	// has started.
@@ -115,7 +115,7 @@
 		holding = holding || r.Held.Len() > 0
 	}
 	p.firstListed = firstListed
-	return holding || len(replicas) > 0 && time.Since(p.lastAdded) >= listSettleTime
+	return holding || len(replicas) > 0 && time.Since(p.lastAdded) >= minListStableTime
 }
 
 // dropOrders deletes all orders. A VM without the lease does not know what others order.
--- a/internal/relay/stall_move.go
+++ b/internal/relay/stall_move.go
@@ -44,7 +44,7 @@
 	}
 	const why = "a stage of its path stopped"
 	fault := w.g.replicaAt(path, stopped[0])
-	if crowded := w.crowded(stopped); len(crowded) > 0 && w.resendAvoiding(c, fault, why, crowded, maxPathLoad) {
+	if avoided := w.holdersToAvoid(stopped); len(avoided) > 0 && w.resendAvoiding(c, fault, why, avoided, maxPathLoad) {
 		return moveGrace
 	}
 	if w.reroute(path.First(), stopped, true) || w.resendElsewhere(c, fault, why) || w.reroute(path.First(), stopped, false) {
@@ -53,10 +53,10 @@
 	return recheckInterval
 }
 
-// crowded returns the holders nearby that this stream leaves to others because they cannot read the
-// tokens of all streams in time. The streams that leave are chosen at random, since VMs do not know
-// of each other's streams.
-func (w *stallWatch) crowded(stopped []string) []incarnation.Key {
+// holdersToAvoid returns the holders nearby that this stream leaves to others because they cannot
+// read the tokens of all streams in time. The streams that leave are chosen at random, since VMs do
+// not know of each other's streams.
+func (w *stallWatch) holdersToAvoid(stopped []string) []incarnation.Key {
 	gap := stall.MaxGap(w.g.q.profile.Gap)
 	w.mu.Lock()
 	remaining := gap - time.Since(w.lastEvent)
--- a/internal/router/plan_cache.go
+++ b/internal/router/plan_cache.go
@@ -17,8 +17,8 @@
 type capacity interface {
 	// Usable reports whether the target may get new requests, and if not, why.
 	Usable(target string) (bool, string)
-	// HasRoom reports whether a request of the urgency would get a slot now.
-	HasRoom(target string, u config.Urgency) bool
+	// HasFreeSlot reports whether a request of the urgency would get a slot now.
+	HasFreeSlot(target string, u config.Urgency) bool
 }
 
 // PlanCache has the weighted plans of each model in use. Update computes them when the
@@ -136,7 +136,7 @@
 	if planned == nil || planned.chooser == nil {
 		return plan.Plan{}, false
 	}
-	return planned.chooser.Choose(plan.Query{Urgency: u, Usable: c.hasRoom(u), Exclude: exclude, Prefer: prefer})
+	return planned.chooser.Choose(plan.Query{Urgency: u, Usable: c.hasFreeSlot(u), Exclude: exclude, Prefer: prefer})
 }
 
 // Repair returns the plan with its failed targets replaced and the others kept.
@@ -145,7 +145,7 @@
 	if planned == nil || planned.chooser == nil {
 		return plan.Plan{}, false
 	}
-	return planned.chooser.Repair(current, failed, c.hasRoom(u))
+	return planned.chooser.Repair(current, failed, c.hasFreeSlot(u))
 }
 
 func (c *PlanCache) eligible(target string) bool {
@@ -161,8 +161,8 @@
 	return 0
 }
 
-func (c *PlanCache) hasRoom(u config.Urgency) func(string) bool {
-	return func(target string) bool { return c.capacity.HasRoom(target, u) }
+func (c *PlanCache) hasFreeSlot(u config.Urgency) func(string) bool {
+	return func(target string) bool { return c.capacity.HasFreeSlot(target, u) }
 }
 
 // Covered reports whether the targets that may get new requests, busy or not, hold all
