--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -3,6 +3,7 @@
 //
 // It connects the components and defines the order of start and stop. The process keeps no
 // state of its own: after a start it reads the configuration and the replicas from the store
-// or from peers, and only then takes requests. A stop makes it unready first and then waits
-// for the requests in progress.
+// or from peers, and only then takes requests. Stop makes it unready and releases its leases.
+// It still takes requests until the load balancer has noticed, and then waits for the requests
+// in progress, all within the grace time.
 package entry
--- a/internal/layers/doc.go
+++ b/internal/layers/doc.go
@@ -23,8 +23,8 @@
 //
 // Failure of a replica: the streams on paths through it stall, its requests are moved to
 // another holder of the same layers, and the replica is avoided for a time that grows with
-// each failure in a row. Since every data centre holds all layers, another one supplies
-// the missing range at once; the placement then widens the ranges next to the gap. The last
+// each failure in a row. Where each data centre holds all layers, another one supplies the
+// missing range at once; the placement then widens the ranges next to the gap. The last
 // holders of a range are used even while they are suspected, because a request that may
 // fail is better than a certain refusal.
 package layers
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -1,4 +1,4 @@
-// Package lease elects one VM for each control duty, which alone may act on it.
+// Package lease elects one VM for each control duty. Only this VM may act on the duty.
 //
 // A lease is one row of the platform's table. The holder renews it by a conditional write; every
 // other VM, a contender, only watches the revision of the row. Clocks are never compared between
@@ -14,7 +14,7 @@
 // Failures and their effect:
 //
 // If the table is unavailable, the holder's view ends and the duty has no holder until the table
-// is back, since no other VM can take over either.
+// is available again, since no other VM can take over either.
 //
 // If the answer to a renewal is lost, the renewal counts only once it has been read back.
 //
--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -73,7 +73,7 @@
 }
 
 // Tick declares VMs dead whose suspicion has lasted for the timeout, and removes members that have
-// been dead or gone for the retention time.
+// been dead or have left for the retention time.
 func (t *Table) Tick(now time.Time) {
 	timeout := t.settings.suspicionTimeout(t.FleetSize())
 	for name, m := range t.members {
--- a/internal/mirror/request.go
+++ b/internal/mirror/request.go
@@ -27,7 +27,7 @@
 	silentPeerTTL = 10 * time.Second
 )
 
-// availablePeers returns the peers that may be asked now. If no peer has answered, as after this
+// availablePeers returns the peers that may be asked now. If all peers are silent, as after this
 // VM was cut off, it returns all of them; otherwise this VM would have no updates for another
 // silentPeerTTL.
 func (c *Client) availablePeers() Peers {
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -13,9 +13,9 @@
 // A connection can become silent for good while the peer works. Each call has a deadline; a call
 // that fails on a pooled connection is repeated on a new one, and only if that fails as well may
 // the peer itself have failed. The peer is then probed through helpers before it is suspected (see
-// package membership). A silent peer costs one bounded call at a time, and nothing waits for it:
+// package membership). A silent peer occupies one bounded call at a time, and nothing waits for it:
 // InForce reports it as missing.
 //
 // A VM keeps connections to a random part of the fleet of bounded size, its view. A small fleet
-// fits the view as a whole. The cost of a VM therefore does not grow with the fleet.
+// fits the view as a whole. The load on a VM therefore does not grow with the fleet.
 package peer
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,18 +1,19 @@
-// Package quarantine detects requests that crash the replicas that run them, also known as queries
-// of death, and keeps them from being sent again.
+// Package quarantine detects requests that crash the replicas that run them, also known as queries of
+// death, and keeps them from being sent again.
 //
-// A Ledger records, by Digest, the replicas that crashed while an early run of the request was on
-// them (see Settings.CrashWindow). A request with crashes of Settings.CrashThreshold different
-// replicas is quarantined: it is refused until no caller has sent it for Settings.QuarantineTTL, or
-// until an operator lifts the quarantine. Most requests that are on a replica when it crashes did
-// not cause the crash. Two rules distinguish them from those that did:
+// A Ledger records, by Digest, the replicas that crashed while an early run of the request was on them
+// (see Settings.CrashWindow). A request with crashes of Settings.CrashThreshold different replicas, or
+// of one fewer if they were Settings.MinCrashSpacing apart, is quarantined: it is refused until no
+// caller has sent it for Settings.QuarantineTTL, or until an operator lifts the quarantine. Most
+// requests that are on a replica when it crashes did not cause the crash. Two rules distinguish them
+// from those that did:
 //
 //   - A run that has produced events for Settings.CrashWindow, or a complete response, shows that
 //     the request does not crash replicas: all of its recorded crashes are cleared.
 //   - A crash counts once per incarnation of a replica, however many VMs report it and however often.
 //
-// VMs exchange their records as Reports, which can be merged in any order and any number of times:
-// crashes are only added and marked as cleared. Times in a Report are relative to an epoch whose age
-// is sent along, because the clocks of VMs differ. The package does no network I/O and does not read
-// the clock: callers pass the time.
+// VMs exchange their records as Reports (see package sharing), which can be merged in any order and any
+// number of times: crashes are only added and marked as cleared. Times in a Report are relative to an
+// epoch whose age is sent along, because the clocks of VMs differ. This package does no network I/O and
+// does not read the clock: callers pass the time.
 package quarantine
