--- a/internal/entry/tenure.go
+++ b/internal/entry/tenure.go
@@ -15,7 +15,7 @@
 //
 // During a store outage no lease can be renewed, and no other VM can acquire one. The last
 // holder then continues without a lease: otherwise the layers of replicas that die would be
-// missing, and VMs would send requests to these replicas, until the store is back. If the store
+// missing, and VMs would send requests to these replicas, until the store recovers. If the store
 // refuses only this VM, another one acquires the lease, and the loads that it sends, which carry a
 // higher number, end the tenure here within some two seconds. Two holders at the same time do no
 // harm: each order states the layers that a replica has to hold and the earlier orders that it
--- a/internal/entry/unusable_entries.go
+++ b/internal/entry/unusable_entries.go
@@ -5,7 +5,7 @@
 )
 
 // maxUnusableLines bounds the log lines about entries for one change of the table. Otherwise
-// whoever writes invalid rows could fill the log.
+// a writer of invalid rows could fill the log.
 const maxUnusableLines = 20
 
 // unusableEntries holds the discovery entries that can't be used, with the reason for each. An
--- a/internal/follow/confirm_test.go
+++ b/internal/follow/confirm_test.go
@@ -51,7 +51,7 @@
 }
 
 // The store and all peers are silent, as when a switch between this VM and them fails. Once the
-// store is back, the VM must read the table within one call timeout and one retry delay. It must
+// store has recovered, the VM must read the table within one call timeout and one retry delay. It must
 // not wait for the peers' timeout of 2.5 s first.
 func TestSilentPeersDoNotHoldUpTheStore(t *testing.T) {
 	runFollower(t, func(feed *fakeFeed, peers *fakePeers, f *Follower, value func() string) {
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -30,7 +30,7 @@
 	retryDelay = 200 * time.Millisecond
 	// peerRetryDelay is the minimum of that wait for a VM that has a copy and copies from its
 	// peers as long as the store answers them. In an outage a whole large fleet would otherwise
-	// turn to the store, although the few VMs that follow the feed also detect that it is back.
+	// turn to the store, although the few VMs that follow the feed also detect that it has recovered.
 	peerRetryDelay = 2 * time.Second
 	// readTimeout bounds the read of a whole table.
 	readTimeout = time.Second
@@ -148,7 +148,7 @@
 			continue
 		}
 		// After a failure the whole table is read. That call is answered at once and shows that
-		// the store is back, whereas the feed would wait for the next change.
+		// the store has recovered, whereas the feed would wait for the next change.
 		reread := f.takeReread() || failed || f.View() == nil
 		err := f.readStore(ctx, reread)
 		if ctx.Err() != nil {
--- a/internal/follow/retry_test.go
+++ b/internal/follow/retry_test.go
@@ -45,7 +45,7 @@
 
 // The store is unavailable for 8 s and refuses every call. Each of a VM's two tables is followed
 // by its own calls; when each retried by itself, the load on the store doubled. One table must
-// retry for both, and both must have the store's changes as soon as it is back.
+// retry for both, and both must have the store's changes as soon as it has recovered.
 func TestTablesOfAVMShareTheirTries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const outage = 8 * time.Second
--- a/internal/generation/consume.go
+++ b/internal/generation/consume.go
@@ -80,7 +80,7 @@
 }
 
 // commit passes the token to the sink. It reports whether the run has ended because
-// the caller is gone. The timer for the engines' next token is stopped while the sink
+// the caller has left. The timer for the engines' next token is stopped while the sink
 // is busy. Otherwise a slow caller would make the engines appear slow.
 func (r *run) commit(e *epoch, event *engine.Event, timer *time.Timer) bool {
 	timer.Stop()
--- a/internal/lease/duty.go
+++ b/internal/lease/duty.go
@@ -92,7 +92,7 @@
 
 // availableAfter returns how long after firstSeen the lease may be taken. The time that has passed
 // before on the table's clock is subtracted: VMs that all start together find the lease of a
-// holder that is gone, and would otherwise wait for its whole duration again.
+// holder that has stopped, and would otherwise wait for its whole duration again.
 func (d *duty) availableAfter(ownTTL time.Duration) time.Duration {
 	if d.record.free() {
 		return 0
--- a/internal/lease/failure_test.go
+++ b/internal/lease/failure_test.go
@@ -79,7 +79,8 @@
 }
 
 // During an outage of the store the duty must have no holder, and exactly one soon after it. Views
-// end without the table; once it is back, the first VM to write on the row's old revision wins.
+// end without the table; once it is available again, the first VM to write on the row's old
+// revision wins.
 func TestNoHolderDuringOutageAndOneAfterIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hooks{}, threeVMs, testDuty)
--- a/internal/mirror/conns.go
+++ b/internal/mirror/conns.go
@@ -66,7 +66,7 @@
 	return conn, err
 }
 
-// dropConn closes a connection on which a request failed: it may have gone silent while a new one
+// dropConn closes a connection on which a request failed: it may have become silent while a new one
 // would work.
 func (c *Client) dropConn(address string, conn *grpc.ClientConn) {
 	c.mu.Lock()
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -47,7 +47,7 @@
 }
 
 // TokenSink receives the tokens of a generation in order, each once. An error means that
-// the caller is gone, and ends the generation.
+// the caller has left, and ends the generation.
 type TokenSink interface {
 	Token(position int, text string) error
 }
