--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// Guards against capacity that is taken for a queued request whose caller has disconnected.
+// Guards against capacity that is taken for a queued request whose caller has left.
 func TestAbandonedRequestTakesNoCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(Settings{}, 0)
