--- a/internal/relay/stall_error.go
+++ b/internal/relay/stall_error.go
@@ -16,5 +16,5 @@
 
 // Error implements error.
 func (e *stallError) Error() string {
-	return fmt.Sprintf("stream stalled at %s: %s", e.Replica.Address, e.Why)
+	return fmt.Sprintf("the stream stands still at %s: %s", e.Replica.Address, e.Why)
 }
