--- a/internal/claim/group_writer.go
+++ b/internal/claim/group_writer.go
@@ -116,7 +116,7 @@
 // were formed earlier, it would wait for the permit while later claims formed further
 // groups behind it, and each claim would wait for several permits instead of one.
 func (w *groupWriter) run() {
-	ctx := platform.WithLane(context.Background(), platform.LaneUrgent)
+	ctx := platform.WithRateClass(context.Background(), platform.RateClassUrgent)
 	ctx, cancel := context.WithTimeout(ctx, w.settings.Timeout)
 	defer cancel()
 	if w.settings.Linger > 0 {
@@ -138,11 +138,11 @@
 // reserveWrite waits until the table's rate limit permits one write, if the table has
 // a rate limit. The returned context carries the permit.
 func reserveWrite(ctx context.Context, table platform.Table) (context.Context, error) {
-	taker, ok := table.(platform.TurnTaker)
+	taker, ok := table.(platform.WriteReserver)
 	if !ok {
 		return ctx, nil
 	}
-	return taker.Turn(ctx)
+	return taker.ReserveWrite(ctx)
 }
 
 // takeGroup removes the next group from the queue and starts the group after it.
--- a/internal/confstore/propose.go
+++ b/internal/confstore/propose.go
@@ -76,20 +76,20 @@
 			// may write a change with the same id and another value.
 			ID:         uuid.NewString(),
 			Conditions: conditions,
-			Witness:    rowWrittenWitness(changeKey(change.Version)),
+			Resolver:   rowWrittenWitness(changeKey(change.Version)),
 			Writes:     []platform.Write{{Key: changeKey(change.Version), Value: row}, {Key: headKey, Value: newHead}},
 		},
 	}, nil
 }
 
-// rowWrittenWitness returns the witness of a proposal. If another transaction wrote the
+// rowWrittenWitness returns the resolver of a proposal. If another transaction wrote the
 // row of the version, this one was refused, as the row is never written again.
-func rowWrittenWitness(key string) platform.Witness {
-	return func(rows []platform.Row) platform.Verdict {
+func rowWrittenWitness(key string) platform.Resolver {
+	return func(rows []platform.Row) platform.Resolution {
 		row, err := rowOf(rows, key)
 		if err != nil || row.Revision == 0 {
-			return platform.VerdictUnknown
+			return platform.ResolutionUnknown
 		}
-		return platform.VerdictRefused
+		return platform.ResolutionRefused
 	}
 }
