--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -25,7 +25,7 @@
 	return decision
 }
 
-// withClaimTimeout returns a context in the urgent lane that ends after
+// withClaimTimeout returns a context in the urgent rate class that ends after
 // Settings.Timeout, or at expires if that is earlier.
 func (c *Claims) withClaimTimeout(ctx context.Context, expires time.Time) (context.Context, context.CancelFunc) {
 	deadline := time.Now().Add(c.settings.Timeout)
--- a/internal/claim/group_writer.go
+++ b/internal/claim/group_writer.go
@@ -138,11 +138,11 @@
 // reserveWrite waits until the table's rate limit permits one write, if the table has
 // a rate limit. The returned context carries the permit.
 func reserveWrite(ctx context.Context, table platform.Table) (context.Context, error) {
-	taker, ok := table.(platform.WriteReserver)
+	reserver, ok := table.(platform.WriteReserver)
 	if !ok {
 		return ctx, nil
 	}
-	return taker.ReserveWrite(ctx)
+	return reserver.ReserveWrite(ctx)
 }
 
 // takeGroup removes the next group from the queue and starts the group after it.
--- a/internal/confstore/propose.go
+++ b/internal/confstore/propose.go
@@ -76,15 +76,15 @@
 			// may write a change with the same id and another value.
 			ID:         uuid.NewString(),
 			Conditions: conditions,
-			Resolver:   rowWrittenWitness(changeKey(change.Version)),
+			Resolver:   rowWrittenResolver(changeKey(change.Version)),
 			Writes:     []platform.Write{{Key: changeKey(change.Version), Value: row}, {Key: headKey, Value: newHead}},
 		},
 	}, nil
 }
 
-// rowWrittenWitness returns the resolver of a proposal. If another transaction wrote the
+// rowWrittenResolver returns the resolver of a proposal. If another transaction wrote the
 // row of the version, this one was refused, as the row is never written again.
-func rowWrittenWitness(key string) platform.Resolver {
+func rowWrittenResolver(key string) platform.Resolver {
 	return func(rows []platform.Row) platform.Resolution {
 		row, err := rowOf(rows, key)
 		if err != nil || row.Revision == 0 {
