--- a/internal/follow/confirm_test.go
+++ b/internal/follow/confirm_test.go
@@ -30,7 +30,7 @@
 	})
 }
 
-// Guards against repeated reads of an unchanged table. Nobody writes the table for minutes, while
+// Guards against repeated reads of an unchanged table. The table is not written for minutes, while
 // the store's other tables change and the store drops changes older than 20 s. If the feed were
 // asked from the copy's revision each time, the whole table would be read every 20 s, which is
 // half a megabyte for a large configuration.
@@ -51,7 +51,7 @@
 }
 
 // The store and all peers are silent, as when a switch between this VM and them fails. Once the
-// store is back, the VM must read the table within one call timeout and one retry delay. It must
+// store has recovered, the VM must read the table within one call timeout and one retry delay. It must
 // not wait for the peers' timeout of 2.5 s first.
 func TestSilentPeersDoNotHoldUpTheStore(t *testing.T) {
 	runFollower(t, func(feed *fakeFeed, peers *fakePeers, f *Follower, value func() string) {
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -30,19 +30,19 @@
 	retryDelay = 200 * time.Millisecond
 	// peerRetryDelay is the minimum of that wait for a VM that has a copy and copies from its
 	// peers as long as the store answers them. In an outage a whole large fleet would otherwise
-	// turn to the store, although the few VMs that follow the feed also detect that it is back.
+	// turn to the store, although the few VMs that follow the feed also detect that it has recovered.
 	peerRetryDelay = 2 * time.Second
 	// readTimeout bounds the read of a whole table.
 	readTimeout = time.Second
 	// feedTimeout bounds one feed call, which itself waits for changes up to FeedWait.
 	feedTimeout = FeedWait + time.Second
-	// peerSettlingMargin is how much longer than a peer this VM assumes that rows may come back,
+	// peerSettlingMargin is how much longer than a peer this VM assumes that rows may reappear,
 	// since it learns of them later. Together with settlingTime, and with retryDelay, within which
-	// the peer detects that the store is back, a replica that leaves as soon as the store is back
+	// the peer detects that the store has recovered, a replica that leaves as soon as it has recovered
 	// gets no more requests after 2.8 s; 3 s are allowed for about 85 VMs.
 	peerSettlingMargin = 400 * time.Millisecond
-	// settlingTime is how long after an outage of the store a row that is missing may still come
-	// back, as its writer has to reach the store first.
+	// settlingTime is how long after an outage of the store a row that is missing may still
+	// reappear, as its writer has to reach the store first.
 	settlingTime = 2200 * time.Millisecond
 )
 
@@ -148,7 +148,7 @@
 			continue
 		}
 		// After a failure the whole table is read. That call is answered at once and shows that
-		// the store is back, whereas the feed would wait for the next change.
+		// the store has recovered, whereas the feed would wait for the next change.
 		reread := f.takeReread() || failed || f.View() == nil
 		err := f.readStore(ctx, reread)
 		if ctx.Err() != nil {
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -14,7 +14,7 @@
 )
 
 // retryAfterDivisor bounds the time a caller may be told to wait to the time it has left divided by
-// this. Callers do not come back after anything longer.
+// this. Callers do not retry after a longer time.
 const retryAfterDivisor = 3
 
 // finish records the single outcome of the request in the log and the metrics.
@@ -26,7 +26,7 @@
 	if q.sendGuard != nil {
 		q.sendGuard.Close()
 		truthful := ended != outcome.NotRun || !q.sendGuard.MayHaveRun()
-		h.Invariants.Check(truthful, invariant.NoDispatchAfterOutcome, "request %s was sent but is reported as not run", q.RequestID)
+		h.Invariants.Check(truthful, invariant.NoDispatchAfterOutcome, "request %s was sent and told as not run", q.RequestID)
 	}
 	took := time.Since(q.arrival)
 	urgency := config.Normal
